--- a/crates/control/src/driver/event_log.rs
+++ b/crates/control/src/driver/event_log.rs
@@ -142,7 +142,7 @@
         WorkerEvent::Lost { instance, attempts } => {
             log::info!("worker lost instance={instance} attempts={attempts}");
         }
-        WorkerEvent::WaitedInVain { instance, key, gang } => {
+        WorkerEvent::GangMemberTimedOut { instance, key, gang } => {
             let AttemptKey { task, attempt } = key;
             log::warn!(
                 "a gang's member waited in vain instance={instance} job={:016x} time={} step={} index={} attempt={attempt} \
--- a/crates/control/src/driver/lateness.rs
+++ b/crates/control/src/driver/lateness.rs
@@ -11,7 +11,7 @@
             return;
         }
         if let Some(leader) = self.leader.as_mut() {
-            leader.was_absent(now, absence);
+            leader.record_process_pause(now, absence);
         }
     }
 
--- a/crates/control/src/metrics/mod.rs
+++ b/crates/control/src/metrics/mod.rs
@@ -155,7 +155,7 @@
             WorkerEvent::TimedOut { .. } => self.workers_timed_out += 1,
             WorkerEvent::Lost { .. } => self.workers_lost += 1,
             WorkerEvent::Recovered { .. }
-            | WorkerEvent::WaitedInVain { .. }
+            | WorkerEvent::GangMemberTimedOut { .. }
             | WorkerEvent::ListingsExpired { .. }
             | WorkerEvent::Fenced { .. } => {}
         }
--- a/crates/scheduler/src/leader/committed_changes.rs
+++ b/crates/scheduler/src/leader/committed_changes.rs
@@ -175,13 +175,13 @@
     fn attempt_finished(&mut self, key: &AttemptKey, outcome: AttemptOutcome) {
         self.record_finished(*key, outcome);
         if outcome == AttemptOutcome::Ended(EndKind::ALONE) {
-            self.record_waited_in_vain(*key);
+            self.record_gang_member_timeout(*key);
         }
         self.release(key);
     }
 
     /// Reports a gang's member that ended since the others did not start in time.
-    fn record_waited_in_vain(&mut self, key: AttemptKey) {
+    fn record_gang_member_timeout(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let Some(entry) = self.workers.get(&attempt.worker) else { return };
         let placed_ms = self.now.saturating_sub(attempt.placed_at) / NANOS_PER_MS;
@@ -192,7 +192,7 @@
             gang.started += u32::from(member.started_at.is_some());
             gang.stopping += u32::from(member.stopping);
         }
-        self.events.push(WorkerEvent::WaitedInVain { instance: entry.instance.clone(), key, gang });
+        self.events.push(WorkerEvent::GangMemberTimedOut { instance: entry.instance.clone(), key, gang });
     }
 
     /// Keeps an attempt for the reports of jobs. To be called before its capacity is released.
--- a/crates/scheduler/src/leader/lateness_notices.rs
+++ b/crates/scheduler/src/leader/lateness_notices.rs
@@ -5,8 +5,8 @@
 impl Leader {
     /// The driver's process was absent for `span` nanoseconds up to `now`: it neither sent nor read anything. To be
     /// called before what arrived meanwhile is handed in.
-    pub fn was_absent(&mut self, now: u64, span: u64) {
-        self.lateness.was_absent(now, span);
+    pub fn record_process_pause(&mut self, now: u64, span: u64) {
+        self.lateness.record_process_pause(now, span);
     }
 
     /// Whether a time limit for an answer has passed that is not judged before `Input::ReadUntil` names a moment from
--- a/crates/scheduler/src/leader/mechanisms.rs
+++ b/crates/scheduler/src/leader/mechanisms.rs
@@ -30,7 +30,7 @@
     /// Several lease renewals may follow each other quickly.
     LeaseRenewalBurst,
     /// Another lease renewal is sent beside one that is overdue.
-    SecondLeaseRenewals,
+    HedgedLeaseRenewals,
     /// Stalled attempts are moved to another worker.
     StallRelocation,
     /// Deficit round robin over queues by plan and dominant resource; without it, one queue in order of arrival.
@@ -61,7 +61,7 @@
     (Mechanism::BestFit, "best-fit"),
     (Mechanism::WorkerQuality, "quality"),
     (Mechanism::LeaseRenewalBurst, "hold-burst"),
-    (Mechanism::SecondLeaseRenewals, "second-holds"),
+    (Mechanism::HedgedLeaseRenewals, "second-holds"),
     (Mechanism::StallRelocation, "stall-moves"),
     (Mechanism::FairQueues, "fair-queues"),
     (Mechanism::LeaseByNeed, "hold-by-need"),
--- a/crates/scheduler/src/leader/own_lateness.rs
+++ b/crates/scheduler/src/leader/own_lateness.rs
@@ -1,6 +1,6 @@
 //! The leader's own lateness: time in which its process could not send or read is not a worker's silence.
 //!
-//! A driver that may be late hands in `Input::ReadUntil` and calls `Leader::was_absent`; time limits for answers of
+//! A driver that may be late hands in `Input::ReadUntil` and calls `Leader::record_process_pause`; time limits for answers of
 //! workers are then judged by what it says. Leases and everything else keep the steady clock.
 
 use std::collections::BTreeSet;
@@ -53,7 +53,7 @@
     }
 
     /// This process was absent for `span` nanoseconds up to `now`.
-    pub(super) fn was_absent(&mut self, now: u64, span: u64) {
+    pub(super) fn record_process_pause(&mut self, now: u64, span: u64) {
         let credited = self.credit.take(now, span);
         self.response_clock.add_absence(credited);
     }
--- a/crates/scheduler/src/leader/settings.rs
+++ b/crates/scheduler/src/leader/settings.rs
@@ -14,7 +14,7 @@
     /// The longest worker lease that workers grant (`HoldMaxMs`).
     pub max_worker_lease_ms: u64,
     /// How long a worker may wait for an end before it answers a lease renewal, where workers are few.
-    pub wait_ms: u64,
+    pub long_poll_wait_ms: u64,
     /// How long a call may take beyond its wait.
     pub call_timeout_ms: u64,
     /// Most orders in flight to one worker.
@@ -67,7 +67,7 @@
         Self {
             worker_lease_ms,
             max_worker_lease_ms: bounds.max_worker_lease_ms,
-            wait_ms: MAX_WAIT_MS.min(worker_lease_ms / 4),
+            long_poll_wait_ms: MAX_WAIT_MS.min(worker_lease_ms / 4),
             call_timeout_ms: 600,
             max_order_calls: 4,
             stop_ms: bounds.stop_ms,
@@ -96,8 +96,8 @@
     }
 
     /// How long a worker may wait for an end where there are this many workers, in milliseconds.
-    pub fn wait_ms_among(&self, workers: usize) -> u64 {
-        let longest = MAX_WAIT_AMONG_MANY_MS.min(self.worker_lease_ms / 4).max(self.wait_ms);
-        (workers as u64).saturating_mul(WAIT_MS_PER_WORKER).clamp(self.wait_ms, longest)
+    pub fn long_poll_wait_ms_among(&self, workers: usize) -> u64 {
+        let longest = MAX_WAIT_AMONG_MANY_MS.min(self.worker_lease_ms / 4).max(self.long_poll_wait_ms);
+        (workers as u64).saturating_mul(WAIT_MS_PER_WORKER).clamp(self.long_poll_wait_ms, longest)
     }
 }
--- a/crates/scheduler/src/leader/worker_events.rs
+++ b/crates/scheduler/src/leader/worker_events.rs
@@ -42,7 +42,7 @@
         attempts: u32,
     },
     /// A member of a gang ended there since the others had not all started in time.
-    WaitedInVain {
+    GangMemberTimedOut {
         /// The worker's incarnation.
         instance: Arc<str>,
         /// Which attempt.
--- a/crates/scheduler/src/leader/worker_sessions.rs
+++ b/crates/scheduler/src/leader/worker_sessions.rs
@@ -44,12 +44,12 @@
             fencing_token: self.term,
             worker_lease_ms: self.settings.worker_lease_ms,
             max_worker_lease_ms: self.settings.max_worker_lease_ms,
-            wait_ms: self.settings.wait_ms,
+            wait_ms: self.settings.long_poll_wait_ms,
             call_timeout_ms: self.settings.call_timeout_ms,
             max_order_calls: self.settings.max_order_calls,
             stop_ms: self.settings.stop_ms,
             lease_renewal_bursts: self.uses(Mechanism::LeaseRenewalBurst),
-            hedged_lease_renewals: self.uses(Mechanism::SecondLeaseRenewals),
+            hedged_lease_renewals: self.uses(Mechanism::HedgedLeaseRenewals),
             suspicion: self.uses(Mechanism::Suspicion),
             leader_since: self.since + EARLIER_LEADER_OVERLAP,
         }
@@ -135,7 +135,7 @@
     }
 
     fn poll_worker(&mut self, key: WorkerKey, out: &mut Vec<Output>) {
-        let wait_ms = self.settings.wait_ms_among(self.workers.len());
+        let wait_ms = self.settings.long_poll_wait_ms_among(self.workers.len());
         let Some(entry) = self.workers.get_mut(&key) else { return };
         if !std::mem::replace(&mut entry.poll_scheduled, false) {
             return;
--- a/crates/scheduler/tests/cluster/lateness.rs
+++ b/crates/scheduler/tests/cluster/lateness.rs
@@ -41,7 +41,7 @@
         }
         self.now = end;
         if let Some(leader) = self.leader.as_mut() {
-            leader.was_absent(end, span_ms * MS);
+            leader.record_process_pause(end, span_ms * MS);
         }
         self.handle(Input::Tick { time_of_day_ms: self.time_of_day_ms() });
         for event in unread {
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -119,7 +119,7 @@
     LeaderSettings {
         worker_lease_ms: 6_000,
         max_worker_lease_ms: 6_000,
-        wait_ms: 400,
+        long_poll_wait_ms: 400,
         call_timeout_ms: 600,
         max_order_calls: 4,
         stop_ms: 400,
