--- a/crates/scheduler/src/leader/admission.rs
+++ b/crates/scheduler/src/leader/admission.rs
@@ -16,7 +16,7 @@
 use super::turn_budget::TurnBudget;
 
 /// Time until the next turn when more steps wait, in nanoseconds.
-const NEXT_TURN_DELAY: u64 = NANOS_PER_MS;
+const NEXT_TURN_DELAY_NS: u64 = NANOS_PER_MS;
 
 impl Leader {
     /// Starts the tasks for which there is capacity, in all services in which something changed. Once the turn's
@@ -25,10 +25,10 @@
         if self.fenced {
             return;
         }
-        let mut budget = self.admission_budget.at(self.now);
+        let mut budget = self.admission_budget.for_turn(self.now);
         let (first, count) = (self.next_service, self.services.len());
         for position in (0..count).map(|turn| (first + turn) % count) {
-            if !self.services[position].due {
+            if !self.services[position].needs_admission {
                 continue;
             }
             self.next_service = position;
@@ -38,8 +38,8 @@
             self.admit_within(state, position, &mut budget);
         }
         self.admission_budget = budget;
-        if self.services.iter().any(|service| service.due) {
-            self.timers.set_no_later(self.now + NEXT_TURN_DELAY, Timer::Admit);
+        if self.services.iter().any(|service| service.needs_admission) {
+            self.timers.set_no_later(self.now + NEXT_TURN_DELAY_NS, Timer::Admit);
         }
     }
 
@@ -49,7 +49,7 @@
         let examined_before = self.services[position].fleet.examined();
         self.services[position].prepare_pass(self.now);
         self.start_urgent(state, position);
-        self.serve_reservation(state, position);
+        self.update_reservation(state, position);
         if !self.pauses_for_gang(state, position) {
             let examined_limit = examined_before + budget.workers();
             self.start_waiting(state, position, examined_limit, budget);
@@ -72,13 +72,13 @@
         while !budget.is_spent() {
             let Self { services, attempts, failed_on, settings, now, work, .. } = self;
             let context = PlacementContext::new(state, attempts, failed_on, settings, *now);
-            let next = services[position].next(examined_limit, |fleet, candidate| {
+            let next = services[position].next_step(examined_limit, |fleet, candidate| {
                 work.steps_examined += 1;
                 choose(&context, fleet, candidate)
             });
             match next {
                 NextStep::Step(released, choice) => {
-                    budget.spend_starts(choice.starts());
+                    budget.spend_starts(choice.start_count());
                     self.start_released(state, position, &released, choice);
                 }
                 NextStep::None => {
@@ -88,7 +88,7 @@
                 NextStep::LimitReached => break,
             }
         }
-        self.services[position].due = true;
+        self.services[position].needs_admission = true;
     }
 
     fn start_released(
@@ -105,14 +105,14 @@
                     self.services[position].ready(step).and_then(|ready| ready.tasks.first().copied());
                 let Some(index) = first else { return self.services[position].remove_step(step) };
                 self.propose_task(state, step.task(index), worker);
-                self.services[position].entry_started(released, &[index], self.now);
+                self.services[position].released_step_started(released, &[index], self.now);
             }
             Choice::Gang(workers) => {
                 self.propose_gang(state, step, &workers);
                 self.services[position].remove_step(step);
             }
-            Choice::NoCapacity | Choice::Later(_) => self.services[position].entry_returned(released),
-            Choice::Gone => self.services[position].remove_step(step),
+            Choice::NoCapacity | Choice::RetryAt(_) => self.services[position].return_released_step(released),
+            Choice::NotWaiting => self.services[position].remove_step(step),
         }
     }
 
--- a/crates/scheduler/src/leader/attempt_examination.rs
+++ b/crates/scheduler/src/leader/attempt_examination.rs
@@ -14,24 +14,24 @@
 use super::worker_entry::WorkerEntry;
 
 /// Time between two examinations, in nanoseconds.
-const EXAMINATION_INTERVAL: u64 = 200 * NANOS_PER_MS;
+const EXAMINATION_INTERVAL_NS: u64 = 200 * NANOS_PER_MS;
 /// Factor by which a run may exceed its prediction and still be left on a worker that is draining.
-const PREDICTION_SLACK: f64 = 1.25;
+const REMAINING_TIME_FACTOR: f64 = 1.25;
 /// Time that a stop and its end take beside `stop_ms`, in milliseconds.
-const EVACUATION_MS: u64 = 300;
+const EVACUATION_OVERHEAD_MS: u64 = 300;
 /// Least time without progress after which an attempt is stalled, in milliseconds.
-const STALL_MS: u64 = 3_000;
+const MIN_STALL_MS: u64 = 3_000;
 /// The same as a share of the client's estimate.
 const STALL_ESTIMATE_RATIO: f64 = 0.5;
 /// Least time without progress after which the lists of a worker that responds show a stall, in milliseconds:
 /// about two lists after the last that showed progress.
-const QUICK_STALL_MS: u64 = 700;
+const MIN_QUICK_STALL_MS: u64 = 700;
 /// The same as a share of the client's estimate: even slow workers advance by one percent in that time.
 const QUICK_STALL_ESTIMATE_RATIO: f64 = 0.2;
 /// A speculative copy of a task that allows one is started when its run takes so many times the client's estimate,
-const LATE_FACTOR: u64 = 2;
+const SPECULATION_FACTOR: u64 = 2;
 /// and at least so much longer, in milliseconds.
-const LATE_MS: u64 = 1_000;
+const MIN_SPECULATION_EXCESS_MS: u64 = 1_000;
 
 /// What is to be done about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,15 +41,15 @@
     /// Not all members of its gang have started in time.
     RestartGang,
     /// It is stalled.
-    Move,
+    Relocate,
     /// It is late, or its worker does not respond, and speculative copies are allowed.
-    Copy,
+    StartCopy,
 }
 
 impl Leader {
     /// Sets the timer of the next examination.
     pub(super) fn arm_attempt_examination(&mut self) {
-        self.timers.set_no_later(self.now + EXAMINATION_INTERVAL, Timer::ExamineAttempts);
+        self.timers.set_no_later(self.now + EXAMINATION_INTERVAL_NS, Timer::ExamineAttempts);
     }
 
     /// Examines all attempts that occupy a worker, and remedies what is wrong with them.
@@ -67,8 +67,8 @@
         for (key, remedy) in remedies {
             match remedy {
                 Remedy::Evacuate | Remedy::RestartGang => self.stop_attempt(key),
-                Remedy::Move => self.move_stalled(state, key),
-                Remedy::Copy => self.start_copy(state, key),
+                Remedy::Relocate => self.relocate_stalled(state, key),
+                Remedy::StartCopy => self.start_copy(state, key),
             }
         }
     }
@@ -93,9 +93,9 @@
         }
         let copies = self.uses(Mechanism::SpeculativeCopies) && attempt.speculative && !attempt.gang;
         let may_copy = copies && self.is_only_attempt(key.task);
-        let answers = |entry: &WorkerEntry| entry.reachable && !entry.suspect;
-        if may_copy && !self.workers.get(&attempt.worker).is_some_and(answers) {
-            return Some(Remedy::Copy);
+        let responds = |entry: &WorkerEntry| entry.reachable && !entry.suspect;
+        if may_copy && !self.workers.get(&attempt.worker).is_some_and(responds) {
+            return Some(Remedy::StartCopy);
         }
         if self.is_gang_overdue(key, attempt) {
             return Some(Remedy::RestartGang);
@@ -105,15 +105,16 @@
             return None;
         }
         if self.uses(Mechanism::StallRelocation) && self.is_stalled(attempt) {
-            return Some(Remedy::Move);
+            return Some(Remedy::Relocate);
         }
         if !may_copy {
             return None;
         }
         let elapsed_ms = self.now.saturating_sub(started_at) / NANOS_PER_MS;
-        let late = elapsed_ms > (attempt.estimate_ms * LATE_FACTOR).max(attempt.estimate_ms + LATE_MS);
+        let late = elapsed_ms
+            > (attempt.estimate_ms * SPECULATION_FACTOR).max(attempt.estimate_ms + MIN_SPECULATION_EXCESS_MS);
         let still_useful = attempt.remaining_ms(self.now) > attempt.estimate_ms / 2 || attempt.percent == 0;
-        (late && still_useful).then_some(Remedy::Copy)
+        (late && still_useful).then_some(Remedy::StartCopy)
     }
 
     /// Whether the attempt would not end before its draining worker does.
@@ -125,8 +126,8 @@
         if attempt.long_running {
             return true;
         }
-        let attempt_remaining_ms = attempt.remaining_ms(self.now) as f64 * PREDICTION_SLACK;
-        attempt_remaining_ms as u64 + EVACUATION_MS > worker_remaining_ms
+        let attempt_remaining_ms = attempt.remaining_ms(self.now) as f64 * REMAINING_TIME_FACTOR;
+        attempt_remaining_ms as u64 + EVACUATION_OVERHEAD_MS > worker_remaining_ms
     }
 
     /// Whether the attempt has made no progress for long, though its worker responds and others report progress.
@@ -134,21 +135,21 @@
         let Some(entry) = self.workers.get(&attempt.worker).filter(|entry| entry.reachable) else {
             return false;
         };
-        if !self.services[attempt.service].saw_progress {
+        if !self.services[attempt.service].progress_reported {
             return false;
         }
         let stalled_ms = |until: u64| until.saturating_sub(attempt.progress_at) / NANOS_PER_MS;
         if !attempt.gang && self.uses(Mechanism::QuickStallDetection) {
             let estimate_part_ms = (attempt.estimate_ms as f64 * QUICK_STALL_ESTIMATE_RATIO) as u64;
-            return stalled_ms(entry.session.last_lists_at()) > estimate_part_ms.max(QUICK_STALL_MS);
+            return stalled_ms(entry.session.last_lists_at()) > estimate_part_ms.max(MIN_QUICK_STALL_MS);
         }
         let estimate_part_ms = (attempt.estimate_ms as f64 * STALL_ESTIMATE_RATIO) as u64;
-        let gang_ms = if attempt.gang { self.settings.gang_ms + STALL_MS } else { 0 };
-        stalled_ms(self.now) > STALL_MS.max(estimate_part_ms) + gang_ms
+        let gang_ms = if attempt.gang { self.settings.gang_ms + MIN_STALL_MS } else { 0 };
+        stalled_ms(self.now) > MIN_STALL_MS.max(estimate_part_ms) + gang_ms
     }
 
     /// Stops a stalled attempt, so that it is started elsewhere, or starts a copy first.
-    fn move_stalled(&mut self, state: &State, key: AttemptKey) {
+    fn relocate_stalled(&mut self, state: &State, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let (worker, placed_at) = (attempt.worker, attempt.placed_at);
         let copies = self.uses(Mechanism::SpeculativeCopies) && attempt.speculative && !attempt.gang;
--- a/crates/scheduler/src/leader/attempt_outcomes.rs
+++ b/crates/scheduler/src/leader/attempt_outcomes.rs
@@ -33,7 +33,7 @@
     fn record_success(&mut self, worker: WorkerKey, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let Some(started_at) = attempt.started_at else { return };
-        if attempt.gang || attempt.long_running || !attempt.fresh || attempt.estimate_ms == 0 {
+        if attempt.gang || attempt.long_running || !attempt.runs_from_start || attempt.estimate_ms == 0 {
             return;
         }
         let elapsed_ms = (self.now.saturating_sub(started_at) / NANOS_PER_MS).max(1);
--- a/crates/scheduler/src/leader/attempt_progress.rs
+++ b/crates/scheduler/src/leader/attempt_progress.rs
@@ -10,17 +10,17 @@
 use super::event_loop::Leader;
 
 /// How long a worker gets no starts after it rejected one, in nanoseconds.
-const REJECTED_START_BACKOFF: u64 = 300 * NANOS_PER_MS;
+const REJECTED_START_BACKOFF_NS: u64 = 300 * NANOS_PER_MS;
 
 impl Leader {
     pub(super) fn attempt_started(&mut self, key: AttemptKey) {
         let now = self.now;
         if let Some(delay) = self.attempts.confirm_start(&key, now) {
-            self.start_pace.confirmed(now, delay);
+            self.start_pace.record_confirmation(now, delay);
         }
         if let Some(attempt) = self.attempts.get_mut(&key) {
             attempt.progress_at = now;
-            if attempt.fresh {
+            if attempt.runs_from_start {
                 attempt.baseline.get_or_insert(Baseline { percent: 0, at: now });
             }
         }
@@ -43,21 +43,21 @@
         }
         if !checkpoint.is_empty() && checkpoint != attempt.checkpoint {
             attempt.checkpoint = checkpoint;
-            attempt.saved_at = Some(now);
+            attempt.checkpointed_at = Some(now);
         }
         let Some(entry) = self.workers.get(&worker) else { return };
         if percent > 0 {
-            self.services[entry.service].saw_progress = true;
+            self.services[entry.service].progress_reported = true;
         }
     }
 
     pub(super) fn attempt_ended(&mut self, worker: WorkerKey, end: WorkerEnd) {
         self.record_end(worker, &end);
         let Some(entry) = self.workers.get_mut(&worker) else { return };
-        if entry.ends.is_empty() {
+        if entry.pending_ends.is_empty() {
             self.workers_with_ends.push(worker);
         }
-        entry.ends.push(end);
+        entry.pending_ends.push(end);
     }
 
     pub(super) fn attempt_resolved(
@@ -71,7 +71,7 @@
         let Some(entry) = self.workers.get_mut(&worker) else { return };
         let instance = entry.instance.to_string();
         if matches!(resolution, Resolution::REJECTED_NO_CAPACITY | Resolution::REJECTED) {
-            entry.backoff_until = now + REJECTED_START_BACKOFF;
+            entry.backoff_until = now + REJECTED_START_BACKOFF_NS;
             self.reconsider_worker(worker);
         }
         let task = Some(key.task.into());
@@ -85,7 +85,7 @@
             if !std::mem::replace(&mut entry.incarnation_logged, true) {
                 self.batch.incarnation(entry.incarnation());
             }
-            let ends = std::mem::take(&mut entry.ends);
+            let ends = std::mem::take(&mut entry.pending_ends);
             self.batch.ends(RecordEnds { instance: entry.instance.to_string(), ends });
         }
     }
--- a/crates/scheduler/src/leader/attempts.rs
+++ b/crates/scheduler/src/leader/attempts.rs
@@ -24,7 +24,7 @@
     /// until the orders leave.
     pub(super) gang_deadline: Option<u64>,
     /// Whether it goes on from a checkpoint, so that its progress does not start at zero.
-    pub(super) resumes: bool,
+    pub(super) resumes_from_checkpoint: bool,
     pub(super) long_running: bool,
     pub(super) speculative: bool,
     pub(super) checkpoints: bool,
@@ -37,7 +37,7 @@
     /// When it was first known to run.
     pub(super) started_at: Option<u64>,
     /// Whether it was started in this term and from the beginning, so that its whole run is measured.
-    pub(super) fresh: bool,
+    pub(super) runs_from_start: bool,
     /// The progress that was reported first.
     pub(super) baseline: Option<Baseline>,
     /// Share of its work that is done, in percent.
@@ -46,7 +46,7 @@
     pub(super) progress_at: u64,
     /// The last checkpoint, and when it was seen.
     pub(super) checkpoint: String,
-    pub(super) saved_at: Option<u64>,
+    pub(super) checkpointed_at: Option<u64>,
     /// Whether a stop was asked for.
     pub(super) stopping: bool,
 }
@@ -68,7 +68,7 @@
 
     /// Whether it has got further since it started, which members of a gang do only together.
     pub(super) fn has_progressed(&self) -> bool {
-        let initial_percent = match self.resumes {
+        let initial_percent = match self.resumes_from_checkpoint {
             true => self.baseline.map_or(u32::MAX, |first| first.percent),
             false => 0,
         };
@@ -76,7 +76,7 @@
     }
 
     /// Core-seconds that a stop now would lose: work since the last checkpoint, and the restart.
-    pub(super) fn unsaved_core_s(&self, now: u64) -> f64 {
+    pub(super) fn stop_cost_core_s(&self, now: u64) -> f64 {
         let Some(started_at) = self.started_at else { return 0.0 };
         if self.long_running {
             return 0.0;
@@ -85,7 +85,7 @@
             // A stop saves; what is lost is the restart.
             return self.need.cpu as f64 / 1_000.0 * RESTART_COST_S;
         }
-        let since = self.saved_at.unwrap_or(started_at);
+        let since = self.checkpointed_at.unwrap_or(started_at);
         let seconds = now.saturating_sub(since) as f64 / 1e9;
         self.need.cpu as f64 / 1_000.0 * (seconds + RESTART_COST_S)
     }
@@ -94,7 +94,9 @@
     pub(super) fn remaining_ms(&self, now: u64) -> u64 {
         let Some(started_at) = self.started_at else { return self.estimate_ms };
         let elapsed_ms = now.saturating_sub(started_at) / NANOS_PER_MS;
-        if let Some(first) = self.baseline.filter(|first| self.percent >= first.percent + MIN_PERCENT) {
+        if let Some(first) =
+            self.baseline.filter(|first| self.percent >= first.percent + MIN_MEASURED_PERCENT)
+        {
             let measured_ms = self.progress_at.saturating_sub(first.at) / NANOS_PER_MS;
             let left = u64::from(100u32.saturating_sub(self.percent));
             let since_ms = now.saturating_sub(self.progress_at) / NANOS_PER_MS;
@@ -108,7 +110,7 @@
 /// What a stop and a start elsewhere cost at least, in seconds of the task's resources.
 const RESTART_COST_S: f64 = 0.3;
 /// Progress, in percent, from which on its pace is an estimate of the rest.
-const MIN_PERCENT: u32 = 5;
+const MIN_MEASURED_PERCENT: u32 = 5;
 
 /// All attempts that occupy a worker, in order of their tasks.
 #[derive(Debug, Default)]
@@ -167,7 +169,7 @@
     }
 
     /// The attempts from one key on.
-    pub(super) fn from(&self, first: AttemptKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
+    pub(super) fn starting_at(&self, first: AttemptKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.by_key.range(first..)
     }
 
@@ -179,7 +181,7 @@
     /// Whether no attempt of the job's tasks occupies a worker.
     pub(super) fn is_job_idle(&self, job: u64) -> bool {
         let task = TaskKey { job, time: 0, step: 0, index: 0 };
-        let next = self.from(AttemptKey { task, attempt: 0 }).next();
+        let next = self.starting_at(AttemptKey { task, attempt: 0 }).next();
         next.is_none_or(|(key, _)| key.task.job != job)
     }
 
@@ -191,12 +193,12 @@
     }
 
     /// The attempts of one run of a gang: those of its step with the same number.
-    pub(super) fn of_run(&self, key: AttemptKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
+    pub(super) fn of_gang_run(&self, key: AttemptKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.of_step(key.task.step_key()).filter(move |(member, _)| member.attempt == key.attempt)
     }
 
     /// Whether no attempt of the task occupies a worker.
-    pub(super) fn is_idle(&self, task: TaskKey) -> bool {
+    pub(super) fn is_task_idle(&self, task: TaskKey) -> bool {
         self.of_task(task).next().is_none()
     }
 }
--- a/crates/scheduler/src/leader/client_requests.rs
+++ b/crates/scheduler/src/leader/client_requests.rs
@@ -55,22 +55,24 @@
         let Some((route, rest)) = configuration.route(&request.host, &request.path) else {
             return Some(reply(Outcome::NO_ROUTE));
         };
-        let named = job_id::parse(rest).ok();
+        let path_id = job_id::parse(rest).ok();
         match request.call {
             OneOfcall::count(_) if rest.is_empty() => {
                 let pending = state.pending_jobs(&prefix_key(route));
                 Some(ClientReply { pending, ..reply(Outcome::COUNT) })
             }
             OneOfcall::count(_) => Some(reply(Outcome::NO_ROUTE)),
-            OneOfcall::submit(submit) if named == Some(submit.id) => self.submit(state, token, route, submit),
+            OneOfcall::submit(submit) if path_id == Some(submit.id) => {
+                self.submit(state, token, route, submit)
+            }
             OneOfcall::submit(_) => {
                 Some(invalid("the path must end in the job's ID: 16 hex digits in lower case"))
             }
-            OneOfcall::read(read) if named == Some(read.id) => {
-                let job = state.job(read.id).filter(|job| is_of_route(job, route));
+            OneOfcall::read(read) if path_id == Some(read.id) => {
+                let job = state.job(read.id).filter(|job| belongs_to_route(job, route));
                 Some(job.map_or_else(|| reply(Outcome::NO_SUCH_JOB), state_reply))
             }
-            OneOfcall::cancel(cancel) if named == Some(cancel.id) => {
+            OneOfcall::cancel(cancel) if path_id == Some(cancel.id) => {
                 self.cancel(state, token, route, cancel.id)
             }
             OneOfcall::read(_) | OneOfcall::cancel(_) => Some(reply(Outcome::NO_SUCH_JOB)),
@@ -87,7 +89,7 @@
     ) -> Option<ClientReply> {
         let id = request.id;
         if let Some(job) = state.job(id) {
-            let known = is_of_route(job, route);
+            let known = belongs_to_route(job, route);
             return Some(if known {
                 reply(Outcome::ACCEPTED)
             } else {
@@ -105,7 +107,7 @@
             return Some(ClientReply { retry_after_ms: RETRY_OVERLOADED_MS, ..reply(Outcome::OVERLOADED) });
         }
         if let Some(retry_after_ms) = self.retry_after_overload_ms(route, id, &job) {
-            self.rejected_jobs.rejected(self.now, id);
+            self.rejected_jobs.record(self.now, id);
             self.work.jobs_rejected += 1;
             return Some(ClientReply { retry_after_ms, ..reply(Outcome::OVERLOADED) });
         }
@@ -129,7 +131,7 @@
 
     fn cancel(&mut self, state: &State, token: u64, route: &Route, id: u64) -> Option<ClientReply> {
         let name = JobName { id, prefix_key: prefix_key(route) };
-        let known = state.job(id).filter(|job| is_of_route(job, route));
+        let known = state.job(id).filter(|job| belongs_to_route(job, route));
         let in_flight = self.pending_clients.submits.contains_key(&name);
         match known {
             Some(job) if job.open_work().is_none() => return Some(reply(Outcome::CANCEL_DONE)),
@@ -162,7 +164,7 @@
 }
 
 /// Whether the job was submitted under the route's host and prefix.
-fn is_of_route(job: &Job, route: &Route) -> bool {
+fn belongs_to_route(job: &Job, route: &Route) -> bool {
     job.prefix_key().strip_prefix(route.host.as_str()) == Some(route.path_prefix.as_str())
 }
 
--- a/crates/scheduler/src/leader/clock.rs
+++ b/crates/scheduler/src/leader/clock.rs
@@ -13,11 +13,11 @@
 
 /// Time of day, carried on by the steady clock from the last tick.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct DayClock {
+pub(super) struct WallClock {
     last_tick: Option<Tick>,
 }
 
-impl DayClock {
+impl WallClock {
     /// Sets the time of day as of `now`.
     pub(super) fn set(&mut self, now: u64, time_of_day_ms: u64) {
         self.last_tick = Some(Tick { at: now, time_of_day_ms });
@@ -35,7 +35,7 @@
     }
 
     /// When, by the steady clock, the time of day will be `time_of_day_ms`: never too early.
-    pub(super) fn at(&self, now: u64, time_of_day_ms: u64) -> u64 {
+    pub(super) fn steady_time_at(&self, now: u64, time_of_day_ms: u64) -> u64 {
         let wait_ms = time_of_day_ms.saturating_sub(self.time_of_day_ms(now));
         now.saturating_add(wait_ms.saturating_mul(NANOS_PER_MS))
     }
--- a/crates/scheduler/src/leader/committed_changes.rs
+++ b/crates/scheduler/src/leader/committed_changes.rs
@@ -152,15 +152,15 @@
         let order =
             StartOrder { key, spec: work.spec().clone(), checkpoint: work.checkpoint(key.task).to_owned() };
         if let Some(attempt) = self.attempts.get_mut(&key) {
-            attempt.fresh = order.checkpoint.is_empty();
+            attempt.runs_from_start = order.checkpoint.is_empty();
         }
         let Some(entry) = self.workers.get_mut(&worker) else { return };
-        let drains = entry.listing.as_ref().is_some_and(|listing| listing.draining);
+        let is_draining = entry.listing.as_ref().is_some_and(|listing| listing.draining);
         match is_gang {
             true => entry.session.hold_start(order),
             false => entry.session.start(order),
         }
-        if drains {
+        if is_draining {
             entry.session.withdraw_starts();
         }
         if is_gang {
@@ -187,7 +187,7 @@
         let placed_ms = self.now.saturating_sub(attempt.placed_at) / NANOS_PER_MS;
         let percent = attempt.percent;
         let mut gang = GangProgress { placed_ms, percent, members: 0, started: 0, stopping: 0 };
-        for (_, member) in self.attempts.of_run(key) {
+        for (_, member) in self.attempts.of_gang_run(key) {
             gang.members += 1;
             gang.started += u32::from(member.started_at.is_some());
             gang.stopping += u32::from(member.stopping);
--- a/crates/scheduler/src/leader/due_times.rs
+++ b/crates/scheduler/src/leader/due_times.rs
@@ -10,7 +10,7 @@
 use super::timers::Timer;
 
 /// The longest wait on one timer, in nanoseconds: the time of day may step.
-const RECHECK_INTERVAL: u64 = NANOS_PER_S;
+const RECHECK_INTERVAL_NS: u64 = NANOS_PER_S;
 
 impl Leader {
     /// Schedules the first open time of a job.
@@ -34,12 +34,12 @@
         if !self.clock.is_known() {
             return;
         }
-        let at = self.clock.at(self.now, due_ms).min(self.now + RECHECK_INTERVAL);
+        let at = self.clock.steady_time_at(self.now, due_ms).min(self.now + RECHECK_INTERVAL_NS);
         self.timers.set_no_later(at, Timer::Schedule);
     }
 
     /// Queues the steps of all times that are due.
-    pub(super) fn start_due_times(&mut self, state: &State) {
+    pub(super) fn enqueue_due_times(&mut self, state: &State) {
         if !self.clock.is_known() {
             return;
         }
--- a/crates/scheduler/src/leader/event_loop.rs
+++ b/crates/scheduler/src/leader/event_loop.rs
@@ -12,7 +12,7 @@
 
 use super::attempts::{Attempts, FailedOn};
 use super::batch::Batch;
-use super::clock::DayClock;
+use super::clock::WallClock;
 use super::held_gangs::HeldGangs;
 use super::history::AttemptHistory;
 use super::interface::{Input, Output};
@@ -35,9 +35,9 @@
 use super::worker_events::{WorkerEvent, WorkerEvents};
 
 /// Least time between two proposals of the time of day to the state, in nanoseconds.
-const CLOCK_INTERVAL: u64 = 500 * NANOS_PER_MS;
+const CLOCK_PROPOSAL_INTERVAL_NS: u64 = 500 * NANOS_PER_MS;
 /// Time between two such proposals while nothing else is proposed, in nanoseconds.
-const IDLE_CLOCK_INTERVAL: u64 = 20_000 * NANOS_PER_MS;
+const IDLE_CLOCK_PROPOSAL_INTERVAL_NS: u64 = 20_000 * NANOS_PER_MS;
 
 /// The leader of one term.
 ///
@@ -49,10 +49,10 @@
     /// The time of the event that is being handled.
     pub(super) now: u64,
     /// When the term's leader started here.
-    pub(super) since: u64,
+    pub(super) term_started_at: u64,
     /// Until when this process surely leads.
     pub(super) lease_until: u64,
-    pub(super) clock: DayClock,
+    pub(super) clock: WallClock,
     /// The configuration in force, once there is one.
     pub(super) configuration: Option<Arc<OperatorConfiguration>>,
     /// Commands of the next proposal.
@@ -115,9 +115,9 @@
             term,
             settings,
             now,
-            since: now,
+            term_started_at: now,
             lease_until: 0,
-            clock: DayClock::default(),
+            clock: WallClock::default(),
             configuration: None,
             batch: Batch::default(),
             clock_proposed_at: 0,
@@ -192,12 +192,12 @@
             }
             Input::ReadConfiguration { token } => self.read_configuration(state, token, out),
             Input::Instances { instances, as_of, has_changed, is_last } => {
-                self.page_listed(&instances, as_of, has_changed);
+                self.list_page_received(&instances, as_of, has_changed);
                 if is_last {
                     self.list_completed();
                 }
             }
-            Input::InstancesFailed => self.instances_failed(),
+            Input::InstancesFailed => self.list_read_failed(),
             Input::CallFinished { call, outcome } => self.call_finished(call, outcome),
             Input::BatchApplied { changes, .. } => self.changes_committed(state, &changes, out),
             Input::ProposalDropped => {}
@@ -255,7 +255,8 @@
             return;
         }
         let since = self.now.saturating_sub(self.clock_proposed_at);
-        let interval = if self.batch.is_empty() { IDLE_CLOCK_INTERVAL } else { CLOCK_INTERVAL };
+        let interval =
+            if self.batch.is_empty() { IDLE_CLOCK_PROPOSAL_INTERVAL_NS } else { CLOCK_PROPOSAL_INTERVAL_NS };
         if self.clock_proposed_at == 0 || since >= interval {
             self.clock_proposed_at = self.now.max(1);
             self.batch.clock(self.clock.time_of_day_ms(self.now));
@@ -270,11 +271,11 @@
                 Timer::ReadInstances => self.request_instances(out),
                 Timer::ExpireListings => self.expire_listings(),
                 Timer::ExamineAttempts => self.examine_attempts(state),
-                Timer::Schedule => self.start_due_times(state),
+                Timer::Schedule => self.enqueue_due_times(state),
                 Timer::ReleaseGangs => self.release_gangs(),
                 // Sessions are polled at the end of each turn.
                 Timer::PollWorkers => {}
-                Timer::Admit => self.services.iter_mut().for_each(|service| service.due = true),
+                Timer::Admit => self.services.iter_mut().for_each(|service| service.needs_admission = true),
             }
         }
     }
--- a/crates/scheduler/src/leader/gang_pause.rs
+++ b/crates/scheduler/src/leader/gang_pause.rs
@@ -12,11 +12,11 @@
 use super::timers::Timer;
 
 /// How long a gang waits without capacity before other starts pause for it, in nanoseconds.
-const GANG_WAIT: u64 = 1_000 * NANOS_PER_MS;
+const GANG_WAIT_NS: u64 = 1_000 * NANOS_PER_MS;
 /// Other starts pause for this long for a gang that waits, in nanoseconds.
-const GANG_PAUSE: u64 = 1_500 * NANOS_PER_MS;
+const GANG_PAUSE_NS: u64 = 1_500 * NANOS_PER_MS;
 /// Least time between the beginnings of two such pauses, in nanoseconds.
-const GANG_PAUSE_INTERVAL: u64 = 6_000 * NANOS_PER_MS;
+const GANG_PAUSE_INTERVAL_NS: u64 = 6_000 * NANOS_PER_MS;
 
 impl Leader {
     /// Whether other starts of the service are to pause for a gang. A gang that fits by now is started instead.
@@ -24,7 +24,7 @@
         if !self.uses(Mechanism::GangAdmissionPauses) {
             return false;
         }
-        let Some(since) = self.now.checked_sub(GANG_WAIT) else { return false };
+        let Some(since) = self.now.checked_sub(GANG_WAIT_NS) else { return false };
         let Some(step) = self.services[position].waiting_head(since, StepKind::Gang) else { return false };
         let stage = state.open_stage(step);
         let Some(stage) = stage else { return false };
@@ -38,18 +38,18 @@
             return false;
         }
         let demand = Demand { rack_local: false, ..demand_of(step, stage, &[]) };
-        if self.now < service.gang_pause_began + GANG_PAUSE_INTERVAL
-            && self.now >= service.gang_pause_began + GANG_PAUSE
+        if self.now < service.gang_pause_started_at + GANG_PAUSE_INTERVAL_NS
+            && self.now >= service.gang_pause_started_at + GANG_PAUSE_NS
         {
             return false;
         }
-        if self.now >= service.gang_pause_began + GANG_PAUSE_INTERVAL {
+        if self.now >= service.gang_pause_started_at + GANG_PAUSE_INTERVAL_NS {
             if !service.fleet.could_ever_fit_gang(&demand, stage.count as usize) {
                 return false;
             }
-            service.gang_pause_began = self.now;
+            service.gang_pause_started_at = self.now;
         }
-        let until = service.gang_pause_began + GANG_PAUSE;
+        let until = service.gang_pause_started_at + GANG_PAUSE_NS;
         self.timers.set_no_later(until, Timer::Admit);
         true
     }
--- a/crates/scheduler/src/leader/gang_starts.rs
+++ b/crates/scheduler/src/leader/gang_starts.rs
@@ -17,16 +17,16 @@
 use super::timers::Timer;
 
 /// How long orders are held until all members can start, in nanoseconds. Afterwards the gang is placed anew.
-const LONGEST_HOLD: u64 = 500 * NANOS_PER_MS;
+const MAX_HOLD_NS: u64 = 500 * NANOS_PER_MS;
 /// Time between two checks of whether all members can start, in nanoseconds.
-const CHECK_INTERVAL: u64 = 5 * NANOS_PER_MS;
+const CHECK_INTERVAL_NS: u64 = 5 * NANOS_PER_MS;
 /// A gang is given up once this part of `gang_ms` has passed since its orders left: the rest is left for its stops.
-const GIVE_UP_DIVISOR: u64 = 2;
+const GANG_DEADLINE_DIVISOR: u64 = 2;
 /// The same for a gang of an earlier leader, since the takeover: its members may have waited as long as that leader
 /// permitted, and through the election.
-const ADOPTED_GIVE_UP_DIVISOR: u64 = 5;
+const ADOPTED_GANG_DEADLINE_DIVISOR: u64 = 5;
 /// After this time the lists of a worker show the progress of a member that is at work, in nanoseconds.
-const PROGRESS_DELAY: u64 = 500 * NANOS_PER_MS;
+const PROGRESS_REPORT_DELAY_NS: u64 = 500 * NANOS_PER_MS;
 
 /// Whether the orders of a gang may leave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,19 +50,21 @@
         for gang in self.held_gangs.take() {
             match self.readiness(&gang) {
                 Readiness::Ready => self.release_gang(&gang),
-                Readiness::NotYet if self.now < gang.since + LONGEST_HOLD => self.held_gangs.put_back(gang),
+                Readiness::NotYet if self.now < gang.held_since + MAX_HOLD_NS => {
+                    self.held_gangs.put_back(gang)
+                }
                 Readiness::NotYet | Readiness::Incomplete => self.withdraw_gang(&gang),
             }
         }
         if !self.held_gangs.is_empty() {
-            self.timers.set_no_later(self.now + CHECK_INTERVAL, Timer::ReleaseGangs);
+            self.timers.set_no_later(self.now + CHECK_INTERVAL_NS, Timer::ReleaseGangs);
         }
     }
 
     fn readiness(&self, gang: &HeldGang) -> Readiness {
         let mut starts_on: BTreeMap<WorkerKey, usize> = BTreeMap::new();
         for key in &gang.members {
-            let Some(worker) = self.worker_that_holds(*key) else { return Readiness::Incomplete };
+            let Some(worker) = self.worker_holding_start(*key) else { return Readiness::Incomplete };
             *starts_on.entry(worker).or_default() += 1;
         }
         let can_start = |(worker, starts): (WorkerKey, usize)| {
@@ -75,14 +77,14 @@
     }
 
     /// The worker whose session holds the order of a member that is to run.
-    fn worker_that_holds(&self, key: AttemptKey) -> Option<WorkerKey> {
+    fn worker_holding_start(&self, key: AttemptKey) -> Option<WorkerKey> {
         let attempt = self.attempts.get(&key).filter(|attempt| !attempt.stopping)?;
         let entry = self.workers.get(&attempt.worker)?;
         entry.session.holds_start(key).then_some(attempt.worker)
     }
 
     fn release_gang(&mut self, gang: &HeldGang) {
-        let deadline = self.now + self.settings.gang_ms * NANOS_PER_MS / GIVE_UP_DIVISOR;
+        let deadline = self.now + self.settings.gang_ms * NANOS_PER_MS / GANG_DEADLINE_DIVISOR;
         // Each one goes to the front of its worker's queue: the first member last.
         for key in gang.members.iter().rev() {
             let Some(attempt) = self.attempts.get_mut(key) else { continue };
@@ -104,7 +106,7 @@
 
     /// Limits how long an attempt of an earlier leader may wait for the others of its gang.
     pub(super) fn limit_adopted_gang(&mut self, key: AttemptKey) {
-        let deadline = self.now + self.settings.gang_ms * NANOS_PER_MS / ADOPTED_GIVE_UP_DIVISOR;
+        let deadline = self.now + self.settings.gang_ms * NANOS_PER_MS / ADOPTED_GANG_DEADLINE_DIVISOR;
         if let Some(attempt) = self.attempts.get_mut(&key).filter(|attempt| attempt.gang) {
             attempt.gang_deadline = Some(deadline);
         }
@@ -115,21 +117,21 @@
         if attempt.gang_deadline.is_none_or(|deadline| self.now < deadline) || attempt.has_progressed() {
             return false;
         }
-        let (mut lacks_members, mut may_wait) = (false, false);
-        for (_, member) in self.attempts.of_run(key) {
+        let (mut has_unstarted_members, mut may_wait) = (false, false);
+        for (_, member) in self.attempts.of_gang_run(key) {
             if member.has_progressed() {
                 return false;
             }
-            lacks_members |= member.started_at.is_none();
-            may_wait |= self.may_wait_for_others(member);
+            has_unstarted_members |= member.started_at.is_none();
+            may_wait |= self.may_wait_for_members(member);
         }
-        lacks_members && may_wait
+        has_unstarted_members && may_wait
     }
 
     /// Whether a member without progress may be waiting for others. One of an earlier leader may be at work though
     /// nothing was heard of it yet: it has to be listed for a while without progress.
-    fn may_wait_for_others(&self, member: &Attempt) -> bool {
-        let shows_no_progress = |since: u64| self.now >= since + PROGRESS_DELAY;
+    fn may_wait_for_members(&self, member: &Attempt) -> bool {
+        let shows_no_progress = |since: u64| self.now >= since + PROGRESS_REPORT_DELAY_NS;
         !member.adopted || member.started_at.is_some_and(shows_no_progress)
     }
 }
--- a/crates/scheduler/src/leader/history.rs
+++ b/crates/scheduler/src/leader/history.rs
@@ -7,7 +7,7 @@
 use crate::state::AttemptOutcome;
 
 /// Finished attempts that are kept: some tens of kilobytes.
-const MAX_FINISHED: usize = 1_024;
+const MAX_FINISHED_ATTEMPTS: usize = 1_024;
 
 /// A finished attempt. Times are nanoseconds of the steady clock.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
 impl AttemptHistory {
     /// Adds an attempt, in place of the oldest if there are too many.
     pub(super) fn push(&mut self, attempt: FinishedAttempt) {
-        if self.newest.len() >= MAX_FINISHED {
+        if self.newest.len() >= MAX_FINISHED_ATTEMPTS {
             self.newest.pop_front();
         }
         self.newest.push_back(attempt);
--- a/crates/scheduler/src/leader/instances.rs
+++ b/crates/scheduler/src/leader/instances.rs
@@ -12,7 +12,7 @@
 use super::worker_entry::Listing;
 
 /// How long an idle incarnation that is no longer listed is kept, in nanoseconds.
-const UNLISTED_RETENTION: u64 = 60_000 * NANOS_PER_MS;
+const UNLISTED_RETENTION_NS: u64 = 60_000 * NANOS_PER_MS;
 
 impl Leader {
     /// Asks the driver for the list, unless a read is outstanding.
@@ -33,29 +33,29 @@
     }
 
     /// The list could not be read to its end.
-    pub(super) fn instances_failed(&mut self) {
-        self.list_reads.ended(false);
+    pub(super) fn list_read_failed(&mut self) {
+        self.list_reads.read_ended(false);
         self.schedule_instance_read();
     }
 
     /// A page of the list was read. It is acted on at once: the pages that follow may take long.
-    pub(super) fn page_listed(&mut self, instances: &[Instance], as_of: u64, has_changed: bool) {
-        self.list_reads.page_came(self.now);
+    pub(super) fn list_page_received(&mut self, instances: &[Instance], as_of: u64, has_changed: bool) {
+        self.list_reads.page_received(self.now);
         let listed: Vec<WorkerKey> =
             instances.iter().map(|instance| self.instance_listed(instance, as_of, has_changed)).collect();
         self.update_placement_of_all(&listed);
-        self.watch_listings();
+        self.arm_listing_expiry();
     }
 
     /// All pages of a list were read: what none of them showed is not listed.
     pub(super) fn list_completed(&mut self) {
-        let current = self.list_reads.current();
-        let unlisted = self.workers.iter().filter(|(_, entry)| entry.listed_in != current);
+        let current = self.list_reads.current_read();
+        let unlisted = self.workers.iter().filter(|(_, entry)| entry.last_listed_read != current);
         let unlisted: Vec<WorkerKey> = unlisted.map(|(key, _)| *key).collect();
         for key in unlisted {
             self.instance_not_listed(key);
         }
-        self.list_reads.ended(true);
+        self.list_reads.read_ended(true);
         self.schedule_instance_read();
     }
 
@@ -72,7 +72,7 @@
         let starts_until = self.settings.placement_limit(as_of);
         let Some(entry) = self.workers.get_mut(&key) else { return key };
         entry.listed = true;
-        entry.listed_in = self.list_reads.current();
+        entry.last_listed_read = self.list_reads.current_read();
         entry.unlisted_since = None;
         entry.starts_until = entry.starts_until.max(starts_until);
         if !instance.draining && entry.session.extend_start_limit(start_limit) {
@@ -123,8 +123,8 @@
         let Some(entry) = self.workers.get_mut(&key) else { return };
         entry.listed = false;
         let since = *entry.unlisted_since.get_or_insert(now);
-        let idle = entry.assigned.is_empty() && entry.ends.is_empty() && entry.session.is_idle();
-        if idle && (entry.incarnation_ended || now.saturating_sub(since) >= UNLISTED_RETENTION) {
+        let idle = entry.assigned.is_empty() && entry.pending_ends.is_empty() && entry.session.is_idle();
+        if idle && (entry.incarnation_ended || now.saturating_sub(since) >= UNLISTED_RETENTION_NS) {
             self.forget_worker(key);
         } else {
             self.update_placement(key);
--- a/crates/scheduler/src/leader/lateness_notices.rs
+++ b/crates/scheduler/src/leader/lateness_notices.rs
@@ -3,10 +3,10 @@
 use super::event_loop::Leader;
 
 impl Leader {
-    /// The driver's process was absent for `span` nanoseconds up to `now`: it neither sent nor read anything. To be
+    /// The driver's process was absent for `pause_ns` nanoseconds up to `now`: it neither sent nor read anything. To be
     /// called before what arrived meanwhile is handed in.
-    pub fn record_process_pause(&mut self, now: u64, span: u64) {
-        self.lateness.record_process_pause(now, span);
+    pub fn record_process_pause(&mut self, now: u64, pause_ns: u64) {
+        self.lateness.record_process_pause(now, pause_ns);
     }
 
     /// Whether a time limit for an answer has passed that is not judged before `Input::ReadUntil` names a moment from
--- a/crates/scheduler/src/leader/list_reads.rs
+++ b/crates/scheduler/src/leader/list_reads.rs
@@ -3,11 +3,11 @@
 use crate::time::NANOS_PER_MS;
 
 /// A read of which nothing is heard for this long is asked for again, in nanoseconds.
-const READ_TIMEOUT: u64 = 4_000 * NANOS_PER_MS;
+const READ_TIMEOUT_NS: u64 = 4_000 * NANOS_PER_MS;
 /// Least time between the end of a read and the next one, in nanoseconds.
-const MIN_READ_PAUSE: u64 = 100 * NANOS_PER_MS;
+const MIN_READ_PAUSE_NS: u64 = 100 * NANOS_PER_MS;
 /// The longest backoff between two reads of the list, as a multiple of the usual interval.
-const MAX_BACKOFF: u32 = 2;
+const MAX_BACKOFF_FACTOR: u32 = 2;
 
 /// The reads of the list.
 #[derive(Debug, Default)]
@@ -19,12 +19,12 @@
     /// When the outstanding read was asked for; `None` if none is outstanding.
     requested_at: Option<u64>,
     /// When that read was asked for, or when its newest page came.
-    heard_at: u64,
+    last_activity_at: u64,
 }
 
 impl ListReads {
     /// The number of the read whose pages come now, from 1 on.
-    pub(super) fn current(&self) -> u64 {
+    pub(super) fn current_read(&self) -> u64 {
         self.completed + 1
     }
 
@@ -35,22 +35,22 @@
 
     /// When the outstanding read is given up.
     pub(super) fn times_out_at(&self) -> u64 {
-        self.heard_at + READ_TIMEOUT
+        self.last_activity_at + READ_TIMEOUT_NS
     }
 
     /// A read was asked for.
     pub(super) fn requested(&mut self, now: u64) {
         self.requested_at = Some(now);
-        self.heard_at = now;
+        self.last_activity_at = now;
     }
 
     /// A page of the outstanding read came.
-    pub(super) fn page_came(&mut self, now: u64) {
-        self.heard_at = now;
+    pub(super) fn page_received(&mut self, now: u64) {
+        self.last_activity_at = now;
     }
 
     /// The outstanding read came to its end, or failed.
-    pub(super) fn ended(&mut self, is_complete: bool) {
+    pub(super) fn read_ended(&mut self, is_complete: bool) {
         if is_complete {
             self.completed += 1;
             self.failures = 0;
@@ -62,9 +62,9 @@
     /// Ends the outstanding read, and gives when the next one is due. The interval counts from the beginning of the read
     /// that ends: a slow one delays the next as little as possible.
     pub(super) fn next_due(&mut self, now: u64, interval_ms: u64, jitter_ms: u64) -> u64 {
-        let factor = u64::from((1 << self.failures.min(8)).min(MAX_BACKOFF));
-        let began = self.requested_at.take().unwrap_or(now);
-        let due = began + (interval_ms * factor + jitter_ms) * NANOS_PER_MS;
-        due.max(now + MIN_READ_PAUSE)
+        let factor = u64::from((1 << self.failures.min(8)).min(MAX_BACKOFF_FACTOR));
+        let started_at = self.requested_at.take().unwrap_or(now);
+        let due = started_at + (interval_ms * factor + jitter_ms) * NANOS_PER_MS;
+        due.max(now + MIN_READ_PAUSE_NS)
     }
 }
--- a/crates/scheduler/src/leader/listing_age.rs
+++ b/crates/scheduler/src/leader/listing_age.rs
@@ -13,7 +13,7 @@
 
 impl Leader {
     /// Sets the timer for when the first listing is too old, if it is not set.
-    pub(super) fn watch_listings(&mut self) {
+    pub(super) fn arm_listing_expiry(&mut self) {
         let limits = self.workers.values().map(|entry| entry.starts_until);
         if let Some(at) = limits.filter(|until| *until > self.now).min() {
             self.timers.set_no_later(at, Timer::ExpireListings);
@@ -33,6 +33,6 @@
             let workers = u32::try_from(expired.len()).unwrap_or(u32::MAX);
             self.events.push(WorkerEvent::ListingsExpired { workers, overdue_ms });
         }
-        self.watch_listings();
+        self.arm_listing_expiry();
     }
 }
--- a/crates/scheduler/src/leader/occupancy.rs
+++ b/crates/scheduler/src/leader/occupancy.rs
@@ -38,7 +38,7 @@
             estimate_ms: stage.est_runtime_ms,
             gang: stage.gang,
             gang_deadline: None,
-            resumes: !work.checkpoint(key.task).is_empty(),
+            resumes_from_checkpoint: !work.checkpoint(key.task).is_empty(),
             long_running: stage.long_running,
             speculative: stage.speculative,
             checkpoints: stage.checkpoints,
@@ -46,12 +46,12 @@
             committed,
             placed_at: self.now,
             started_at: None,
-            fresh: false,
+            runs_from_start: false,
             baseline: None,
             percent: 0,
             progress_at: self.now,
             checkpoint: String::new(),
-            saved_at: None,
+            checkpointed_at: None,
             stopping: false,
         };
         self.attempts.insert(key, attempt);
--- a/crates/scheduler/src/leader/outlier_detector.rs
+++ b/crates/scheduler/src/leader/outlier_detector.rs
@@ -6,17 +6,17 @@
 use crate::time::NANOS_PER_S;
 
 /// Weight of the newest end in moving averages.
-const NEWEST_WEIGHT: f64 = 0.2;
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.2;
 /// Failures in a row, without a success, that eject a worker.
 const MIN_CONSECUTIVE_FAILURES: u32 = 3;
 /// Different jobs among them at least.
 const MIN_FAILED_JOBS: usize = 2;
 /// The first ejection time, in nanoseconds; doubles with each ejection.
-const BASE_EJECTION_TIME: u64 = 3 * NANOS_PER_S;
+const BASE_EJECTION_TIME_NS: u64 = 3 * NANOS_PER_S;
 /// The longest ejection time, in nanoseconds.
-const MAX_EJECTION_TIME: u64 = 48 * NANOS_PER_S;
+const MAX_EJECTION_TIME_NS: u64 = 48 * NANOS_PER_S;
 /// Least pace that is reported.
-const MIN_PACE: f64 = 0.05;
+const MIN_RELATIVE_PACE: f64 = 0.05;
 /// A worker's failure rate must be so many times that of its peers before it is ejected.
 const MIN_FAILURE_RATE_RATIO: f64 = 2.0;
 
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn add(&mut self, sample: f64) {
-        self.value += NEWEST_WEIGHT * (sample - self.value);
+        self.value += NEWEST_SAMPLE_WEIGHT * (sample - self.value);
     }
 
     pub(super) fn value(&self) -> f64 {
@@ -107,7 +107,7 @@
             return;
         }
         self.ejected_until =
-            now.saturating_add((BASE_EJECTION_TIME << self.ejections.min(8)).min(MAX_EJECTION_TIME));
+            now.saturating_add((BASE_EJECTION_TIME_NS << self.ejections.min(8)).min(MAX_EJECTION_TIME_NS));
         self.ejections += 1;
         self.ejected_at = now;
         self.on_probation = true;
@@ -138,7 +138,7 @@
         if self.pace.value() == 0.0 || peers <= 0.0 {
             return 1.0;
         }
-        (self.pace.value() / peers).clamp(MIN_PACE, 1.0)
+        (self.pace.value() / peers).clamp(MIN_RELATIVE_PACE, 1.0)
     }
 
     /// Share of ends that were no failures.
--- a/crates/scheduler/src/leader/own_lateness.rs
+++ b/crates/scheduler/src/leader/own_lateness.rs
@@ -10,26 +10,26 @@
 use crate::worker::ResponseClock;
 
 /// The longest absence that is credited in full, in nanoseconds.
-const MAX_ABSENCE_CREDIT: u64 = NANOS_PER_S;
+const MAX_PAUSE_CREDIT_NS: u64 = NANOS_PER_S;
 /// Over longer times, this share of the time may be credited as absence, in percent: a leader that is always late
 /// still finds out which workers are silent, half as fast.
-const ABSENCE_CREDIT_PERCENT: u64 = 50;
+const PAUSE_CREDIT_PERCENT: u64 = 50;
 
 /// How much absence may still be credited.
 #[derive(Debug)]
-struct AbsenceCredit {
-    left: u64,
+struct PauseCredit {
+    remaining_ns: u64,
     refilled_at: u64,
 }
 
-impl AbsenceCredit {
-    /// Takes as much of `span` as may be credited at `now`.
-    fn take(&mut self, now: u64, span: u64) -> u64 {
-        let refill = now.saturating_sub(self.refilled_at) / 100 * ABSENCE_CREDIT_PERCENT;
+impl PauseCredit {
+    /// Takes as much of `pause_ns` as may be credited at `now`.
+    fn take(&mut self, now: u64, pause_ns: u64) -> u64 {
+        let refill = now.saturating_sub(self.refilled_at) / 100 * PAUSE_CREDIT_PERCENT;
         self.refilled_at = now;
-        self.left = self.left.saturating_add(refill).min(MAX_ABSENCE_CREDIT);
-        let taken = span.min(self.left);
-        self.left -= taken;
+        self.remaining_ns = self.remaining_ns.saturating_add(refill).min(MAX_PAUSE_CREDIT_NS);
+        let taken = pause_ns.min(self.remaining_ns);
+        self.remaining_ns -= taken;
         taken
     }
 }
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(super) struct OwnLateness {
     pub(super) response_clock: ResponseClock,
-    credit: AbsenceCredit,
+    credit: PauseCredit,
     /// Workers whose sessions wait until more input is read.
     awaiting_input: BTreeSet<WorkerKey>,
 }
@@ -47,14 +47,14 @@
     pub(super) fn new(now: u64) -> Self {
         OwnLateness {
             response_clock: ResponseClock::default(),
-            credit: AbsenceCredit { left: MAX_ABSENCE_CREDIT, refilled_at: now },
+            credit: PauseCredit { remaining_ns: MAX_PAUSE_CREDIT_NS, refilled_at: now },
             awaiting_input: BTreeSet::new(),
         }
     }
 
-    /// This process was absent for `span` nanoseconds up to `now`.
-    pub(super) fn record_process_pause(&mut self, now: u64, span: u64) {
-        let credited = self.credit.take(now, span);
+    /// This process was absent for `pause_ns` nanoseconds up to `now`.
+    pub(super) fn record_process_pause(&mut self, now: u64, pause_ns: u64) {
+        let credited = self.credit.take(now, pause_ns);
         self.response_clock.add_absence(credited);
     }
 
--- a/crates/scheduler/src/leader/placement_choice.rs
+++ b/crates/scheduler/src/leader/placement_choice.rs
@@ -14,34 +14,34 @@
 use super::settings::LeaderSettings;
 
 /// The longest wait of a gang for one rack, in nanoseconds.
-const MAX_RACK_WAIT: u64 = 1_500 * NANOS_PER_MS;
+const MAX_RACK_WAIT_NS: u64 = 1_500 * NANOS_PER_MS;
 /// Longest wait of a task for capacity near its data, in nanoseconds: a job may have nothing running for 3 s at most.
-const MAX_DATA_WAIT: u64 = 2_000 * NANOS_PER_MS;
+const MAX_DATA_WAIT_NS: u64 = 2_000 * NANOS_PER_MS;
 /// How long a job waits for another worker before an ejected one is taken, in nanoseconds.
-const EJECTED_WORKER_WAIT: u64 = 1_000 * NANOS_PER_MS;
+const EJECTED_WORKER_WAIT_NS: u64 = 1_000 * NANOS_PER_MS;
 /// Time between two checks of ejected workers for a step, in nanoseconds.
-const EJECTED_WORKER_RETRY_INTERVAL: u64 = 500 * NANOS_PER_MS;
+const EJECTED_WORKER_RETRY_INTERVAL_NS: u64 = 500 * NANOS_PER_MS;
 
 /// Where the next task of a waiting step, or its gang, may start.
 pub(super) fn choose(context: &PlacementContext, fleet: &Fleet, candidate: Candidate) -> Choice {
-    let Candidate { task, since, waiting } = candidate;
+    let Candidate { task, since, waiting_tasks } = candidate;
     let PlacementContext { state, failed_on, .. } = context;
     let step = task.step_key();
     let stage = state.open_stage(step);
-    let Some(stage) = stage else { return Choice::Gone };
+    let Some(stage) = stage else { return Choice::NotWaiting };
     if stage.gang {
         return choose_gang(context, fleet, step, stage, since);
     }
     let avoid = failed_on.get(&task).map_or(&[][..], Vec::as_slice);
-    let tasks_to_pack = if context.mechanisms.uses(Mechanism::Packing) { waiting } else { 0 };
+    let tasks_to_pack = if context.mechanisms.uses(Mechanism::Packing) { waiting_tasks } else { 0 };
     let demand = Demand { tasks_to_pack, ..demand_of(step, stage, avoid) };
     if demand.affinity.is_some_and(|rack| fleet.knows_rack(rack)) {
         if let Some(worker) = fleet.place_near(&demand) {
             return Choice::Task(worker);
         }
-        let until = since + context.data_wait(stage);
+        let until = since + context.data_wait_ns(stage);
         if context.now < until && fleet.may_fit_near(&demand) {
-            return Choice::Later(until);
+            return Choice::RetryAt(until);
         }
     }
     if let Some(worker) = fleet.place(&demand) {
@@ -60,7 +60,7 @@
             return Choice::Task(worker);
         }
     }
-    Choice::Later(context.next_ejected_worker_retry(since))
+    Choice::RetryAt(context.next_ejected_worker_retry(since))
 }
 
 /// Where a gang may start: within one rack if it is to share one, after a while in several, and on ejected
@@ -73,29 +73,29 @@
     since: u64,
 ) -> Choice {
     let count = stage.count as usize;
-    let together = demand_of(step, stage, &[]);
-    if let Some(workers) = fleet.place_gang(&together, count) {
+    let same_rack = demand_of(step, stage, &[]);
+    if let Some(workers) = fleet.place_gang(&same_rack, count) {
         return Choice::Gang(workers);
     }
-    let until = since + context.rack_wait(stage);
-    if context.now < until && fleet.may_fit_gang(&together, count) {
-        return Choice::Later(until);
+    let until = since + context.rack_wait_ns(stage);
+    if context.now < until && fleet.may_fit_gang(&same_rack, count) {
+        return Choice::RetryAt(until);
     }
-    let spread = Demand { rack_local: false, ..together };
-    if let Some(workers) = fleet.place_gang(&spread, count) {
+    let any_rack = Demand { rack_local: false, ..same_rack };
+    if let Some(workers) = fleet.place_gang(&any_rack, count) {
         return Choice::Gang(workers);
     }
-    if !fleet.may_fit_ejected(&spread) {
+    if !fleet.may_fit_ejected(&any_rack) {
         return Choice::NoCapacity;
     }
-    let no_other_capacity = !fleet.may_fit_gang(&spread, count);
+    let no_other_capacity = !fleet.may_fit_gang(&any_rack, count);
     if context.accepts_ejected_worker(fleet, step, since, no_other_capacity) {
-        let placed = fleet.place_gang_as_last_resort(&together, count);
-        if let Some(workers) = placed.or_else(|| fleet.place_gang_as_last_resort(&spread, count)) {
+        let placed = fleet.place_gang_as_last_resort(&same_rack, count);
+        if let Some(workers) = placed.or_else(|| fleet.place_gang_as_last_resort(&any_rack, count)) {
             return Choice::Gang(workers);
         }
     }
-    Choice::Later(context.next_ejected_worker_retry(since))
+    Choice::RetryAt(context.next_ejected_worker_retry(since))
 }
 
 /// What the choice depends on beside the fleet.
@@ -122,26 +122,26 @@
 
     /// How long a task may wait for capacity near its data, in nanoseconds: as long as it would lose elsewhere, but
     /// no longer than a job may wait while there is capacity.
-    fn data_wait(&self, stage: &Stage) -> u64 {
+    fn data_wait_ns(&self, stage: &Stage) -> u64 {
         if stage.affinity.is_empty() || !self.mechanisms.uses(Mechanism::DataLocalityWait) {
             return 0;
         }
-        self.lost_far_away(stage).min(MAX_DATA_WAIT)
+        self.remote_penalty_ns(stage).min(MAX_DATA_WAIT_NS)
     }
 
     /// How long a gang that is to share a rack may wait for one, in nanoseconds: as long as it would lose in
     /// several, but no longer than a job may wait while there is capacity.
-    fn rack_wait(&self, stage: &Stage) -> u64 {
+    fn rack_wait_ns(&self, stage: &Stage) -> u64 {
         if !stage.rack_local || !self.mechanisms.uses(Mechanism::RackLocalityWait) {
             return 0;
         }
-        self.lost_far_away(stage).min(MAX_RACK_WAIT)
+        self.remote_penalty_ns(stage).min(MAX_RACK_WAIT_NS)
     }
 
     /// How much longer a task takes away from its data or its gang, in nanoseconds.
-    fn lost_far_away(&self, stage: &Stage) -> u64 {
-        let lost_ms = stage.est_runtime_ms as f64 * (self.far_factor - 1.0).max(0.0);
-        (lost_ms * NANOS_PER_MS as f64) as u64
+    fn remote_penalty_ns(&self, stage: &Stage) -> u64 {
+        let penalty_ms = stage.est_runtime_ms as f64 * (self.far_factor - 1.0).max(0.0);
+        (penalty_ms * NANOS_PER_MS as f64) as u64
     }
 
     /// Whether a step has waited for so long that an ejected worker is better than none: there is
@@ -157,12 +157,12 @@
         let half_free = |(free, total): (u64, u64)| free.saturating_mul(2) >= total;
         let (free, total) = (fleet.free(), fleet.total());
         let shares = [(free.cpu, total.cpu), (free.mem_mb, total.mem_mb)];
-        let starves = || shares.into_iter().all(half_free) && self.attempts.is_job_idle(step.job);
-        self.now >= since + EJECTED_WORKER_WAIT && (no_other_capacity || starves())
+        let job_starves = || shares.into_iter().all(half_free) && self.attempts.is_job_idle(step.job);
+        self.now >= since + EJECTED_WORKER_WAIT_NS && (no_other_capacity || job_starves())
     }
 
     /// When a step that fits only on an ejected worker is placed again.
     fn next_ejected_worker_retry(&self, since: u64) -> u64 {
-        (since + EJECTED_WORKER_WAIT).max(self.now + EJECTED_WORKER_RETRY_INTERVAL)
+        (since + EJECTED_WORKER_WAIT_NS).max(self.now + EJECTED_WORKER_RETRY_INTERVAL_NS)
     }
 }
--- a/crates/scheduler/src/leader/poll_queue.rs
+++ b/crates/scheduler/src/leader/poll_queue.rs
@@ -12,9 +12,9 @@
 /// Sessions that one turn polls at most.
 pub(super) const POLLS_PER_TURN: usize = 64;
 /// First contacts in flight.
-const MAX_FIRST_CONTACTS: usize = 64;
+const MAX_FIRST_CONTACTS_IN_FLIGHT: usize = 64;
 /// A first contact without an answer stops counting after this time, in nanoseconds.
-const FIRST_CONTACT_TIMEOUT: u64 = 100 * NANOS_PER_MS;
+const FIRST_CONTACT_TIMEOUT_NS: u64 = 100 * NANOS_PER_MS;
 
 /// Sessions that wait to be polled, in two classes.
 #[derive(Debug, Default)]
@@ -43,15 +43,15 @@
             return Some(key);
         }
         self.expire_contacts(now);
-        if self.in_flight.len() >= MAX_FIRST_CONTACTS {
+        if self.in_flight.len() >= MAX_FIRST_CONTACTS_IN_FLIGHT {
             return None;
         }
         self.first_contacts.pop_front()
     }
 
     /// A worker was called for the first time.
-    pub(super) fn contact_began(&mut self, key: WorkerKey, now: u64) {
-        self.in_flight.push_back((now + FIRST_CONTACT_TIMEOUT, key));
+    pub(super) fn contact_started(&mut self, key: WorkerKey, now: u64) {
+        self.in_flight.push_back((now + FIRST_CONTACT_TIMEOUT_NS, key));
     }
 
     /// The call to a worker has ended.
@@ -67,7 +67,7 @@
 
     /// When the next session may be polled; `None` if none waits.
     pub(super) fn next_due(&self, now: u64) -> Option<u64> {
-        let is_full = self.in_flight.len() >= MAX_FIRST_CONTACTS;
+        let is_full = self.in_flight.len() >= MAX_FIRST_CONTACTS_IN_FLIGHT;
         match (self.ordinary.is_empty(), self.first_contacts.is_empty()) {
             (true, true) => None,
             (true, false) if is_full => self.in_flight.front().map(|(until, _)| (*until).max(now)),
--- a/crates/scheduler/src/leader/preemption.rs
+++ b/crates/scheduler/src/leader/preemption.rs
@@ -13,20 +13,20 @@
 use super::timers::Timer;
 
 /// Steps of the first priority for which attempts are preempted in one turn.
-const STEPS_PER_TURN: usize = 4;
+const PREEMPTING_STEPS_PER_TURN: usize = 4;
 /// Tasks of one step for which attempts are preempted in one turn.
-const TASKS_PER_STEP: usize = 8;
+const PREEMPTING_TASKS_PER_STEP: usize = 8;
 /// Least time between two searches for attempts to stop, in nanoseconds.
-const PREEMPTION_INTERVAL: u64 = 20 * NANOS_PER_MS;
+const PREEMPTION_INTERVAL_NS: u64 = 20 * NANOS_PER_MS;
 /// How long a step waits for attempts to end by themselves before some are stopped for it, in nanoseconds.
-const UNFORCED_RELEASE_WAIT: u64 = 50 * NANOS_PER_MS;
+const VOLUNTARY_RELEASE_WAIT_NS: u64 = 50 * NANOS_PER_MS;
 /// Beyond the time of a stop, how long a step waits for the capacity of stopped attempts, in nanoseconds.
-const PREEMPTED_CAPACITY_WAIT: u64 = 300 * NANOS_PER_MS;
+const PREEMPTED_CAPACITY_WAIT_NS: u64 = 300 * NANOS_PER_MS;
 
 impl Leader {
     /// Starts tasks for which attempts were preempted, before others take the capacity.
     pub(super) fn start_urgent(&mut self, state: &State, position: usize) {
-        for step in self.services[position].urgent_steps(STEPS_PER_TURN) {
+        for step in self.services[position].urgent_steps(PREEMPTING_STEPS_PER_TURN) {
             let awaits_preempted_capacity = |service: &Service, now: u64| {
                 service.ready(step).is_some_and(|ready| ready.preempted_until > now)
             };
@@ -37,26 +37,26 @@
                 if !self.start_task(state, position, step.task(index)) {
                     break;
                 }
-                self.services[position].started_past_queues(step, index, self.now);
+                self.services[position].task_started_outside_queue(step, index, self.now);
             }
         }
     }
 
     /// Stops attempts of later priorities for tasks of the first one that found no capacity.
     pub(super) fn preempt_for_urgent(&mut self, state: &State, position: usize) {
-        let urgent = self.services[position].urgent_steps(STEPS_PER_TURN);
+        let urgent = self.services[position].urgent_steps(PREEMPTING_STEPS_PER_TURN);
         if urgent.is_empty() || !self.uses(Mechanism::Preemption) {
             return;
         }
-        if self.now < self.services[position].next_preemption {
-            self.timers.set_no_later(self.services[position].next_preemption, Timer::Admit);
+        if self.now < self.services[position].next_preemption_at {
+            self.timers.set_no_later(self.services[position].next_preemption_at, Timer::Admit);
             return;
         }
-        self.services[position].next_preemption = self.now + PREEMPTION_INTERVAL;
+        self.services[position].next_preemption_at = self.now + PREEMPTION_INTERVAL_NS;
         let mut victims = None;
         for step in urgent {
             let Some(ready) = self.services[position].ready(step) else { continue };
-            let due = ready.preempted_until.max(ready.since + UNFORCED_RELEASE_WAIT);
+            let due = ready.preempted_until.max(ready.since + VOLUNTARY_RELEASE_WAIT_NS);
             if due > self.now {
                 self.timers.set_no_later(due, Timer::Admit);
                 continue;
@@ -80,7 +80,7 @@
                 worker: attempt.worker,
                 attempt: *key,
                 need: attempt.need,
-                cost: attempt.unsaved_core_s(self.now) / attempt.plan as f64,
+                cost: attempt.stop_cost_core_s(self.now) / attempt.plan as f64,
             })
             .collect()
     }
@@ -89,7 +89,7 @@
         let Some(stage) = state.open_stage(step) else { return };
         let waiting = self.services[position].ready(step).map_or(0, |ready| ready.tasks.len());
         let demand = demand_of(step, stage, &[]);
-        let tasks = waiting.min(TASKS_PER_STEP);
+        let tasks = waiting.min(PREEMPTING_TASKS_PER_STEP);
         let preemptions = self.services[position].fleet.preempt_for_each(&demand, victims, tasks);
         let stopped: Vec<AttemptKey> =
             preemptions.into_iter().flat_map(|preemption| preemption.attempts).collect();
@@ -100,7 +100,7 @@
         for key in stopped {
             self.stop_attempt(key);
         }
-        let until = self.now + self.settings.stop_ms * NANOS_PER_MS + PREEMPTED_CAPACITY_WAIT;
+        let until = self.now + self.settings.stop_ms * NANOS_PER_MS + PREEMPTED_CAPACITY_WAIT_NS;
         if let Some(ready) = self.services[position].ready_mut(step) {
             ready.preempted_until = until;
         }
--- a/crates/scheduler/src/leader/queueing.rs
+++ b/crates/scheduler/src/leader/queueing.rs
@@ -9,7 +9,7 @@
 
 use super::demand::need_of;
 use super::event_loop::Leader;
-use super::service::{plan_of, QueueEnd, WaitingStep};
+use super::service::{plan_of, EnqueueRequest, QueueEnd};
 
 impl Leader {
     /// Queues all tasks of a step that may start and neither run nor are done.
@@ -21,7 +21,7 @@
         }
         let idle = |index: &u32| {
             let task = step.task(*index);
-            !work.is_task_done(task) && self.attempts.is_idle(task)
+            !work.is_task_done(task) && self.attempts.is_task_idle(task)
         };
         let tasks = (0..stage.count).filter(idle).collect();
         self.enqueue(work, stage, step, tasks, end);
@@ -35,9 +35,9 @@
             self.enqueue_step(state, task.step_key(), QueueEnd::Front);
             return;
         }
-        let waits =
+        let is_waiting =
             task.index < stage.count && work.is_step_ready(task.step_key()) && !work.is_task_done(task);
-        if waits && self.attempts.is_idle(task) {
+        if is_waiting && self.attempts.is_task_idle(task) {
             self.enqueue(work, stage, task.step_key(), [task.index].into(), QueueEnd::Front);
         }
     }
@@ -47,7 +47,7 @@
         if tasks.is_empty() || incomplete_gang {
             return;
         }
-        let waiting = WaitingStep {
+        let waiting = EnqueueRequest {
             step,
             plan: plan_of(work.submit().priority),
             task_need: need_of(stage),
--- a/crates/scheduler/src/leader/recovery.rs
+++ b/crates/scheduler/src/leader/recovery.rs
@@ -13,16 +13,16 @@
 /// Jobs that one slice of a recovery goes through.
 const JOBS_PER_SLICE: usize = 64;
 
-/// A leader that is being built from the state, in slices: with thousands of open jobs it takes longer than a leader may
+/// A leader that is being built from the state, in slices: with thousands of jobs_to_enqueue jobs it takes longer than a leader may
 /// go without heartbeats.
 ///
 /// The state must stay the same from `new` to `finish`. It does, since only the leader of the term proposes commands.
 pub struct LeaderRecovery {
     leader: Leader,
     /// Jobs whose attempts are not adopted yet.
-    with_attempts: VecDeque<u64>,
+    jobs_to_adopt: VecDeque<u64>,
     /// Open jobs whose steps are not queued yet, those accepted first before the others.
-    open: VecDeque<u64>,
+    jobs_to_enqueue: VecDeque<u64>,
 }
 
 impl LeaderRecovery {
@@ -31,27 +31,30 @@
         let mut leader = Leader::empty(term, settings, now, seed);
         leader.recover_workers(state);
         leader.timers.set(now, Timer::ReadInstances);
-        let with_attempts = state.jobs().filter(|(_, job)| job.work().is_some()).map(|(id, _)| id).collect();
-        LeaderRecovery { leader, with_attempts, open: open_jobs(state) }
+        let jobs_to_adopt = state.jobs().filter(|(_, job)| job.work().is_some()).map(|(id, _)| id).collect();
+        LeaderRecovery { leader, jobs_to_adopt, jobs_to_enqueue: open_jobs(state) }
     }
 
     /// Does the next slice. Returns whether the recovery is complete.
     pub fn advance(&mut self, state: &State) -> bool {
-        if !self.with_attempts.is_empty() {
-            for job in next_slice(&mut self.with_attempts) {
+        if !self.jobs_to_adopt.is_empty() {
+            for job in next_slice(&mut self.jobs_to_adopt) {
                 self.leader.recover_attempts(state, job);
             }
         } else {
-            for job in next_slice(&mut self.open) {
+            for job in next_slice(&mut self.jobs_to_enqueue) {
                 self.leader.recover_steps(state, job);
             }
         }
-        self.with_attempts.is_empty() && self.open.is_empty()
+        self.jobs_to_adopt.is_empty() && self.jobs_to_enqueue.is_empty()
     }
 
     /// The leader, once `advance` has returned true.
     pub fn finish(self) -> Leader {
-        debug_assert!(self.with_attempts.is_empty() && self.open.is_empty(), "the recovery is not complete");
+        debug_assert!(
+            self.jobs_to_adopt.is_empty() && self.jobs_to_enqueue.is_empty(),
+            "the recovery is not complete"
+        );
         self.leader
     }
 
@@ -67,7 +70,7 @@
     jobs.drain(..slice)
 }
 
-/// The open jobs, those accepted first before the others.
+/// The jobs_to_enqueue jobs, those accepted first before the others.
 fn open_jobs(state: &State) -> VecDeque<u64> {
     let accepted = |(id, job): (u64, &Job)| job.open_work().map(|work| (work.submit().accepted_at_ms, id));
     let mut open: Vec<(u64, u64)> = state.jobs().filter_map(accepted).collect();
@@ -111,7 +114,7 @@
             if let Some(entry) = self.workers.get_mut(&worker) {
                 entry.session.adopt(key);
             }
-            self.schedule_adopting_poll(worker);
+            self.schedule_poll_after_adoption(worker);
             let is_broken_gang = stage.gang && work.active_in_step(task.step_key()) < stage.count as usize;
             if !is_open || work.is_task_done(task) || is_broken_gang {
                 self.stop_attempt(key);
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Queues the waiting steps of an open job.
+    /// Queues the waiting steps of an jobs_to_enqueue job.
     fn recover_steps(&mut self, state: &State, job: u64) {
         self.job_opened(state, job);
         let Some(work) = state.open_work(job) else { return };
--- a/crates/scheduler/src/leader/reports/job.rs
+++ b/crates/scheduler/src/leader/reports/job.rs
@@ -133,7 +133,7 @@
 
     fn attempt_reports(&self, job: u64, now: u64) -> Vec<AttemptReport> {
         let first = AttemptKey { task: TaskKey { job, time: 0, step: 0, index: 0 }, attempt: 0 };
-        let of_job = self.attempts.from(first).take_while(|(key, _)| key.task.job == job);
+        let of_job = self.attempts.starting_at(first).take_while(|(key, _)| key.task.job == job);
         of_job.take(MAX_ATTEMPTS).map(|(key, attempt)| self.attempt_report(*key, attempt, now)).collect()
     }
 
@@ -176,14 +176,14 @@
         task: attempt.key.task.to_string(),
         attempt: attempt.key.attempt,
         instance: attempt.instance.to_string(),
-        how: how_it_ended(attempt.outcome).to_owned(),
+        how: outcome_text(attempt.outcome).to_owned(),
         ended_ago_ms: ms_between(attempt.ended_at, now),
         ran_for_ms: attempt.started_at.map(|at| ms_between(at, attempt.ended_at)),
         percent: attempt.percent,
     }
 }
 
-fn how_it_ended(outcome: AttemptOutcome) -> &'static str {
+fn outcome_text(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Ended(EndKind::DONE) => "done",
         AttemptOutcome::Ended(EndKind::FAILED) => "failed",
--- a/crates/scheduler/src/leader/reports/load.rs
+++ b/crates/scheduler/src/leader/reports/load.rs
@@ -35,7 +35,7 @@
 impl Leader {
     /// What this leader carries now.
     pub fn load_report(&self, now: u64) -> LeaderLoad {
-        let starts_per_s = self.start_pace.per_s(now);
+        let starts_per_s = self.start_pace.confirmed_per_s(now);
         let start_delay_ms = self.start_pace.delay(now).unwrap_or(0) / NANOS_PER_MS;
         let workers = || self.workers.values();
         let (waiting, blocked): (Vec<usize>, Vec<usize>) =
--- a/crates/scheduler/src/leader/reservations.rs
+++ b/crates/scheduler/src/leader/reservations.rs
@@ -15,7 +15,7 @@
 use super::service::StepKind;
 
 /// How long a step waits without capacity before some is reserved for it, in nanoseconds.
-const RESERVATION_WAIT: u64 = 1_000 * NANOS_PER_MS;
+const RESERVATION_WAIT_NS: u64 = 1_000 * NANOS_PER_MS;
 
 /// The smaller amount of each resource.
 fn component_min(a: Resources, b: Resources) -> Resources {
@@ -24,7 +24,7 @@
 
 impl Leader {
     /// Reserves capacity for the step that has waited longest, and starts its next task once it fits.
-    pub(super) fn serve_reservation(&mut self, state: &State, position: usize) {
+    pub(super) fn update_reservation(&mut self, state: &State, position: usize) {
         if !self.uses(Mechanism::CapacityReservations) {
             return;
         }
@@ -32,7 +32,7 @@
             self.renew_reservation(state, position, reservation);
         }
         if self.services[position].reservation.is_none() {
-            self.new_reservation(state, position);
+            self.create_reservation(state, position);
         }
     }
 
@@ -46,14 +46,14 @@
             return;
         };
         if self.start_task(state, position, reservation.step().task(index)) {
-            self.services[position].started_past_queues(reservation.step(), index, self.now);
+            self.services[position].task_started_outside_queue(reservation.step(), index, self.now);
             return;
         }
         self.reserve_capacity(state, position, reservation.step(), reservation.worker());
     }
 
-    fn new_reservation(&mut self, state: &State, position: usize) {
-        let Some(since) = self.now.checked_sub(RESERVATION_WAIT) else { return };
+    fn create_reservation(&mut self, state: &State, position: usize) {
+        let Some(since) = self.now.checked_sub(RESERVATION_WAIT_NS) else { return };
         let Some(step) = self.services[position].waiting_head(since, StepKind::Single) else { return };
         let Some(stage) = state.open_stage(step).filter(|stage| stage.anti_affinity == 0) else { return };
         let demand = demand_of(step, stage, &[]);
--- a/crates/scheduler/src/leader/schedule.rs
+++ b/crates/scheduler/src/leader/schedule.rs
@@ -15,21 +15,21 @@
 /// The next time of each scheduled job, in order of their due times.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
-    due: BTreeSet<DueTime>,
+    by_due_time: BTreeSet<DueTime>,
 }
 
 impl Schedule {
     pub(super) fn insert(&mut self, due: DueTime) {
-        self.due.insert(due);
+        self.by_due_time.insert(due);
     }
 
     /// The time that is due first.
     pub(super) fn first(&self) -> Option<DueTime> {
-        self.due.first().copied()
+        self.by_due_time.first().copied()
     }
 
     /// Takes out the time that is due first.
     pub(super) fn pop_first(&mut self) -> Option<DueTime> {
-        self.due.pop_first()
+        self.by_due_time.pop_first()
     }
 }
--- a/crates/scheduler/src/leader/service/capacity.rs
+++ b/crates/scheduler/src/leader/service/capacity.rs
@@ -13,19 +13,19 @@
 impl Service {
     /// Capacity was freed on a worker: the blocked steps that fit there may be placed again.
     pub(in crate::leader) fn capacity_freed(&mut self, worker: WorkerKey) {
-        self.due = true;
-        self.freed.push(worker);
+        self.needs_admission = true;
+        self.freed_on.push(worker);
     }
 
     /// A worker was added, or may take starts again.
     pub(in crate::leader) fn worker_usable(&mut self, worker: WorkerKey) {
         self.capacity_freed(worker);
-        self.workers_came_into_use = true;
+        self.workers_became_usable = true;
     }
 
     /// Brings the queues up to date with what changed since the last pass over them.
     pub(in crate::leader) fn prepare_pass(&mut self, now: u64) {
-        self.due = false;
+        self.needs_admission = false;
         self.update_shares();
         self.unblock_steps(now);
         self.update_plan_heads(now);
@@ -33,16 +33,16 @@
 
     /// Unblocks the steps that fit where capacity was freed, or whose wait for better capacity has ended.
     fn unblock_steps(&mut self, now: u64) {
-        let mut workers = std::mem::take(&mut self.freed);
+        let mut workers = std::mem::take(&mut self.freed_on);
         workers.sort_unstable();
         workers.dedup();
         let free: Vec<Resources> = workers.iter().filter_map(|key| self.fleet.free_on(*key)).collect();
         let most = free.iter().fold(Resources::ZERO, |most, free| most.max(*free));
         let fits = |need: Resources| need.fits_in(most) && free.iter().any(|free| need.fits_in(*free));
-        let is_over = |retry_at: Option<u64>| retry_at.is_some_and(|at| at <= now);
-        self.blocked.retain(|_, blocked| !is_over(blocked.retry_at) && !fits(blocked.need));
+        let wait_is_over = |retry_at: Option<u64>| retry_at.is_some_and(|at| at <= now);
+        self.blocked.retain(|_, blocked| !wait_is_over(blocked.retry_at) && !fits(blocked.need));
         workers.clear();
-        self.freed = workers;
+        self.freed_on = workers;
     }
 
     /// When the next wait for better capacity ends.
@@ -58,8 +58,8 @@
     /// Computes the shares of the queues' entries again if workers that came into use changed the total by much.
     fn update_shares(&mut self) {
         let total = self.fleet.total();
-        let came_into_use = std::mem::take(&mut self.workers_came_into_use);
-        if !came_into_use || !differs_by_a_tenth(total, self.shares_total) {
+        let became_usable = std::mem::take(&mut self.workers_became_usable);
+        if !became_usable || !differs_by_over_a_tenth(total, self.shares_total) {
             return;
         }
         self.blocked.clear();
@@ -68,13 +68,13 @@
         self.queues = Queues::new(&WEIGHTS.map(|weight| PlanOptions { weight }));
         let steps: Vec<StepKey> = self.ready.keys().copied().collect();
         for step in steps {
-            self.queue_step(step);
+            self.push_to_queue(step);
         }
     }
 }
 
 /// Whether the shares of the queues' entries are to be computed again: the total has changed by over a tenth.
-fn differs_by_a_tenth(total: Resources, before: Resources) -> bool {
+fn differs_by_over_a_tenth(total: Resources, before: Resources) -> bool {
     let changed = |now: u64, before: u64| now.abs_diff(before).saturating_mul(10) > before;
     changed(total.cpu, before.cpu) || changed(total.mem_mb, before.mem_mb) || changed(total.gpu, before.gpu)
 }
--- a/crates/scheduler/src/leader/service/mod.rs
+++ b/crates/scheduler/src/leader/service/mod.rs
@@ -20,9 +20,9 @@
 use super::mechanisms::{Mechanism, Mechanisms};
 use super::start_delay::StartDelay;
 
-pub(super) use steps::{plan_of, Candidate, Choice, NextStep, QueueEnd, StepKind, WaitingStep};
+pub(super) use steps::{plan_of, Candidate, Choice, EnqueueRequest, NextStep, QueueEnd, StepKind};
 
-use steps::{Blocked, PlanHead, ReadyStep, WEIGHTS};
+use steps::{BlockedStep, PlanHead, ReadyStep, WEIGHTS};
 
 /// Workers and waiting steps of one service.
 #[derive(Debug)]
@@ -33,13 +33,13 @@
     queues: Queues<StepKey, RESOURCES>,
     ready: BTreeMap<StepKey, ReadyStep>,
     /// Steps that found no capacity since some was last freed where they fit.
-    blocked: BTreeMap<StepKey, Blocked>,
+    blocked: BTreeMap<StepKey, BlockedStep>,
     /// Workers on which capacity was freed since blocked steps were last looked at.
-    freed: Vec<WorkerKey>,
+    freed_on: Vec<WorkerKey>,
     /// Whether workers came into use since the queues' shares were last checked.
-    workers_came_into_use: bool,
+    workers_became_usable: bool,
     /// All waiting steps by plan and order.
-    by_order: BTreeMap<(usize, i64), StepKey>,
+    by_plan_and_order: BTreeMap<(usize, i64), StepKey>,
     /// Waiting steps of the first plan other than gangs, by order.
     urgent: BTreeMap<i64, StepKey>,
     /// The first step of each plan.
@@ -47,23 +47,23 @@
     /// How long steps of each plan have waited for their starts lately.
     start_delays: [StartDelay; WEIGHTS.len()],
     /// Whether something changed that may let a step start.
-    pub(super) due: bool,
+    pub(super) needs_admission: bool,
     /// Whether any worker ever reported progress.
-    pub(super) saw_progress: bool,
+    pub(super) progress_reported: bool,
     /// When attempts may next be preempted for the first plan.
-    pub(super) next_preemption: u64,
+    pub(super) next_preemption_at: u64,
     /// Capacity that is reserved for a step.
     pub(super) reservation: Option<CapacityReservation>,
     /// When other starts last began to pause for a gang.
-    pub(super) gang_pause_began: u64,
+    pub(super) gang_pause_started_at: u64,
     /// The total of which the queues' entries are shares.
     shares_total: Resources,
     /// How often the shares of all waiting steps were computed since that was last taken.
     share_updates: u64,
     /// Sort key last given to an entry at the front; decreases.
-    first_order: i64,
+    front_order: i64,
     /// Sort key last given to an entry at the back; increases.
-    last_order: i64,
+    back_order: i64,
 }
 
 impl Service {
@@ -75,30 +75,30 @@
             queues: Queues::new(&WEIGHTS.map(|weight| PlanOptions { weight })),
             ready: BTreeMap::new(),
             blocked: BTreeMap::new(),
-            freed: Vec::new(),
-            workers_came_into_use: false,
-            by_order: BTreeMap::new(),
+            freed_on: Vec::new(),
+            workers_became_usable: false,
+            by_plan_and_order: BTreeMap::new(),
             urgent: BTreeMap::new(),
             plan_heads: [None; WEIGHTS.len()],
             start_delays: [StartDelay::default(); WEIGHTS.len()],
-            next_preemption: 0,
+            next_preemption_at: 0,
             reservation: None,
-            gang_pause_began: 0,
-            due: false,
-            saw_progress: false,
+            gang_pause_started_at: 0,
+            needs_admission: false,
+            progress_reported: false,
             shares_total: Resources::ZERO,
             share_updates: 0,
-            first_order: 0,
-            last_order: 0,
+            front_order: 0,
+            back_order: 0,
         }
     }
 
     /// Adds tasks to those that wait.
-    pub(super) fn enqueue(&mut self, waiting: WaitingStep) {
+    pub(super) fn enqueue(&mut self, waiting: EnqueueRequest) {
         if waiting.tasks.is_empty() {
             return;
         }
-        self.due = true;
+        self.needs_admission = true;
         if let Some(ready) = self.ready.get_mut(&waiting.step) {
             ready.tasks.extend(waiting.tasks);
             return;
@@ -115,23 +115,23 @@
             since: waiting.since,
             order,
         };
-        self.by_order.insert((ready.plan, order), waiting.step);
+        self.by_plan_and_order.insert((ready.plan, order), waiting.step);
         if ready.is_urgent() {
             self.urgent.insert(order, waiting.step);
         }
         self.ready.insert(waiting.step, ready);
-        self.queue_step(waiting.step);
+        self.push_to_queue(waiting.step);
     }
 
     /// Puts an entry of a waiting step into its queue, at the step's position.
-    fn queue_step(&mut self, step: StepKey) {
+    fn push_to_queue(&mut self, step: StepKey) {
         let Some(ready) = self.ready.get(&step) else { return };
-        let (plan, need) = self.queue_of(ready);
+        let (plan, need) = self.queue_entry_of(ready);
         self.queues.push_at(plan, step, need, ready.order);
     }
 
     /// The plan of a step's queue, and what one entry of it needs as shares of the total.
-    fn queue_of(&self, ready: &ReadyStep) -> (usize, [f64; RESOURCES]) {
+    fn queue_entry_of(&self, ready: &ReadyStep) -> (usize, [f64; RESOURCES]) {
         let need = ready.need.shares_of(self.shares_total);
         if self.fair {
             return (ready.plan, need);
@@ -142,18 +142,18 @@
     fn next_order(&mut self, end: QueueEnd) -> i64 {
         match end {
             QueueEnd::Front => {
-                self.first_order -= 1;
-                self.first_order
+                self.front_order -= 1;
+                self.front_order
             }
             QueueEnd::Back => {
-                self.last_order += 1;
-                self.last_order
+                self.back_order += 1;
+                self.back_order
             }
         }
     }
 
     /// A task was started without its step's turn, on capacity that was freed for it.
-    pub(super) fn started_past_queues(&mut self, step: StepKey, index: u32, now: u64) {
+    pub(super) fn task_started_outside_queue(&mut self, step: StepKey, index: u32, now: u64) {
         self.reset_head_wait(step, now);
         self.remove_task(step.task(index));
     }
@@ -161,7 +161,7 @@
     /// Takes a step out.
     pub(super) fn remove_step(&mut self, step: StepKey) {
         if let Some(ready) = self.ready.remove(&step) {
-            self.by_order.remove(&(ready.plan, ready.order));
+            self.by_plan_and_order.remove(&(ready.plan, ready.order));
             if ready.is_urgent() {
                 self.urgent.remove(&ready.order);
             }
@@ -193,13 +193,13 @@
     /// A task of the step, or its gang, is being started.
     pub(super) fn record_start_delay(&mut self, step: StepKey, now: u64) {
         if let Some(ready) = self.ready.get(&step) {
-            self.start_delays[ready.plan].started(now, now.saturating_sub(ready.since));
+            self.start_delays[ready.plan].record(now, now.saturating_sub(ready.since));
         }
     }
 
     /// The least time that steps of a plan have waited for their starts lately, in nanoseconds.
     pub(super) fn start_delay(&mut self, plan: usize, now: u64) -> u64 {
-        self.start_delays[plan].least(now)
+        self.start_delays[plan].minimum(now)
     }
 
     /// A step that waits.
--- a/crates/scheduler/src/leader/service/plan_heads.rs
+++ b/crates/scheduler/src/leader/service/plan_heads.rs
@@ -19,8 +19,11 @@
     /// Records the first step of each plan.
     pub(super) fn update_plan_heads(&mut self, now: u64) {
         for (plan, head) in self.plan_heads.iter_mut().enumerate() {
-            let first =
-                self.by_order.range((plan, i64::MIN)..=(plan, i64::MAX)).next().map(|(_, step)| *step);
+            let first = self
+                .by_plan_and_order
+                .range((plan, i64::MIN)..=(plan, i64::MAX))
+                .next()
+                .map(|(_, step)| *step);
             if head.map(|head| head.step) != first {
                 *head = first.map(|step| PlanHead { step, since: now });
             }
@@ -37,7 +40,7 @@
     }
 
     /// Waiting steps of the first plan other than gangs, the oldest first.
-    pub(in crate::leader) fn urgent_steps(&self, most: usize) -> Vec<StepKey> {
-        self.urgent.values().take(most).copied().collect()
+    pub(in crate::leader) fn urgent_steps(&self, limit: usize) -> Vec<StepKey> {
+        self.urgent.values().take(limit).copied().collect()
     }
 }
--- a/crates/scheduler/src/leader/service/report.rs
+++ b/crates/scheduler/src/leader/service/report.rs
@@ -60,7 +60,7 @@
         if waiting_steps == 0 && deficits == ResourceShares::default() {
             return None;
         }
-        let first = self.by_order.range((plan, i64::MIN)..=(plan, i64::MAX)).next();
+        let first = self.by_plan_and_order.range((plan, i64::MIN)..=(plan, i64::MAX)).next();
         Some(PlanReport {
             priority: plan as u32,
             weight: WEIGHTS[plan],
--- a/crates/scheduler/src/leader/service/scan.rs
+++ b/crates/scheduler/src/leader/service/scan.rs
@@ -14,7 +14,7 @@
 impl Service {
     /// The step whose turn it is, and where `choose` puts it. Steps for which there is no capacity keep their position.
     /// Once the fleet has `examined_limit` examined workers on its account, no search for a further step begins.
-    pub(in crate::leader) fn next(
+    pub(in crate::leader) fn next_step(
         &mut self,
         examined_limit: u64,
         mut choose: impl FnMut(&Fleet, Candidate) -> Choice,
@@ -38,11 +38,11 @@
                 return false;
             }
             let (task, since) = (step.task(*first), waiting.since);
-            let choice = choose(fleet, Candidate { task, since, waiting: waiting.tasks.len() as u64 });
+            let choice = choose(fleet, Candidate { task, since, waiting_tasks: waiting.tasks.len() as u64 });
             let retry_at = match choice {
                 Choice::NoCapacity => None,
-                Choice::Later(at) => Some(at),
-                Choice::Task(_) | Choice::Gang(_) | Choice::Gone => {
+                Choice::RetryAt(at) => Some(at),
+                Choice::Task(_) | Choice::Gang(_) | Choice::NotWaiting => {
                     chosen.push((*step, choice));
                     return true;
                 }
@@ -58,7 +58,7 @@
     }
 
     /// A released step of which tasks were started: the next of its tasks waits in its position.
-    pub(in crate::leader) fn entry_started(
+    pub(in crate::leader) fn released_step_started(
         &mut self,
         released: &Released<StepKey, RESOURCES>,
         started: &[u32],
@@ -73,12 +73,12 @@
             self.remove_step(released.key);
             return;
         }
-        self.queue_step(released.key);
+        self.push_to_queue(released.key);
     }
 
     /// A released step of which nothing was started: it returns to its queue.
-    pub(in crate::leader) fn entry_returned(&mut self, released: &Released<StepKey, RESOURCES>) {
+    pub(in crate::leader) fn return_released_step(&mut self, released: &Released<StepKey, RESOURCES>) {
         self.queues.refund(released);
-        self.queue_step(released.key);
+        self.push_to_queue(released.key);
     }
 }
--- a/crates/scheduler/src/leader/service/steps.rs
+++ b/crates/scheduler/src/leader/service/steps.rs
@@ -36,7 +36,7 @@
 
 /// A step that found no capacity.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Blocked {
+pub(super) struct BlockedStep {
     /// What one task of it needs, or one member of its gang.
     pub(super) need: Resources,
     /// When it is placed again though no capacity was freed.
@@ -53,9 +53,9 @@
     /// No worker has capacity for it.
     NoCapacity,
     /// There is capacity, but better capacity is worth waiting for until then.
-    Later(u64),
+    RetryAt(u64),
     /// It no longer waits.
-    Gone,
+    NotWaiting,
 }
 
 /// What a scan of the queues found.
@@ -102,12 +102,12 @@
     /// Since when its step waits.
     pub(in crate::leader) since: u64,
     /// How many tasks of the step wait, it among them.
-    pub(in crate::leader) waiting: u64,
+    pub(in crate::leader) waiting_tasks: u64,
 }
 
 /// Tasks of a step that are to wait for a start.
 #[derive(Debug, Clone)]
-pub(in crate::leader) struct WaitingStep {
+pub(in crate::leader) struct EnqueueRequest {
     pub(in crate::leader) step: StepKey,
     pub(in crate::leader) plan: usize,
     /// What one task needs, or one member of the gang.
@@ -121,10 +121,10 @@
 
 impl Choice {
     /// How many attempts it starts; at least one, since a step has had its turn.
-    pub(in crate::leader) fn starts(&self) -> u64 {
+    pub(in crate::leader) fn start_count(&self) -> u64 {
         match self {
             Choice::Gang(workers) => workers.len().max(1) as u64,
-            Choice::Task(_) | Choice::NoCapacity | Choice::Later(_) | Choice::Gone => 1,
+            Choice::Task(_) | Choice::NoCapacity | Choice::RetryAt(_) | Choice::NotWaiting => 1,
         }
     }
 }
@@ -136,7 +136,7 @@
     }
 
     /// The step as one that found no capacity.
-    pub(super) fn blocked(&self, retry_at: Option<u64>) -> Blocked {
-        Blocked { need: self.task_need, retry_at }
+    pub(super) fn blocked(&self, retry_at: Option<u64>) -> BlockedStep {
+        BlockedStep { need: self.task_need, retry_at }
     }
 }
--- a/crates/scheduler/src/leader/settings.rs
+++ b/crates/scheduler/src/leader/settings.rs
@@ -51,12 +51,12 @@
 
 /// Longest wait for an end, in milliseconds. A response that gets lost delays reports of ends for that long, and
 /// nothing reports progress in the meantime; shorter waits cost more calls.
-const MAX_WAIT_MS: u64 = 400;
+const MAX_LONG_POLL_WAIT_MS: u64 = 400;
 /// With many workers the wait is this long for each of them, in milliseconds: responses without content then stay
 /// below a thousand a second.
-const WAIT_MS_PER_WORKER: u64 = 1;
+const LONG_POLL_WAIT_MS_PER_WORKER: u64 = 1;
 /// Longest wait for an end however many workers there are, in milliseconds.
-const MAX_WAIT_AMONG_MANY_MS: u64 = 1_000;
+const MAX_LONG_POLL_WAIT_AMONG_MANY_MS: u64 = 1_000;
 /// Least worker lease that is asked for, in milliseconds.
 const MIN_WORKER_LEASE_MS: u64 = 500;
 
@@ -67,7 +67,7 @@
         Self {
             worker_lease_ms,
             max_worker_lease_ms: bounds.max_worker_lease_ms,
-            long_poll_wait_ms: MAX_WAIT_MS.min(worker_lease_ms / 4),
+            long_poll_wait_ms: MAX_LONG_POLL_WAIT_MS.min(worker_lease_ms / 4),
             call_timeout_ms: 600,
             max_order_calls: 4,
             stop_ms: bounds.stop_ms,
@@ -97,7 +97,8 @@
 
     /// How long a worker may wait for an end where there are this many workers, in milliseconds.
     pub fn long_poll_wait_ms_among(&self, workers: usize) -> u64 {
-        let longest = MAX_WAIT_AMONG_MANY_MS.min(self.worker_lease_ms / 4).max(self.long_poll_wait_ms);
-        (workers as u64).saturating_mul(WAIT_MS_PER_WORKER).clamp(self.long_poll_wait_ms, longest)
+        let longest =
+            MAX_LONG_POLL_WAIT_AMONG_MANY_MS.min(self.worker_lease_ms / 4).max(self.long_poll_wait_ms);
+        (workers as u64).saturating_mul(LONG_POLL_WAIT_MS_PER_WORKER).clamp(self.long_poll_wait_ms, longest)
     }
 }
--- a/crates/scheduler/src/leader/start_delay.rs
+++ b/crates/scheduler/src/leader/start_delay.rs
@@ -3,7 +3,7 @@
 use crate::time::NANOS_PER_MS;
 
 /// Length of a window of observation, in nanoseconds.
-const WINDOW: u64 = 1_000 * NANOS_PER_MS;
+const WINDOW_NS: u64 = 1_000 * NANOS_PER_MS;
 
 /// The least wait among the starts of the current window and the one before it.
 ///
@@ -11,31 +11,31 @@
 /// the shortest wait is long, every step that comes now will wait as long (a standing queue, as in CoDel, RFC 8289).
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StartDelay {
-    window_began: u64,
+    window_started_at: u64,
     current: Option<u64>,
     previous: Option<u64>,
 }
 
 impl StartDelay {
     /// A step was started that had waited for `waited` nanoseconds.
-    pub(super) fn started(&mut self, now: u64, waited: u64) {
+    pub(super) fn record(&mut self, now: u64, waited: u64) {
         self.advance(now);
         self.current = Some(self.current.map_or(waited, |least| least.min(waited)));
     }
 
     /// The least wait of late, in nanoseconds; 0 if nothing was started.
-    pub(super) fn least(&mut self, now: u64) -> u64 {
+    pub(super) fn minimum(&mut self, now: u64) -> u64 {
         self.advance(now);
         [self.current, self.previous].into_iter().flatten().min().unwrap_or(0)
     }
 
     fn advance(&mut self, now: u64) {
-        let elapsed = now.saturating_sub(self.window_began);
-        if elapsed < WINDOW {
+        let elapsed = now.saturating_sub(self.window_started_at);
+        if elapsed < WINDOW_NS {
             return;
         }
-        let is_adjacent = elapsed < 2 * WINDOW;
+        let is_adjacent = elapsed < 2 * WINDOW_NS;
         self.previous = self.current.take().filter(|_| is_adjacent);
-        self.window_began = now;
+        self.window_started_at = now;
     }
 }
--- a/crates/scheduler/src/leader/turn_budget.rs
+++ b/crates/scheduler/src/leader/turn_budget.rs
@@ -16,7 +16,7 @@
 
 impl TurnBudget {
     /// The budget as it is at `now`: that of another turn is not spent.
-    pub(super) fn at(self, now: u64) -> Self {
+    pub(super) fn for_turn(self, now: u64) -> Self {
         if self.turn == now {
             return self;
         }
--- a/crates/scheduler/src/leader/worker_availability.rs
+++ b/crates/scheduler/src/leader/worker_availability.rs
@@ -36,9 +36,9 @@
     /// The same for many workers. Services learn of those that came into use after all facts are reported, so that the
     /// shares of waiting steps are computed once.
     pub(super) fn update_placement_of_all(&mut self, keys: &[WorkerKey]) {
-        let came_into_use: Vec<WorkerKey> =
+        let became_usable: Vec<WorkerKey> =
             keys.iter().copied().filter(|key| self.report_facts(*key)).collect();
-        for key in came_into_use {
+        for key in became_usable {
             self.notify_usable(key);
         }
     }
@@ -60,8 +60,8 @@
         if !self.settings.mechanisms.uses(Mechanism::WorkerQuality) {
             (facts.pace, facts.trust) = (1.0, 1.0);
         }
-        let came_into_use = (facts.usable && !was_usable) || (facts.ejected && !was_usable && !was_ejected);
+        let became_usable = (facts.usable && !was_usable) || (facts.ejected && !was_usable && !was_ejected);
         self.services[position].fleet.upsert(key, facts);
-        came_into_use
+        became_usable
     }
 }
--- a/crates/scheduler/src/leader/worker_entry.rs
+++ b/crates/scheduler/src/leader/worker_entry.rs
@@ -35,7 +35,7 @@
     /// Whether the newest list shows it.
     pub(super) listed: bool,
     /// The read of the list that showed it last; 0: none did.
-    pub(super) listed_in: u64,
+    pub(super) last_listed_read: u64,
     /// From then on its listing is too old for further starts.
     pub(super) starts_until: u64,
     /// Since when lists do not show it.
@@ -54,7 +54,7 @@
     /// Attempts that occupy it.
     pub(super) assigned: Vec<AttemptKey>,
     /// Ends that are to be made durable.
-    pub(super) ends: Vec<WorkerEnd>,
+    pub(super) pending_ends: Vec<WorkerEnd>,
     /// Whether the session is to be polled at the end of this turn.
     pub(super) poll_scheduled: bool,
     /// The facts last reported to placement.
@@ -84,7 +84,7 @@
             session,
             listing: None,
             listed: false,
-            listed_in: 0,
+            last_listed_read: 0,
             starts_until: 0,
             unlisted_since: None,
             reachable: true,
@@ -95,7 +95,7 @@
             outlier_detector: OutlierDetector::default(),
             incarnation_logged: false,
             assigned: Vec::new(),
-            ends: Vec::new(),
+            pending_ends: Vec::new(),
             poll_scheduled: false,
             reported: None,
         }
--- a/crates/scheduler/src/leader/worker_events.rs
+++ b/crates/scheduler/src/leader/worker_events.rs
@@ -5,7 +5,7 @@
 use crate::ids::AttemptKey;
 
 /// Events that wait for the driver at most; further ones are dropped.
-const MAX_EVENTS: usize = 256;
+const MAX_PENDING_EVENTS: usize = 256;
 
 /// What the leader decided or found out about a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -82,18 +82,18 @@
 /// Events that the driver has not taken yet, the oldest first.
 #[derive(Debug, Default)]
 pub(super) struct WorkerEvents {
-    waiting: Vec<WorkerEvent>,
+    pending: Vec<WorkerEvent>,
 }
 
 impl WorkerEvents {
     pub(super) fn push(&mut self, event: WorkerEvent) {
-        if self.waiting.len() < MAX_EVENTS {
-            self.waiting.push(event);
+        if self.pending.len() < MAX_PENDING_EVENTS {
+            self.pending.push(event);
         }
     }
 
     /// Takes all events that wait.
     pub(super) fn take(&mut self) -> Vec<WorkerEvent> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.pending)
     }
 }
--- a/crates/scheduler/src/leader/worker_lease_need.rs
+++ b/crates/scheduler/src/leader/worker_lease_need.rs
@@ -11,16 +11,16 @@
 use super::settings::LeaderSettings;
 
 /// Least worker lease, in milliseconds: an election, and lease renewals by the next leader, take less.
-const LEAST_WORKER_LEASE_MS: u64 = 2_500;
+const MIN_NEEDED_LEASE_MS: u64 = 2_500;
 /// What is added to the time that an attempt is expected to take still, in milliseconds.
-const MARGIN_MS: u64 = 1_500;
+const LEASE_MARGIN_MS: u64 = 1_500;
 
 /// Lists that are to show the progress of a run that takes as long as the client's estimate.
 const LISTS_PER_RUN: u64 = 10;
 /// Longest wait for an end on a worker whose attempts make progress, in milliseconds.
-const RUNNING_WAIT_MS: u64 = 500;
+const MAX_RUNNING_WAIT_MS: u64 = 500;
 /// The same on a worker whose attempts are all long-running, in milliseconds.
-const LONG_RUNNING_WAIT_MS: u64 = 1_000;
+const ALL_LONG_RUNNING_WAIT_MS: u64 = 1_000;
 
 /// The worker lease that these attempts need, in milliseconds.
 pub(super) fn needed_worker_lease_ms(
@@ -37,7 +37,7 @@
         .iter()
         .filter_map(|key| attempts.get(key))
         .map(|attempt| attempt_lease_ms(attempt, longest, now));
-    needs.max().unwrap_or(0).max(LEAST_WORKER_LEASE_MS).min(longest)
+    needs.max().unwrap_or(0).max(MIN_NEEDED_LEASE_MS).min(longest)
 }
 
 /// How long a worker with these attempts may wait for an end before it answers a lease renewal, in milliseconds:
@@ -46,14 +46,14 @@
     attempts: &Attempts,
     assigned: &[AttemptKey],
     settings: &LeaderSettings,
-    least: u64,
+    min_wait_ms: u64,
 ) -> u64 {
     if assigned.is_empty() || !settings.mechanisms.uses(Mechanism::WaitByNeed) {
-        return least;
+        return min_wait_ms;
     }
     let running = assigned.iter().filter_map(|key| attempts.get(key)).filter(|attempt| !attempt.long_running);
     let shortest = running.map(|attempt| attempt.estimate_ms / LISTS_PER_RUN).min();
-    shortest.map_or(LONG_RUNNING_WAIT_MS, |wait_ms| wait_ms.min(RUNNING_WAIT_MS)).max(least)
+    shortest.map_or(ALL_LONG_RUNNING_WAIT_MS, |wait_ms| wait_ms.min(MAX_RUNNING_WAIT_MS)).max(min_wait_ms)
 }
 
 /// The worker lease that one attempt needs, in milliseconds. Long-running tasks and gangs without checkpoints lose
@@ -62,5 +62,5 @@
     if attempt.long_running || (attempt.gang && !attempt.checkpoints) {
         return longest;
     }
-    attempt.remaining_ms(now).saturating_add(MARGIN_MS)
+    attempt.remaining_ms(now).saturating_add(LEASE_MARGIN_MS)
 }
--- a/crates/scheduler/src/leader/worker_sessions.rs
+++ b/crates/scheduler/src/leader/worker_sessions.rs
@@ -19,7 +19,7 @@
 
 /// How long an earlier leader may still have sent lease renewals after this one started, in nanoseconds: a firewall
 /// that refuses connections can make it look dead while it goes on until its lease expires.
-const EARLIER_LEADER_OVERLAP: u64 = 600 * NANOS_PER_MS;
+const PREVIOUS_LEADER_OVERLAP_NS: u64 = 600 * NANOS_PER_MS;
 
 impl Leader {
     /// The key of an incarnation, which becomes known on first use; its ends up to `acknowledged` are durable.
@@ -51,7 +51,7 @@
             lease_renewal_bursts: self.uses(Mechanism::LeaseRenewalBurst),
             hedged_lease_renewals: self.uses(Mechanism::HedgedLeaseRenewals),
             suspicion: self.uses(Mechanism::Suspicion),
-            leader_since: self.since + EARLIER_LEADER_OVERLAP,
+            leader_since: self.term_started_at + PREVIOUS_LEADER_OVERLAP_NS,
         }
     }
 
@@ -70,7 +70,7 @@
 
     /// The session has adopted an attempt: it is polled before those of workers that carry nothing, also if it waited
     /// among them.
-    pub(super) fn schedule_adopting_poll(&mut self, key: WorkerKey) {
+    pub(super) fn schedule_poll_after_adoption(&mut self, key: WorkerKey) {
         let Some(entry) = self.workers.get_mut(&key) else { return };
         let is_first = entry.session.attempt_count() == 1;
         if !std::mem::replace(&mut entry.poll_scheduled, true) || is_first {
@@ -89,12 +89,12 @@
         }
         self.poll_queue.contact_ended(call.worker);
         let Some(entry) = self.workers.get_mut(&call.worker) else { return };
-        let had_met = entry.session.has_been_answered();
+        let had_answered = entry.session.has_been_answered();
         entry.session.set_response_clock(self.lateness.response_clock);
         entry.session.complete_call(now, call.call, outcome);
-        let met = !had_met && entry.session.has_been_answered();
+        let answered_first = !had_answered && entry.session.has_been_answered();
         self.schedule_poll(call.worker);
-        if met {
+        if answered_first {
             self.update_placement(call.worker);
         }
     }
@@ -114,18 +114,18 @@
         self.schedule_poll(worker);
     }
 
-    /// Polls sessions for which something changed, `most` at most, and returns how many those were. The rest follows at
+    /// Polls sessions for which something changed, `max_polls` at max_polls, and returns how many those were. The rest follows at
     /// once in another turn.
-    pub(super) fn poll_workers(&mut self, most: usize, out: &mut Vec<Output>) -> usize {
+    pub(super) fn poll_workers(&mut self, max_polls: usize, out: &mut Vec<Output>) -> usize {
         let mut polled = 0;
-        while polled < most {
+        while polled < max_polls {
             let Some(key) = self.poll_queue.pop(self.now) else { break };
             polled += 1;
-            let calls_before = out.len();
+            let outputs_before = out.len();
             let is_first_contact = self.workers.get(&key).is_some_and(WorkerEntry::is_first_contact);
             self.poll_worker(key, out);
-            if is_first_contact && out.len() > calls_before {
-                self.poll_queue.contact_began(key, self.now);
+            if is_first_contact && out.len() > outputs_before {
+                self.poll_queue.contact_started(key, self.now);
             }
         }
         if let Some(at) = self.poll_queue.next_due(self.now) {
@@ -204,7 +204,7 @@
     }
 
     /// Restarts the detection of stalls for a worker's attempts.
-    fn renew_progress(&mut self, worker: WorkerKey) {
+    fn restart_stall_detection(&mut self, worker: WorkerKey) {
         let Some(entry) = self.workers.get(&worker) else { return };
         for key in &entry.assigned {
             if let Some(attempt) = self.attempts.get_mut(key) {
@@ -232,7 +232,7 @@
     fn reachability_changed(&mut self, key: WorkerKey, reachable: bool) {
         self.change_worker(key, |entry| entry.reachable = reachable);
         if reachable {
-            self.renew_progress(key);
+            self.restart_stall_detection(key);
         }
         if let Some(entry) = self.workers.get(&key) {
             let (instance, attempts) = (entry.instance.clone(), entry.assigned_count());
