--- a/crates/scheduler/src/leader/admission.rs
+++ b/crates/scheduler/src/leader/admission.rs
@@ -1,4 +1,5 @@
-//! Which waiting task starts next: mQoS releases, placement chooses, the intent is proposed.
+//! Admission: decides which waiting task starts next. mQoS releases a step, placement chooses a worker, and
+//! the leader proposes the start.
 
 use messages::job::{AttemptStart, Stage};
 use mqos::Released;
@@ -15,12 +16,12 @@
 use super::timers::Timer;
 use super::turn_budget::TurnBudget;
 
-/// Time until the next turn when more steps wait, in nanoseconds.
+/// Delay before the next turn while more steps wait.
 const NEXT_TURN_DELAY_NS: u64 = NANOS_PER_MS;
 
 impl Leader {
-    /// Starts the tasks for which there is capacity, in all services in which something changed. Once the turn's
-    /// budget is spent, the next turn continues with the service at which this one stopped.
+    /// Starts the tasks for which there is capacity, in all services that need an admission pass. If the
+    /// turn's budget runs out, the next turn continues with the service at which this one stopped.
     pub(super) fn admit(&mut self, state: &State) {
         if self.fenced {
             return;
@@ -43,7 +44,8 @@
         }
     }
 
-    /// A pass over the waiting steps of a service, which remains due if the budget ends it.
+    /// Runs one admission pass over the waiting steps of a service. If the budget runs out, the service still
+    /// needs a pass.
     fn admit_within(&mut self, state: &State, position: usize, budget: &mut TurnBudget) {
         self.work.admission_passes += 1;
         let examined_before = self.services[position].fleet.examined();
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Starts tasks in the order of the queues.
+    /// Starts waiting tasks in queue order until nothing fits or the budget runs out.
     fn start_waiting(
         &mut self,
         state: &State,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Places a task and proposes its start; false if no worker has capacity for it.
+    /// Places a task and proposes its start. Returns false if no worker has capacity for the task.
     pub(super) fn start_task(&mut self, state: &State, position: usize, task: TaskKey) -> bool {
         let Some(work) = state.open_work(task.job) else { return false };
         let Some(stage) = work.stage(task.step) else { return false };
@@ -135,7 +137,7 @@
         self.propose_start(work, stage, key, worker);
     }
 
-    /// Proposes the start of a gang, member by member on these workers.
+    /// Proposes the start of a gang: member `i` starts on `workers[i]`.
     pub(super) fn propose_gang(&mut self, state: &State, step: StepKey, workers: &[WorkerKey]) {
         let Some(work) = state.open_work(step.job) else { return };
         let Some(stage) = work.stage(step.step) else { return };
@@ -152,7 +154,7 @@
         self.services[position].record_start_delay(step, self.now);
     }
 
-    /// Reserves capacity and proposes the intent.
+    /// Reserves capacity for an attempt and adds its start to the next proposal.
     fn propose_start(&mut self, work: &Work, stage: &Stage, key: AttemptKey, worker: WorkerKey) {
         let Some(entry) = self.workers.get_mut(&worker) else { return };
         let instance = entry.instance.to_string();
--- a/crates/scheduler/src/leader/amounts.rs
+++ b/crates/scheduler/src/leader/amounts.rs
@@ -1,10 +1,10 @@
-//! Amounts of resources as reports show them.
+//! Conversion of resource amounts to their form in reports.
 
 use admin::ResourceAmounts;
 
 use crate::placement::Resources;
 
-/// Amounts as they are reported.
+/// Converts resources to the amounts of a report.
 pub(super) fn amounts_of(resources: Resources) -> ResourceAmounts {
     ResourceAmounts { cpu: resources.cpu, mem_mb: resources.mem_mb, gpu: resources.gpu }
 }
--- a/crates/scheduler/src/leader/attempt_examination.rs
+++ b/crates/scheduler/src/leader/attempt_examination.rs
@@ -1,4 +1,5 @@
-//! Periodic examination of running attempts: those on a draining worker, incomplete gangs, stalled and late ones.
+//! Periodic examination of running attempts: attempts on draining workers, incomplete gangs, stalled attempts
+//! and late attempts.
 
 use std::collections::BTreeSet;
 
@@ -13,46 +14,49 @@
 use super::timers::Timer;
 use super::worker_entry::WorkerEntry;
 
-/// Time between two examinations, in nanoseconds.
+/// Time between two examinations.
 const EXAMINATION_INTERVAL_NS: u64 = 200 * NANOS_PER_MS;
-/// Factor by which a run may exceed its prediction and still be left on a worker that is draining.
+/// Safety factor on the predicted remaining time of an attempt on a draining worker. The attempt is evacuated
+/// if the remaining time multiplied by this factor would exceed the life of the worker.
 const REMAINING_TIME_FACTOR: f64 = 1.25;
-/// Time that a stop and its end take beside `stop_ms`, in milliseconds.
+/// Time for stopping an attempt and receiving its end, in addition to `stop_ms`.
 const EVACUATION_OVERHEAD_MS: u64 = 300;
-/// Least time without progress after which an attempt is stalled, in milliseconds.
+/// Minimum time without progress after which an attempt counts as stalled.
 const MIN_STALL_MS: u64 = 3_000;
-/// The same as a share of the client's estimate.
+/// Minimum time without progress before an attempt counts as stalled, as a fraction of the client's estimate.
 const STALL_ESTIMATE_RATIO: f64 = 0.5;
-/// Least time without progress after which the lists of a worker that responds show a stall, in milliseconds:
-/// about two lists after the last that showed progress.
+/// Minimum time without progress after which the status lists of a responding worker show a stall: about two
+/// lists after the last list that showed progress.
 const MIN_QUICK_STALL_MS: u64 = 700;
-/// The same as a share of the client's estimate: even slow workers advance by one percent in that time.
+/// The same threshold as a fraction of the client's estimate. Even slow workers advance by one percent in
+/// that time.
 const QUICK_STALL_ESTIMATE_RATIO: f64 = 0.2;
-/// A speculative copy of a task that allows one is started when its run takes so many times the client's estimate,
+/// A speculative copy of a task that allows copies starts once the run time exceeds the client's estimate by
+/// this factor and by at least `MIN_SPECULATION_EXCESS_MS`.
 const SPECULATION_FACTOR: u64 = 2;
-/// and at least so much longer, in milliseconds.
+/// Minimum excess over the client's estimate before a speculative copy starts.
 const MIN_SPECULATION_EXCESS_MS: u64 = 1_000;
 
-/// What is to be done about an attempt.
+/// Action to take on an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Remedy {
-    /// Its worker ends before it would.
+    /// Stop the attempt because its draining worker will end before the attempt does.
     Evacuate,
-    /// Not all members of its gang have started in time.
+    /// Stop the attempt because not all members of its gang started in time.
     RestartGang,
-    /// It is stalled.
+    /// Stop the stalled attempt and start the task on another worker.
     Relocate,
-    /// It is late, or its worker does not respond, and speculative copies are allowed.
+    /// Start a speculative copy, because the attempt is late or its worker does not respond.
     StartCopy,
 }
 
 impl Leader {
-    /// Sets the timer of the next examination.
+    /// Sets the timer for the next examination unless an earlier one is set.
     pub(super) fn arm_attempt_examination(&mut self) {
         self.timers.set_no_later(self.now + EXAMINATION_INTERVAL_NS, Timer::ExamineAttempts);
     }
 
-    /// Examines all attempts that occupy a worker, and remedies what is wrong with them.
+    /// Examines all attempts that occupy a worker and applies the remedies.
     pub(super) fn examine_attempts(&mut self, state: &State) {
         if self.attempts.is_empty() {
             return;
@@ -73,14 +77,15 @@
         }
     }
 
-    /// Workers that are about to end: few, so that the worker of most attempts need not be looked up.
+    /// Returns the draining workers. There are few of them, so that the set spares a look-up of the worker of
+    /// each attempt.
     fn draining_workers(&self) -> BTreeSet<WorkerKey> {
         let is_draining =
             |entry: &WorkerEntry| entry.listing.as_ref().is_some_and(|listing| listing.draining);
         self.workers.iter().filter(|(_, entry)| is_draining(entry)).map(|(key, _)| *key).collect()
     }
 
-    /// What is to be done about the attempt, if anything.
+    /// Returns the remedy for the attempt, or `None` if the attempt is left alone.
     fn remedy(&self, key: AttemptKey, attempt: &Attempt, draining: &BTreeSet<WorkerKey>) -> Option<Remedy> {
         if attempt.stopping || !attempt.committed {
             return None;
@@ -117,7 +122,7 @@
         (late && still_useful).then_some(Remedy::StartCopy)
     }
 
-    /// Whether the attempt would not end before its draining worker does.
+    /// Returns whether the attempt would still run when its draining worker ends.
     fn outlives_worker(&self, attempt: &Attempt) -> bool {
         let Some(entry) = self.workers.get(&attempt.worker) else { return false };
         let Some(listing) = entry.listing.as_ref().filter(|listing| listing.draining) else { return false };
@@ -130,7 +135,8 @@
         attempt_remaining_ms as u64 + EVACUATION_OVERHEAD_MS > worker_remaining_ms
     }
 
-    /// Whether the attempt has made no progress for long, though its worker responds and others report progress.
+    /// Returns whether the attempt has made no progress for too long, although its worker is reachable and
+    /// attempts of the same service do report progress.
     fn is_stalled(&self, attempt: &Attempt) -> bool {
         let Some(entry) = self.workers.get(&attempt.worker).filter(|entry| entry.reachable) else {
             return false;
@@ -148,7 +154,8 @@
         stalled_ms(self.now) > MIN_STALL_MS.max(estimate_part_ms) + gang_ms
     }
 
-    /// Stops a stalled attempt, so that it is started elsewhere, or starts a copy first.
+    /// Stops a stalled attempt so that its task starts elsewhere. If the task allows speculative copies, a
+    /// copy starts first.
     fn relocate_stalled(&mut self, state: &State, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let (worker, placed_at) = (attempt.worker, attempt.placed_at);
--- a/crates/scheduler/src/leader/attempt_outcomes.rs
+++ b/crates/scheduler/src/leader/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! What ends and stalls of attempts say about their worker: its pace, its failure rate, its ejection.
+//! Evaluation of ended and stalled attempts: updates the pace, failure rate and ejection of their workers.
 
 use messages::job::{EndKind, WorkerEnd};
 
@@ -10,11 +10,11 @@
 use super::mechanisms::Mechanism;
 use super::worker_events::WorkerEvent;
 
-/// A pace above this only shows that the client's estimate was poor.
+/// Upper bound of a recorded pace. A higher value only shows that the client's estimate was poor.
 const MAX_PACE: f64 = 4.0;
 
 impl Leader {
-    /// Takes an end that a worker listed into its statistics.
+    /// Updates the statistics of a worker with an end that the worker reported.
     pub(super) fn record_end(&mut self, worker: WorkerKey, end: &WorkerEnd) {
         let Some(task) = end.task.as_ref().map(TaskKey::from) else { return };
         match end.kind {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A completed attempt: it ends a probation.
+    /// Records a completed attempt, which ends the worker's probation.
     fn record_success(&mut self, worker: WorkerKey, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let Some(started_at) = attempt.started_at else { return };
@@ -49,7 +49,8 @@
         self.update_placement(worker);
     }
 
-    /// A failed or stalled attempt, placed on the worker at `placed_at`: it may be ejected.
+    /// Records a failed or stalled attempt that was placed on the worker at `placed_at`. The worker may be
+    /// ejected.
     pub(super) fn record_failure(&mut self, worker: WorkerKey, job: u64, placed_at: u64) {
         let now = self.now;
         let ejects_outliers = self.uses(Mechanism::OutlierEjection);
--- a/crates/scheduler/src/leader/attempt_progress.rs
+++ b/crates/scheduler/src/leader/attempt_progress.rs
@@ -1,4 +1,5 @@
-//! What sessions report of attempts: starts, progress, ends, and attempts that surely do not run.
+//! Handling of the session outputs on attempts: starts, progress, ends, and attempts that are proven not to
+//! run.
 
 use messages::job::{AttemptResolved, RecordEnds, Resolution, WorkerEnd};
 
@@ -9,7 +10,7 @@
 use super::attempts::Baseline;
 use super::event_loop::Leader;
 
-/// How long a worker gets no starts after it rejected one, in nanoseconds.
+/// Time during which a worker gets no further starts after it rejected one.
 const REJECTED_START_BACKOFF_NS: u64 = 300 * NANOS_PER_MS;
 
 impl Leader {
@@ -78,7 +79,7 @@
         self.batch.resolved(AttemptResolved { task, attempt: key.attempt, instance, resolution, checkpoint });
     }
 
-    /// Puts the ends that workers listed into the next proposal.
+    /// Adds the ends that workers reported to the next proposal.
     pub(super) fn propose_ends(&mut self) {
         for worker in self.workers_with_ends.drain(..) {
             let Some(entry) = self.workers.get_mut(&worker) else { continue };
--- a/crates/scheduler/src/leader/attempts.rs
+++ b/crates/scheduler/src/leader/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that occupy a worker: proposed, being sent, running, or with an end that is not yet durable.
+//! Attempts that occupy a worker: proposed, being sent, running, or ended while the end is not yet committed.
 
 use std::collections::BTreeMap;
 
@@ -6,67 +6,68 @@
 use crate::placement::{Resources, WorkerKey};
 use crate::time::NANOS_PER_MS;
 
-/// Workers on which tasks failed or stalled.
+/// Workers on which attempts of a task failed or stalled, by task.
 pub(super) type FailedOn = BTreeMap<TaskKey, Vec<WorkerKey>>;
 
-/// One attempt and what is known of its run. Times are nanoseconds of the steady clock.
+/// One attempt and what the leader knows about its run. Times are in nanoseconds of the monotonic clock.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Attempt {
     pub(super) worker: WorkerKey,
-    /// Position of its service.
+    /// Index of the attempt's service in `Leader::services`.
     pub(super) service: usize,
     pub(super) need: Resources,
     pub(super) plan: usize,
-    /// The client's estimate of its run, in milliseconds.
+    /// The client's estimate of the run time, in milliseconds.
     pub(super) estimate_ms: u64,
     pub(super) gang: bool,
-    /// Of a gang's member: when its gang is given up unless all members are known to have started by then. Unset
-    /// until the orders leave.
+    /// For gang members: the time at which the gang is stopped unless all members are known to have started.
+    /// `None` until the start orders are sent.
     pub(super) gang_deadline: Option<u64>,
-    /// Whether it goes on from a checkpoint, so that its progress does not start at zero.
+    /// Whether the attempt resumes from a checkpoint, so that its progress does not start at zero.
     pub(super) resumes_from_checkpoint: bool,
     pub(super) long_running: bool,
     pub(super) speculative: bool,
     pub(super) checkpoints: bool,
-    /// Whether an earlier leader proposed it.
+    /// Whether an earlier leader proposed this attempt.
     pub(super) adopted: bool,
-    /// Whether the intent is durable.
+    /// Whether the start is committed.
     pub(super) committed: bool,
-    /// When its worker was chosen, or this leader first knew of it.
+    /// When the worker was chosen or, for an adopted attempt, when this leader learned of the attempt.
     pub(super) placed_at: u64,
-    /// When it was first known to run.
+    /// When the attempt was first known to run.
     pub(super) started_at: Option<u64>,
-    /// Whether it was started in this term and from the beginning, so that its whole run is measured.
+    /// Whether the attempt started in this term and without a checkpoint, so that its whole run is measured.
     pub(super) runs_from_start: bool,
-    /// The progress that was reported first.
+    /// The first progress report.
     pub(super) baseline: Option<Baseline>,
-    /// Share of its work that is done, in percent.
+    /// Completed share of the work, in percent.
     pub(super) percent: u32,
-    /// When `percent` last rose, or the attempt was made.
+    /// When `percent` last changed; initially the time at which the attempt was created.
     pub(super) progress_at: u64,
-    /// The last checkpoint, and when it was seen.
+    /// The latest checkpoint, and when this leader received it.
     pub(super) checkpoint: String,
     pub(super) checkpointed_at: Option<u64>,
-    /// Whether a stop was asked for.
+    /// Whether a stop has been requested.
     pub(super) stopping: bool,
 }
 
-/// The progress that was reported first for an attempt.
+/// The first progress report of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Baseline {
-    /// Share of the work that was done, in percent.
+    /// Completed share of the work, in percent.
     pub(super) percent: u32,
-    /// When it was reported.
+    /// When the report arrived.
     pub(super) at: u64,
 }
 
 impl Attempt {
-    /// Whether this leader has chosen its worker and no answer says that it runs.
+    /// Returns whether this leader chose the worker and no response has confirmed the start yet.
     fn awaits_confirmation(&self) -> bool {
         self.started_at.is_none() && !self.adopted
     }
 
-    /// Whether it has got further since it started, which members of a gang do only together.
+    /// Returns whether the attempt has progressed since its start. Members of a gang progress only once all
+    /// of them run.
     pub(super) fn has_progressed(&self) -> bool {
         let initial_percent = match self.resumes_from_checkpoint {
             true => self.baseline.map_or(u32::MAX, |first| first.percent),
@@ -75,14 +76,15 @@
         self.percent > initial_percent
     }
 
-    /// Core-seconds that a stop now would lose: work since the last checkpoint, and the restart.
+    /// Returns the core-seconds that a stop at `now` would lose: the work since the last checkpoint plus the
+    /// restart.
     pub(super) fn stop_cost_core_s(&self, now: u64) -> f64 {
         let Some(started_at) = self.started_at else { return 0.0 };
         if self.long_running {
             return 0.0;
         }
         if self.checkpoints {
-            // A stop saves; what is lost is the restart.
+            // Stopping saves a checkpoint, so that only the cost of the restart is lost.
             return self.need.cpu as f64 / 1_000.0 * RESTART_COST_S;
         }
         let since = self.checkpointed_at.unwrap_or(started_at);
@@ -90,7 +92,8 @@
         self.need.cpu as f64 / 1_000.0 * (seconds + RESTART_COST_S)
     }
 
-    /// How long the run will still take, in milliseconds, by its progress or else by the client's estimate.
+    /// Returns the remaining run time in milliseconds, extrapolated from the progress or, without enough
+    /// progress, taken from the client's estimate.
     pub(super) fn remaining_ms(&self, now: u64) -> u64 {
         let Some(started_at) = self.started_at else { return self.estimate_ms };
         let elapsed_ms = now.saturating_sub(started_at) / NANOS_PER_MS;
@@ -107,16 +110,16 @@
     }
 }
 
-/// What a stop and a start elsewhere cost at least, in seconds of the task's resources.
+/// Minimum cost of a stop and a restart elsewhere, in seconds of the task's resources.
 const RESTART_COST_S: f64 = 0.3;
-/// Progress, in percent, from which on its pace is an estimate of the rest.
+/// Minimum measured progress, in percent, from which the remaining run time can be extrapolated.
 const MIN_MEASURED_PERCENT: u32 = 5;
 
-/// All attempts that occupy a worker, in order of their tasks.
+/// All attempts that occupy a worker, ordered by task.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
     by_key: BTreeMap<AttemptKey, Attempt>,
-    /// Attempts of this leader whose start no worker has confirmed yet.
+    /// Number of attempts of this leader whose start no worker has confirmed yet.
     unconfirmed: usize,
 }
 
@@ -134,7 +137,8 @@
         Some(attempt)
     }
 
-    /// The attempt's worker says that it runs. Gives how long that took, the first time for a start of this leader.
+    /// Records that the worker reports the attempt as running. Returns the time since its placement if this
+    /// is the first confirmation of a start of this leader.
     pub(super) fn confirm_start(&mut self, key: &AttemptKey, now: u64) -> Option<u64> {
         let attempt = self.by_key.get_mut(key)?;
         let is_first = attempt.awaits_confirmation();
@@ -143,7 +147,7 @@
         is_first.then(|| now.saturating_sub(attempt.placed_at))
     }
 
-    /// Attempts of this leader whose start no worker has confirmed yet.
+    /// Returns the number of attempts of this leader whose start no worker has confirmed yet.
     pub(super) fn unconfirmed(&self) -> usize {
         self.unconfirmed
     }
@@ -168,36 +172,36 @@
         self.by_key.iter()
     }
 
-    /// The attempts from one key on.
+    /// Iterates over the attempts from `first` on, in key order.
     pub(super) fn starting_at(&self, first: AttemptKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.by_key.range(first..)
     }
 
-    /// The attempts of one task.
+    /// Iterates over the attempts of one task.
     pub(super) fn of_task(&self, task: TaskKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.by_key.range(AttemptKey { task, attempt: 0 }..=AttemptKey { task, attempt: u32::MAX })
     }
 
-    /// Whether no attempt of the job's tasks occupies a worker.
+    /// Returns whether no attempt of the job occupies a worker.
     pub(super) fn is_job_idle(&self, job: u64) -> bool {
         let task = TaskKey { job, time: 0, step: 0, index: 0 };
         let next = self.starting_at(AttemptKey { task, attempt: 0 }).next();
         next.is_none_or(|(key, _)| key.task.job != job)
     }
 
-    /// The attempts of one step's tasks.
+    /// Iterates over the attempts of one step.
     pub(super) fn of_step(&self, step: StepKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         let first = AttemptKey { task: step.task(0), attempt: 0 };
         let last = AttemptKey { task: step.task(u32::MAX), attempt: u32::MAX };
         self.by_key.range(first..=last)
     }
 
-    /// The attempts of one run of a gang: those of its step with the same number.
+    /// Iterates over the members of one gang run: the attempts of the step that have the same attempt number.
     pub(super) fn of_gang_run(&self, key: AttemptKey) -> impl Iterator<Item = (&AttemptKey, &Attempt)> {
         self.of_step(key.task.step_key()).filter(move |(member, _)| member.attempt == key.attempt)
     }
 
-    /// Whether no attempt of the task occupies a worker.
+    /// Returns whether no attempt of the task occupies a worker.
     pub(super) fn is_task_idle(&self, task: TaskKey) -> bool {
         self.of_task(task).next().is_none()
     }
--- a/crates/scheduler/src/leader/batch.rs
+++ b/crates/scheduler/src/leader/batch.rs
@@ -1,4 +1,4 @@
-//! Commands collected until the next flush: one proposal for all of them.
+//! Commands that are collected until the next flush and then proposed together.
 
 use messages::job::mod_Command::OneOfkind;
 use messages::job::{
@@ -24,27 +24,27 @@
         self.commands.push(Command { kind });
     }
 
-    /// Adds ends that a worker listed.
+    /// Adds ends that a worker reported.
     pub(super) fn ends(&mut self, ends: RecordEnds) {
         self.ends.push(ends);
     }
 
-    /// Adds an attempt that surely does not run.
+    /// Adds an attempt that is proven not to run.
     pub(super) fn resolved(&mut self, resolved: AttemptResolved) {
         self.resolved.push(resolved);
     }
 
-    /// Adds an intent to start. Members of a gang are to be added one after another.
+    /// Adds the start of an attempt. The members of a gang must be added consecutively.
     pub(super) fn start(&mut self, start: AttemptStart) {
         self.starts.push(start);
     }
 
-    /// Adds where an incarnation is, once before anything else of it.
+    /// Adds the address of an incarnation. Must be called once, before any other command on that incarnation.
     pub(super) fn incarnation(&mut self, incarnation: &WorkerIncarnation) {
         self.incarnations.push(incarnation.clone());
     }
 
-    /// Forgets an incarnation that is over.
+    /// Removes an incarnation that has ended.
     pub(super) fn forget_worker(&mut self, instance: String) {
         self.forget.push(instance);
     }
@@ -54,13 +54,14 @@
         self.clock_ms = Some(now_ms);
     }
 
-    /// Whether there is nothing to propose; addresses of incarnations only go along with other commands.
+    /// Returns whether there is nothing to propose. Incarnation addresses are only sent along with other
+    /// commands.
     pub(super) fn is_empty(&self) -> bool {
         let no_requests = self.commands.is_empty() && self.starts.is_empty() && self.clock_ms.is_none();
         no_requests && self.ends.is_empty() && self.resolved.is_empty() && self.forget.is_empty()
     }
 
-    /// Takes the collected commands: what has already happened first, then requests, then intents.
+    /// Takes the collected commands in this order: events that have already happened, requests, starts.
     pub(super) fn take(&mut self) -> CommandBatch {
         let mut kinds = Vec::with_capacity(self.commands.len() + self.ends.len() + 4);
         if let Some(now_ms) = self.clock_ms.take() {
--- a/crates/scheduler/src/leader/capacity_reservation.rs
+++ b/crates/scheduler/src/leader/capacity_reservation.rs
@@ -1,9 +1,9 @@
-//! Capacity on one worker that is reserved for a waiting step.
+//! A reservation of capacity on one worker for a waiting step.
 
 use crate::ids::StepKey;
 use crate::placement::{Resources, WorkerKey};
 
-/// Capacity that is reserved on a worker.
+/// Capacity that is reserved on a worker for a step.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CapacityReservation {
     step: StepKey,
@@ -16,22 +16,22 @@
         Self { step, worker, reserved }
     }
 
-    /// The step for which it is reserved.
+    /// The step that the capacity is reserved for.
     pub(super) fn step(&self) -> StepKey {
         self.step
     }
 
-    /// The worker on which it is reserved.
+    /// The worker on which the capacity is reserved.
     pub(super) fn worker(&self) -> WorkerKey {
         self.worker
     }
 
-    /// How much is reserved so far.
+    /// The amount reserved so far.
     pub(super) fn reserved(&self) -> Resources {
         self.reserved
     }
 
-    /// The key under which the fleet reserves it: no step of a job has it.
+    /// The key under which the fleet books the reservation. No real step has this key.
     pub(super) fn reservation_key(&self) -> StepKey {
         StepKey { job: self.step.job, time: u32::MAX, step: u32::MAX }
     }
--- a/crates/scheduler/src/leader/client_requests.rs
+++ b/crates/scheduler/src/leader/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: routed by the configuration in force, answered once their command is durable.
+//! Client requests: routed by the active configuration and answered once their command is committed.
 
 use configuration::{job_id, Route};
 use messages::job::mod_Command::OneOfkind;
@@ -12,12 +12,12 @@
 use super::interface::Output;
 use super::pending_requests::JobName;
 
-/// When a client may retry while there is no configuration yet, in milliseconds.
+/// Retry delay for clients while there is no configuration.
 const RETRY_UNAVAILABLE_MS: u32 = 1_000;
-/// When a client may retry while too many tasks are open, in milliseconds.
+/// Retry delay for clients while too many tasks are open.
 const RETRY_OVERLOADED_MS: u32 = 5_000;
 
-/// A reply with nothing but its outcome.
+/// Returns a reply that holds only an outcome.
 pub(super) fn reply(outcome: Outcome) -> ClientReply {
     ClientReply { outcome, ..ClientReply::default() }
 }
@@ -26,7 +26,7 @@
     ClientReply { text: text.to_owned(), ..reply(Outcome::INVALID) }
 }
 
-/// Host and path prefix of a route: what a job's identity is unique under.
+/// Returns the host and path prefix of a route. A job ID is unique within this key.
 fn prefix_key(route: &Route) -> String {
     let mut key = String::with_capacity(route.host.len() + route.path_prefix.len());
     key.push_str(&route.host);
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The reply to a request, or `None` if it has to wait for a commit.
+    /// Returns the reply to a request, or `None` if the request has to wait for a commit.
     fn answer(&mut self, state: &State, token: u64, request: ClientRequest) -> Option<ClientReply> {
         let Some(configuration) = self.configuration.clone() else {
             return Some(ClientReply { retry_after_ms: RETRY_UNAVAILABLE_MS, ..reply(Outcome::UNAVAILABLE) });
@@ -148,14 +148,14 @@
         None
     }
 
-    /// Answers all requests that waited for the submission of a job.
+    /// Answers all requests that wait for the submission of the job.
     pub(super) fn reply_submits(&mut self, name: &JobName, reply: &ClientReply, out: &mut Vec<Output>) {
         for token in self.pending_clients.take_submits(name) {
             out.push(Output::Reply { token, reply: reply.clone() });
         }
     }
 
-    /// Answers all requests that waited for the cancellation of a job.
+    /// Answers all requests that wait for the cancellation of the job.
     pub(super) fn reply_cancels(&mut self, name: &JobName, reply: &ClientReply, out: &mut Vec<Output>) {
         for token in self.pending_clients.take_cancels(name) {
             out.push(Output::Reply { token, reply: reply.clone() });
@@ -163,7 +163,7 @@
     }
 }
 
-/// Whether the job was submitted under the route's host and prefix.
+/// Returns whether the job was submitted under the route's host and path prefix.
 fn belongs_to_route(job: &Job, route: &Route) -> bool {
     job.prefix_key().strip_prefix(route.host.as_str()) == Some(route.path_prefix.as_str())
 }
--- a/crates/scheduler/src/leader/committed_changes.rs
+++ b/crates/scheduler/src/leader/committed_changes.rs
@@ -1,4 +1,4 @@
-//! Consequences of committed commands: replies, waiting tasks, orders to workers.
+//! Handling of committed commands: replies, newly waiting tasks, and orders to workers.
 
 use messages::job::EndKind;
 use messages::peer::{ClientReply, Outcome};
@@ -17,7 +17,7 @@
 use super::worker_events::{GangProgress, WorkerEvent};
 
 impl Leader {
-    /// Acts on the changes of one committed batch, in order.
+    /// Handles the changes of one committed batch, in order.
     pub(super) fn changes_committed(
         &mut self,
         state: &State,
@@ -82,7 +82,7 @@
         self.reply_submits(&JobName { id: job, prefix_key }, &reply(Outcome::ACCEPTED), out);
     }
 
-    /// Counts the tasks of an open job and schedules its times.
+    /// Counts the tasks of an open job and schedules its due times.
     pub(super) fn job_opened(&mut self, state: &State, job: u64) {
         let Some(work) = state.open_work(job) else { return };
         let tasks: u64 = work.stages().iter().map(|stage| u64::from(stage.count)).sum();
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The intent is durable: the worker may be asked to start it.
+    /// Hands the committed start to the worker's session, which may send it from now on.
     fn intent_committed(&mut self, state: &State, key: AttemptKey) {
         let now = self.now;
         let Some(attempt) = self.attempts.get_mut(&key) else { return };
@@ -180,7 +180,7 @@
         self.release(key);
     }
 
-    /// Reports a gang's member that ended since the others did not start in time.
+    /// Records an event for a gang member that ended because the other members did not start in time.
     fn record_gang_member_timeout(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let Some(entry) = self.workers.get(&attempt.worker) else { return };
@@ -195,7 +195,8 @@
         self.events.push(WorkerEvent::GangMemberTimedOut { instance: entry.instance.clone(), key, gang });
     }
 
-    /// Keeps an attempt for the reports of jobs. To be called before its capacity is released.
+    /// Adds an attempt to the history for job reports. Must be called before the attempt's capacity is
+    /// released.
     fn record_finished(&mut self, key: AttemptKey, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let Some(entry) = self.workers.get(&attempt.worker) else { return };
--- a/crates/scheduler/src/leader/configuration_changes.rs
+++ b/crates/scheduler/src/leader/configuration_changes.rs
@@ -1,5 +1,5 @@
-//! Configuration changes of the operator: checked here, in force once committed, and never rejected when they are
-//! repeated after that.
+//! Configuration changes by the operator: validated here and active once committed. Repeating an accepted
+//! change is always accepted again.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::event_loop::Leader;
 use super::interface::{ConfigurationReply, Output};
 
-/// When the operator may ask again while there is no configuration, in milliseconds.
+/// Retry delay for the operator while there is no configuration.
 const RETRY_MS: u32 = 500;
 
 impl Leader {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The reply to a change, or `None` if it waits for its commit.
+    /// Returns the reply to a change, or `None` if the change waits for its commit.
     fn check_configuration(
         &mut self,
         state: &State,
@@ -70,7 +70,7 @@
         out.push(Output::ConfigurationReply { token, reply });
     }
 
-    /// Answers all requests that waited for this change.
+    /// Answers all requests that wait for this change.
     pub(super) fn reply_configuration(
         &mut self,
         key: &ConfigurationKey,
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Puts the state's newest configuration in force.
+    /// Activates the newest configuration of the state.
     pub(super) fn load_configuration(&mut self, state: &State) {
         let Some(newest) = state.configuration() else { return };
-        // Only a body that could be read was ever proposed.
+        // Only bodies that parse are ever proposed.
         let Ok(configuration) = OperatorConfiguration::read(&newest.body) else { return };
         for service in configuration.services() {
             self.service_position(&service.name);
--- a/crates/scheduler/src/leader/demand.rs
+++ b/crates/scheduler/src/leader/demand.rs
@@ -1,16 +1,16 @@
-//! What the tasks of a step ask of a worker.
+//! Resources and constraints that the tasks of a step demand of a worker.
 
 use messages::job::Stage;
 
 use crate::ids::StepKey;
 use crate::placement::{Demand, Resources, WorkerKey};
 
-/// What a task needs.
+/// Returns the resources that one task needs.
 pub(super) fn need_of(stage: &Stage) -> Resources {
     Resources { cpu: stage.cpu, mem_mb: stage.mem_mb, gpu: stage.gpu }
 }
 
-/// What a task of the step asks of a worker.
+/// Returns the demand that a task of the step makes on a worker.
 pub(super) fn demand_of<'a>(step: StepKey, stage: &'a Stage, avoid: &'a [WorkerKey]) -> Demand<'a> {
     Demand {
         need: need_of(stage),
--- a/crates/scheduler/src/leader/due_times.rs
+++ b/crates/scheduler/src/leader/due_times.rs
@@ -1,4 +1,4 @@
-//! Jobs that run at times of day: their steps are queued when they fall due.
+//! Scheduled jobs: their steps are queued when an occurrence falls due.
 
 use crate::ids::StepKey;
 use crate::state::{State, Work};
@@ -9,18 +9,18 @@
 use super::service::QueueEnd;
 use super::timers::Timer;
 
-/// The longest wait on one timer, in nanoseconds: the time of day may step.
+/// Maximum delay of the schedule timer, because the time of day may step.
 const RECHECK_INTERVAL_NS: u64 = NANOS_PER_S;
 
 impl Leader {
-    /// Schedules the first open time of a job.
+    /// Schedules the first open occurrence of a job.
     pub(super) fn schedule_job(&mut self, state: &State, job: u64) {
         if let Some(work) = state.open_work(job) {
             self.schedule_time(job, work, 0);
         }
     }
 
-    /// Schedules the first open time of the job at or after `time`.
+    /// Schedules the first open occurrence of the job whose index is at least `time`.
     fn schedule_time(&mut self, job: u64, work: &Work, time: u32) {
         let time = work.next_open_time(time);
         if time < work.time_count() {
@@ -38,7 +38,7 @@
         self.timers.set_no_later(at, Timer::Schedule);
     }
 
-    /// Queues the steps of all times that are due.
+    /// Queues the steps of all occurrences that are due.
     pub(super) fn enqueue_due_times(&mut self, state: &State) {
         if !self.clock.is_known() {
             return;
--- a/crates/scheduler/src/leader/event_loop.rs
+++ b/crates/scheduler/src/leader/event_loop.rs
@@ -1,4 +1,4 @@
-//! The leader of one term: its state, and the order in which an event is handled.
+//! The leader of one term: its state, and the dispatch of events.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -34,44 +34,44 @@
 use super::worker_entry::WorkerEntry;
 use super::worker_events::{WorkerEvent, WorkerEvents};
 
-/// Least time between two proposals of the time of day to the state, in nanoseconds.
+/// Minimum time between two proposals of the time of day to the replicated state.
 const CLOCK_PROPOSAL_INTERVAL_NS: u64 = 500 * NANOS_PER_MS;
-/// Time between two such proposals while nothing else is proposed, in nanoseconds.
+/// Time between two such proposals while no other commands are proposed.
 const IDLE_CLOCK_PROPOSAL_INTERVAL_NS: u64 = 20_000 * NANOS_PER_MS;
 
 /// The leader of one term.
 ///
-/// The driver hands in events with `handle`, calls `flush` once after each run of events, and carries out the
-/// outputs. All times are nanoseconds of one steady clock unless a name says otherwise.
+/// The driver passes events to `handle`, calls `flush` once after each run of events, and executes the
+/// outputs. All times are nanoseconds of one monotonic clock unless a name says otherwise.
 pub struct Leader {
     pub(super) term: u64,
     pub(super) settings: LeaderSettings,
-    /// The time of the event that is being handled.
+    /// The time of the current event.
     pub(super) now: u64,
-    /// When the term's leader started here.
+    /// When this process became the leader of the term.
     pub(super) term_started_at: u64,
-    /// Until when this process surely leads.
+    /// The end of the leader lease: this process is certain to lead until then.
     pub(super) lease_until: u64,
     pub(super) clock: WallClock,
-    /// The configuration in force, once there is one.
+    /// The active configuration, once there is one.
     pub(super) configuration: Option<Arc<OperatorConfiguration>>,
     /// Commands of the next proposal.
     pub(super) batch: Batch,
-    /// When the time of day was last proposed, 0 before the first time.
+    /// When the time of day was last proposed; 0 before the first proposal.
     clock_proposed_at: u64,
     pub(super) pending_clients: PendingClients,
     pub(super) pending_configurations: PendingConfigurations,
-    /// Services by position; `peers` has the same positions.
+    /// All services. `peers` has the same indices.
     pub(super) services: Vec<Service>,
     pub(super) peers: Vec<PeerAverages>,
-    /// What the admission of this turn may still cost.
+    /// The remaining admission budget of this turn.
     pub(super) admission_budget: TurnBudget,
-    /// The service with which admission continues.
+    /// Index of the service with which admission continues.
     pub(super) next_service: usize,
-    /// Position of each service by its name.
+    /// Index of each service by its name.
     pub(super) service_positions: HashMap<String, usize>,
     pub(super) workers: BTreeMap<WorkerKey, WorkerEntry>,
-    /// Keys of workers by the instance of their incarnation.
+    /// Key of each worker by the instance ID of its incarnation.
     pub(super) worker_keys: HashMap<Arc<str>, WorkerKey>,
     pub(super) next_worker: WorkerKey,
     /// Workers whose session is to be polled.
@@ -81,35 +81,35 @@
     /// Workers with ends that are not yet proposed.
     pub(super) workers_with_ends: Vec<WorkerKey>,
     pub(super) attempts: Attempts,
-    /// How fast starts are confirmed.
+    /// Rate and delay of confirmed starts.
     pub(super) start_pace: StartPace,
-    /// Jobs that were rejected for overload.
+    /// Jobs that were rejected because of overload.
     pub(super) rejected_jobs: RejectedJobs,
     pub(super) held_gangs: HeldGangs,
     pub(super) history: AttemptHistory,
     pub(super) events: WorkerEvents,
     pub(super) failed_on: FailedOn,
-    /// Tasks of open jobs, for the bound on memory.
+    /// Number of tasks in open jobs, for the memory limit.
     pub(super) open_tasks: u64,
-    /// The same by job.
+    /// Number of tasks of each open job.
     pub(super) open_job_tasks: HashMap<u64, u64>,
     pub(super) schedule: Schedule,
     pub(super) timers: Timers,
-    /// Reads of the platform's list.
+    /// Reads of the platform's instance list.
     pub(super) list_reads: ListReads,
-    /// The wake-up that the driver was last asked for.
+    /// The wake-up time last requested from the driver.
     wake_up_at: Option<u64>,
-    /// A worker has seen a newer leader: this one orders nothing more.
+    /// Whether a worker has seen a newer leader. A fenced leader sends no more orders.
     pub(super) fenced: bool,
-    /// Reused between polls of sessions; empty outside of them.
+    /// Buffer that is reused between polls of sessions and is empty in between.
     pub(super) session_outputs: Vec<SessionOutput>,
     pub(super) random: fastrand::Rng,
-    /// Work done since it was last taken.
+    /// Work counted since `take_work` was last called.
     pub(super) work: LeaderWork,
 }
 
 impl Leader {
-    /// A leader that knows nothing of the state yet.
+    /// Creates a leader that has not read the replicated state yet.
     pub(super) fn empty(term: u64, settings: LeaderSettings, now: u64, seed: u64) -> Self {
         Self {
             term,
@@ -160,18 +160,19 @@
         self.term
     }
 
-    /// Known workers, those that have ended included.
+    /// Number of known workers, including workers that have ended.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// Until when this process surely leads, in nanoseconds of the steady clock. To be called whenever it changes.
+    /// Sets the end of the leader lease, in nanoseconds of the monotonic clock. Must be called whenever it
+    /// changes.
     pub fn set_lease(&mut self, now: u64, until: u64) {
         let had_expired = self.lease_until <= now;
         self.now = self.now.max(now);
         self.lease_until = until;
         if had_expired && until > now {
-            // The others send nothing that needs the lease.
+            // Idle sessions send nothing that needs the lease.
             let busy = self.workers.iter().filter(|(_, entry)| !entry.session.is_idle());
             let keys: Vec<WorkerKey> = busy.map(|(key, _)| *key).collect();
             for key in keys {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Handles one event; `state` is as of all batches handed back so far.
+    /// Handles one event. `state` must reflect all batches passed in so far.
     pub fn handle(&mut self, state: &State, now: u64, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.work.inputs += 1;
@@ -207,14 +208,14 @@
         self.run_timers(state, out);
     }
 
-    /// Ends a turn: polls the sessions of workers for which something changed, starts the tasks for which there is
-    /// capacity, proposes the commands collected so far, and says when to wake up. To be called once after each run
-    /// of events, with the state as of all batches handed back so far.
+    /// Ends a turn: polls the sessions of workers with changes, starts the tasks for which there is capacity,
+    /// proposes the collected commands, and requests the next wake-up. Must be called once after each run of
+    /// events, with a state that reflects all batches passed in so far.
     pub fn flush(&mut self, state: &State, now: u64, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         let polled = self.poll_workers(POLLS_PER_TURN, out);
         self.admit(state);
-        // Attempts that were preempted are to be stopped.
+        // Admission may have preempted attempts, whose stops are sent now.
         self.poll_workers(POLLS_PER_TURN - polled, out);
         self.propose_ends();
         self.propose_clock();
@@ -228,19 +229,19 @@
         }
     }
 
-    /// Takes the events of workers since the last call, the oldest first. Calling it is optional: beyond a bound
+    /// Takes the worker events since the last call, oldest first. Calling this is optional: beyond a limit,
     /// further events are dropped.
     pub fn take_worker_events(&mut self) -> Vec<WorkerEvent> {
         self.events.take()
     }
 
-    /// Whether a mechanism is in use.
+    /// Returns whether a mechanism is enabled.
     pub(super) fn uses(&self, mechanism: Mechanism) -> bool {
         self.settings.mechanisms.uses(mechanism)
     }
 
     fn tick(&mut self, time_of_day_ms: u64) {
-        // The driver has no wake-up left, whether this one was asked for or not.
+        // Any tick uses up the driver's wake-up, whether or not that wake-up caused it.
         self.wake_up_at = None;
         let first = !self.clock.is_known();
         self.clock.set(self.now, time_of_day_ms);
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Proposes the time of day along with other commands, or by itself at long intervals.
+    /// Proposes the time of day along with other commands, or alone at long intervals.
     fn propose_clock(&mut self) {
         if !self.clock.is_known() {
             return;
@@ -280,7 +281,7 @@
         }
     }
 
-    /// The position of a service, which becomes known on first use.
+    /// Returns the index of a service and adds the service if it is new.
     pub(super) fn service_position(&mut self, name: &str) -> usize {
         if let Some(position) = self.service_positions.get(name) {
             return *position;
--- a/crates/scheduler/src/leader/gang_pause.rs
+++ b/crates/scheduler/src/leader/gang_pause.rs
@@ -1,4 +1,5 @@
-//! Pauses of other starts for the sake of a gang, which needs capacity on several workers at once.
+//! Admission pauses for gangs: other starts of a service pause so that a waiting gang can get capacity on
+//! several workers at once.
 
 use crate::placement::Demand;
 use crate::state::State;
@@ -11,15 +12,16 @@
 use super::service::{Choice, StepKind};
 use super::timers::Timer;
 
-/// How long a gang waits without capacity before other starts pause for it, in nanoseconds.
+/// How long a gang waits without capacity before other starts pause for it.
 const GANG_WAIT_NS: u64 = 1_000 * NANOS_PER_MS;
-/// Other starts pause for this long for a gang that waits, in nanoseconds.
+/// Duration of such a pause.
 const GANG_PAUSE_NS: u64 = 1_500 * NANOS_PER_MS;
-/// Least time between the beginnings of two such pauses, in nanoseconds.
+/// Minimum time between the starts of two pauses.
 const GANG_PAUSE_INTERVAL_NS: u64 = 6_000 * NANOS_PER_MS;
 
 impl Leader {
-    /// Whether other starts of the service are to pause for a gang. A gang that fits by now is started instead.
+    /// Returns whether other starts of the service must pause for a gang. If the waiting gang fits now, it is
+    /// started and there is no pause.
     pub(super) fn pauses_for_gang(&mut self, state: &State, position: usize) -> bool {
         if !self.uses(Mechanism::GangAdmissionPauses) {
             return false;
--- a/crates/scheduler/src/leader/gang_starts.rs
+++ b/crates/scheduler/src/leader/gang_starts.rs
@@ -1,9 +1,9 @@
-//! Starts of gangs. The orders of all members leave together, and a gang that is not complete in time is stopped by its
-//! leader before its members end by themselves.
+//! Starts of gangs. The start orders of all members are sent together, and the leader stops a gang that is
+//! not complete in time before its members end by themselves.
 //!
-//! A member waits at its worker for the others, and ends once `gang_ms` have passed. So its order is held until every
-//! worker of the gang can be sent one at once, and the time for a gang to be complete is counted from when the orders
-//! left: answers that come late, or not at all, do not extend it.
+//! A member waits on its worker for the other members and ends after `gang_ms`. Therefore the order of a
+//! member is held until every worker of the gang can be sent an order immediately. The time limit for a
+//! complete gang counts from the moment the orders are sent: late or missing responses do not extend it.
 
 use std::collections::BTreeMap;
 
@@ -16,36 +16,37 @@
 use super::held_gangs::HeldGang;
 use super::timers::Timer;
 
-/// How long orders are held until all members can start, in nanoseconds. Afterwards the gang is placed anew.
+/// How long orders are held until all members can start. After that the gang is placed again.
 const MAX_HOLD_NS: u64 = 500 * NANOS_PER_MS;
-/// Time between two checks of whether all members can start, in nanoseconds.
+/// Time between two checks of whether all members can start.
 const CHECK_INTERVAL_NS: u64 = 5 * NANOS_PER_MS;
-/// A gang is given up once this part of `gang_ms` has passed since its orders left: the rest is left for its stops.
+/// A gang is stopped once `gang_ms` divided by this value has passed since its orders were sent. The
+/// remaining time is reserved for stopping its members.
 const GANG_DEADLINE_DIVISOR: u64 = 2;
-/// The same for a gang of an earlier leader, since the takeover: its members may have waited as long as that leader
-/// permitted, and through the election.
+/// The same for a gang of an earlier leader, counted from the takeover. Its members may already have waited
+/// as long as that leader allowed, plus the time of the election.
 const ADOPTED_GANG_DEADLINE_DIVISOR: u64 = 5;
-/// After this time the lists of a worker show the progress of a member that is at work, in nanoseconds.
+/// Time after which the status lists of a worker show the progress of a running member.
 const PROGRESS_REPORT_DELAY_NS: u64 = 500 * NANOS_PER_MS;
 
-/// Whether the orders of a gang may leave.
+/// Whether the orders of a gang can be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Readiness {
     Ready,
-    /// Some member can't start at this moment.
+    /// Some member cannot start at this moment.
     NotYet,
-    /// A member is gone, or is to be stopped: the gang can't be complete.
+    /// A member is gone or is being stopped, so that the gang cannot become complete.
     Incomplete,
 }
 
 impl Leader {
-    /// The intent to start a gang's member is durable: its order is held until those of all members can leave.
+    /// Holds the committed start of a gang member until the orders of all members can be sent.
     pub(super) fn hold_gang_member(&mut self, key: AttemptKey) {
         self.held_gangs.add(key, self.now);
         self.timers.set_no_later(self.now, Timer::ReleaseGangs);
     }
 
-    /// Lets the orders of those gangs leave whose members can all start, and gives up those that were held too long.
+    /// Sends the orders of gangs whose members can all start, and withdraws gangs that were held too long.
     pub(super) fn release_gangs(&mut self) {
         for gang in self.held_gangs.take() {
             match self.readiness(&gang) {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The worker whose session holds the order of a member that is to run.
+    /// Returns the worker whose session holds the order of a member, or `None` if the member is not to run.
     fn worker_holding_start(&self, key: AttemptKey) -> Option<WorkerKey> {
         let attempt = self.attempts.get(&key).filter(|attempt| !attempt.stopping)?;
         let entry = self.workers.get(&attempt.worker)?;
@@ -85,7 +86,7 @@
 
     fn release_gang(&mut self, gang: &HeldGang) {
         let deadline = self.now + self.settings.gang_ms * NANOS_PER_MS / GANG_DEADLINE_DIVISOR;
-        // Each one goes to the front of its worker's queue: the first member last.
+        // Each order goes to the front of its worker's queue, so that the first member is released last.
         for key in gang.members.iter().rev() {
             let Some(attempt) = self.attempts.get_mut(key) else { continue };
             attempt.gang_deadline = Some(deadline);
@@ -97,14 +98,14 @@
         }
     }
 
-    /// Gives up a gang of which no order has left.
+    /// Stops the members of a gang of which no order has been sent.
     fn withdraw_gang(&mut self, gang: &HeldGang) {
         for key in &gang.members {
             self.stop_attempt(*key);
         }
     }
 
-    /// Limits how long an attempt of an earlier leader may wait for the others of its gang.
+    /// Limits how long an attempt of an earlier leader may wait for the other members of its gang.
     pub(super) fn limit_adopted_gang(&mut self, key: AttemptKey) {
         let deadline = self.now + self.settings.gang_ms * NANOS_PER_MS / ADOPTED_GANG_DEADLINE_DIVISOR;
         if let Some(attempt) = self.attempts.get_mut(&key).filter(|attempt| attempt.gang) {
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Whether the time for the attempt's gang to be complete is over, and the gang is not known to be.
+    /// Returns whether the deadline of the attempt's gang has passed while the gang is not known to be
+    /// complete.
     pub(super) fn is_gang_overdue(&self, key: AttemptKey, attempt: &Attempt) -> bool {
         if attempt.gang_deadline.is_none_or(|deadline| self.now < deadline) || attempt.has_progressed() {
             return false;
@@ -128,8 +130,9 @@
         has_unstarted_members && may_wait
     }
 
-    /// Whether a member without progress may be waiting for others. One of an earlier leader may be at work though
-    /// nothing was heard of it yet: it has to be listed for a while without progress.
+    /// Returns whether a member without progress may be waiting for other members. A member of an earlier
+    /// leader may be running although it has not been reported yet, so that it must have been listed without
+    /// progress for a while.
     fn may_wait_for_members(&self, member: &Attempt) -> bool {
         let shows_no_progress = |since: u64| self.now >= since + PROGRESS_REPORT_DELAY_NS;
         !member.adopted || member.started_at.is_some_and(shows_no_progress)
--- a/crates/scheduler/src/leader/held_gangs.rs
+++ b/crates/scheduler/src/leader/held_gangs.rs
@@ -1,11 +1,11 @@
-//! Gangs whose intents are durable and whose orders have not left.
+//! Gangs whose starts are committed but whose orders have not been sent.
 
 use crate::ids::AttemptKey;
 
-/// One run of a gang whose orders are held: its members share step and attempt number.
+/// One run of a gang whose orders are held. Its members share the step and the attempt number.
 #[derive(Debug)]
 pub(super) struct HeldGang {
-    /// Since when its orders are held, in nanoseconds of the steady clock.
+    /// When the leader began to hold the orders, in nanoseconds of the monotonic clock.
     pub(super) held_since: u64,
     pub(super) members: Vec<AttemptKey>,
 }
@@ -19,14 +19,14 @@
     }
 }
 
-/// All gangs whose orders are held, the oldest first.
+/// All gangs whose orders are held, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct HeldGangs {
     gangs: Vec<HeldGang>,
 }
 
 impl HeldGangs {
-    /// Adds a member to its gang, which is held from `now` on if this is its first one.
+    /// Adds a member to its gang. The first member adds the gang, held since `now`.
     pub(super) fn add(&mut self, key: AttemptKey, now: u64) {
         match self.gangs.iter_mut().rev().find(|gang| gang.includes(key)) {
             Some(gang) => gang.members.push(key),
@@ -39,7 +39,7 @@
         std::mem::take(&mut self.gangs)
     }
 
-    /// Puts a gang back that was taken out and is to be held longer.
+    /// Puts back a gang that must be held longer.
     pub(super) fn put_back(&mut self, gang: HeldGang) {
         self.gangs.push(gang);
     }
--- a/crates/scheduler/src/leader/history.rs
+++ b/crates/scheduler/src/leader/history.rs
@@ -1,4 +1,4 @@
-//! The newest finished attempts, for the reports of jobs.
+//! The most recently finished attempts, for job reports.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use crate::ids::AttemptKey;
 use crate::state::AttemptOutcome;
 
-/// Finished attempts that are kept: some tens of kilobytes.
+/// Maximum number of finished attempts kept, which take some tens of kilobytes.
 const MAX_FINISHED_ATTEMPTS: usize = 1_024;
 
-/// A finished attempt. Times are nanoseconds of the steady clock.
+/// A finished attempt. Times are in nanoseconds of the monotonic clock.
 #[derive(Debug, Clone)]
 pub(super) struct FinishedAttempt {
     pub(super) key: AttemptKey,
@@ -20,14 +20,14 @@
     pub(super) percent: u32,
 }
 
-/// The newest finished attempts, the oldest first.
+/// The most recently finished attempts, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct AttemptHistory {
     newest: VecDeque<FinishedAttempt>,
 }
 
 impl AttemptHistory {
-    /// Adds an attempt, in place of the oldest if there are too many.
+    /// Adds an attempt and drops the oldest one if the history is full.
     pub(super) fn push(&mut self, attempt: FinishedAttempt) {
         if self.newest.len() >= MAX_FINISHED_ATTEMPTS {
             self.newest.pop_front();
@@ -35,7 +35,7 @@
         self.newest.push_back(attempt);
     }
 
-    /// The kept attempts of a job, the oldest first.
+    /// Iterates over the kept attempts of a job, oldest first.
     pub(super) fn of_job(&self, job: u64) -> impl Iterator<Item = &FinishedAttempt> {
         self.newest.iter().filter(move |attempt| attempt.key.task.job == job)
     }
--- a/crates/scheduler/src/leader/instances.rs
+++ b/crates/scheduler/src/leader/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances: which workers there are, their capacity, which are draining.
+//! The platform's instance list: which workers exist, their capacity, and which of them are draining.
 
 use configuration::Instance;
 use messages::job::WorkerIncarnation;
@@ -11,11 +11,11 @@
 use super::timers::Timer;
 use super::worker_entry::Listing;
 
-/// How long an idle incarnation that is no longer listed is kept, in nanoseconds.
+/// How long an idle incarnation is kept after it disappeared from the list.
 const UNLISTED_RETENTION_NS: u64 = 60_000 * NANOS_PER_MS;
 
 impl Leader {
-    /// Asks the driver for the list, unless a read is outstanding.
+    /// Requests a read of the list from the driver unless a read is outstanding.
     pub(super) fn request_instances(&mut self, out: &mut Vec<Output>) {
         if !self.list_reads.is_outstanding(self.now) {
             self.list_reads.requested(self.now);
@@ -24,7 +24,8 @@
         self.timers.set(self.list_reads.times_out_at(), Timer::ReadInstances);
     }
 
-    /// Sets the timer of the next read, with jitter, so that leaders of several deployments do not read in step.
+    /// Sets the timer for the next read, with jitter so that the leaders of several deployments do not read
+    /// in step.
     fn schedule_instance_read(&mut self) {
         let interval_ms = self.settings.list_interval_ms.max(1);
         let jitter_ms = self.random.u64(0..=interval_ms / 16);
@@ -32,13 +33,14 @@
         self.timers.set(due, Timer::ReadInstances);
     }
 
-    /// The list could not be read to its end.
+    /// Handles a read that did not reach the end of the list.
     pub(super) fn list_read_failed(&mut self) {
         self.list_reads.read_ended(false);
         self.schedule_instance_read();
     }
 
-    /// A page of the list was read. It is acted on at once: the pages that follow may take long.
+    /// Handles one page of the list. The page takes effect immediately because the following pages may take
+    /// long.
     pub(super) fn list_page_received(&mut self, instances: &[Instance], as_of: u64, has_changed: bool) {
         self.list_reads.page_received(self.now);
         let listed: Vec<WorkerKey> =
@@ -47,7 +49,7 @@
         self.arm_listing_expiry();
     }
 
-    /// All pages of a list were read: what none of them showed is not listed.
+    /// Handles the end of a complete read: instances that no page showed are not listed.
     pub(super) fn list_completed(&mut self) {
         let current = self.list_reads.current_read();
         let unlisted = self.workers.iter().filter(|(_, entry)| entry.last_listed_read != current);
@@ -59,7 +61,7 @@
         self.schedule_instance_read();
     }
 
-    /// Takes what the list says of an instance; placement is still to be updated.
+    /// Applies the list entry of an instance. The caller must update placement afterwards.
     fn instance_listed(&mut self, instance: &Instance, as_of: u64, has_changed: bool) -> WorkerKey {
         let known = self.worker_keys.get(instance.id.as_str()).copied();
         let is_known =
@@ -81,7 +83,7 @@
         key
     }
 
-    /// Takes what is new about an instance.
+    /// Applies the changed attributes of an instance.
     fn listing_changed(&mut self, instance: &Instance) -> WorkerKey {
         let incarnation = WorkerIncarnation {
             instance: instance.id.clone(),
@@ -117,7 +119,8 @@
         key
     }
 
-    /// An incarnation that is not listed gets no starts; an idle one is forgotten after a while.
+    /// Withholds starts from an incarnation that is not listed. An idle incarnation is removed after the
+    /// retention time.
     fn instance_not_listed(&mut self, key: WorkerKey) {
         let now = self.now;
         let Some(entry) = self.workers.get_mut(&key) else { return };
--- a/crates/scheduler/src/leader/interface.rs
+++ b/crates/scheduler/src/leader/interface.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the leader: the events it handles and what its driver is to do.
+//! Inputs and outputs of the leader: the events that it handles and the actions that its driver must take.
 
 use std::sync::Arc;
 
@@ -8,87 +8,89 @@
 use crate::state::StateChange;
 use crate::worker::{CallOutcome, WorkerRequest};
 
-/// A call to a worker, unique within a leader's term.
+/// Identifies a call to a worker; unique within a leader's term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId {
-    /// The worker, by the number that the leader gave it.
+    /// The key that the leader assigned to the worker.
     pub worker: u64,
-    /// The call, by the number that the worker's session gave it.
+    /// The number that the worker's session assigned to the call.
     pub call: u64,
 }
 
-/// An event for the leader. A `token` is chosen by the driver and comes back with the reply.
+/// An event for the leader. The driver chooses each `token`, and the reply carries the same token.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A client's request.
+    /// A client request.
     Client {
         /// Identifies the request in `Output::Reply`.
         token: u64,
-        /// The request as it came from the edge.
+        /// The request as received from the edge.
         request: peer::ClientRequest,
     },
-    /// Nobody waits for the reply any longer.
+    /// The sender no longer waits for the reply.
     Abandoned {
-        /// The request's token.
+        /// The token of the request.
         token: u64,
     },
-    /// The operator's request to put a configuration in force.
+    /// An operator request to activate a configuration.
     PutConfiguration {
         /// Identifies the request in `Output::ConfigurationReply`.
         token: u64,
-        /// The version that the new one builds on.
+        /// The version that the new configuration builds on.
         if_match: Option<u64>,
-        /// The configuration's text.
+        /// The text of the configuration.
         body: Vec<u8>,
     },
-    /// The operator asks for the newest configuration.
+    /// An operator request for the newest configuration.
     ReadConfiguration {
         /// Identifies the request in `Output::ConfigurationReply`.
         token: u64,
     },
-    /// A page of the platform's list was read.
+    /// A page of the platform's instance list was read.
     Instances {
         /// The instances of the page.
         instances: Arc<[Instance]>,
-        /// When the page was asked for, in nanoseconds of the steady clock: it shows the list as of then or later.
+        /// When the page was requested, in nanoseconds of the monotonic clock. The page shows the list as of
+        /// that time or later.
         as_of: u64,
-        /// Whether the page differs from the one that this leader got last in its place.
+        /// Whether the page differs from the previous page that this leader received at the same position.
         has_changed: bool,
-        /// Whether it is the last page: what no page of this read shows is not listed.
+        /// Whether this is the last page. Instances that no page of this read shows are not listed.
         is_last: bool,
     },
-    /// The platform's list could not be read to its end.
+    /// A read of the platform's instance list failed before the last page.
     InstancesFailed,
-    /// A call to a worker has ended.
+    /// A call to a worker ended.
     CallFinished {
         /// The call of `Output::Call`.
         call: CallId,
-        /// How it ended.
+        /// The outcome of the call.
         outcome: CallOutcome,
     },
     /// A batch was committed and applied to the state that is passed along.
     BatchApplied {
-        /// What it changed, in order.
+        /// The changes that the batch made, in order.
         changes: Vec<StateChange>,
-        /// The batch itself.
+        /// The batch.
         batch: job::CommandBatch,
     },
-    /// A batch was not taken into the log: this process has stepped down.
+    /// A batch was not appended to the log because this process has stepped down.
     ProposalDropped,
-    /// Everything that arrived at this machine before `at` was handed in. From the first of them on, time limits for
-    /// answers are judged up to the newest `at` only; a driver that never hands it in hands in everything in time.
+    /// Everything that arrived at this machine before `at` has been passed in. After the first such input,
+    /// response timeouts are evaluated only up to the newest `at`. A driver that never sends this input must
+    /// pass in everything without delay.
     ReadUntil {
-        /// Nanoseconds of the steady clock.
+        /// Nanoseconds of the monotonic clock.
         at: u64,
     },
-    /// Time has passed; given at the latest when `Output::WakeAt` says so.
+    /// Time has passed. Must be passed in no later than `Output::WakeAt` requests.
     Tick {
         /// Milliseconds since 1970.
         time_of_day_ms: u64,
     },
 }
 
-/// What the driver is to do.
+/// An action for the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Propose the batch to the log.
@@ -100,7 +102,7 @@
     Reply {
         /// The token of `Input::Client`.
         token: u64,
-        /// The reply; its `request_id` is left to the driver.
+        /// The reply. The driver fills in its `request_id`.
         reply: peer::ClientReply,
     },
     /// Reply to the operator.
@@ -116,50 +118,50 @@
         call: CallId,
         /// The worker's `ip:port`.
         address: String,
-        /// The incarnation that is meant.
+        /// The instance ID of the incarnation that the call is meant for.
         instance: String,
-        /// What it is asked for.
+        /// The request to the worker.
         request: WorkerRequest,
     },
-    /// Nobody waits for this call any longer.
+    /// Cancel a call whose outcome is no longer needed.
     CancelCall {
         /// The call of `Output::Call`.
         call: CallId,
     },
-    /// Read the platform's complete list.
+    /// Read the platform's complete instance list.
     ReadInstances,
-    /// Hand in a `Tick` at this time; replaces earlier ones.
+    /// Pass in a `Tick` at this time. Replaces earlier wake-ups.
     WakeAt {
-        /// Nanoseconds of the steady clock.
+        /// Nanoseconds of the monotonic clock.
         at: u64,
     },
 }
 
-/// A reply to the operator, with the status under which it is sent.
+/// A reply to the operator and the HTTP status that it is sent with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigurationReply {
-    /// 200: in force.
+    /// 200: the configuration is active.
     Accepted,
     /// 412: another version is current.
     Conflict {
-        /// What is wrong and what to do.
+        /// What is wrong and how to correct it.
         text: String,
     },
-    /// 400: the configuration cannot be put in force.
+    /// 400: the configuration cannot be activated.
     Invalid {
-        /// What is wrong and what to do.
+        /// What is wrong and how to correct it.
         text: String,
     },
-    /// 503: nothing is known yet.
+    /// 503: no configuration is known, or this process has no lease to answer under.
     Unavailable {
-        /// When to ask again, in milliseconds.
+        /// Retry delay, in milliseconds.
         retry_after_ms: u32,
     },
     /// 200 with the newest configuration.
     Body {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// Its text, byte for byte.
+        /// The text of the configuration, byte for byte.
         body: Vec<u8>,
     },
 }
--- a/crates/scheduler/src/leader/lateness_notices.rs
+++ b/crates/scheduler/src/leader/lateness_notices.rs
@@ -1,21 +1,21 @@
-//! What the driver tells a leader of the lateness of its process.
+//! Notices of the driver about delays of its own process.
 
 use super::event_loop::Leader;
 
 impl Leader {
-    /// The driver's process was absent for `pause_ns` nanoseconds up to `now`: it neither sent nor read anything. To be
-    /// called before what arrived meanwhile is handed in.
+    /// Records that the driver's process neither sent nor read anything for `pause_ns` nanoseconds up to
+    /// `now`. Must be called before any input that arrived during the pause is passed in.
     pub fn record_process_pause(&mut self, now: u64, pause_ns: u64) {
         self.lateness.record_process_pause(now, pause_ns);
     }
 
-    /// Whether a time limit for an answer has passed that is not judged before `Input::ReadUntil` names a moment from
-    /// now on.
+    /// Returns whether a response timeout has passed that is only evaluated after an `Input::ReadUntil` for a
+    /// time from now on.
     pub fn awaits_input(&self) -> bool {
         self.lateness.awaits_input()
     }
 
-    /// Everything that arrived before `at` was handed in.
+    /// Handles `Input::ReadUntil`: everything that arrived before `at` has been passed in.
     pub(super) fn read_until(&mut self, at: u64) {
         for worker in self.lateness.read_until(at) {
             self.schedule_poll(worker);
--- a/crates/scheduler/src/leader/lease_rules.rs
+++ b/crates/scheduler/src/leader/lease_rules.rs
@@ -1,17 +1,18 @@
-//! Which replies may be sent only under the leader's lease.
+//! Rules for which replies may be sent only under the leader lease.
 //!
-//! What is committed stays so: an acceptance or a cancellation that was carried out may be reported at any time. All
-//! else depends on the newest state (a version, a queue, a missing job, a job that will never run) and is wrong once
-//! another leader has changed it, so it needs contact with a majority.
+//! Committed facts are final, so that an accepted submission or an executed cancellation can be reported at
+//! any time. All other replies depend on the newest state (a version, a queue, a missing job, a job that will
+//! never run). They become wrong once another leader changes that state, and therefore require contact with a
+//! majority.
 
 use messages::peer::{ClientReply, Outcome};
 
 use super::interface::ConfigurationReply;
 
-/// When the operator may ask again where contact with a majority is missing, in milliseconds.
+/// Retry delay for the operator while there is no contact with a majority.
 const RETRY_WITHOUT_LEASE_MS: u32 = 1_000;
 
-/// Whether a client may be sent this outcome under the leader's lease only.
+/// Returns whether this outcome may be sent to a client only under the leader lease.
 fn client_reply_needs_lease(outcome: Outcome) -> bool {
     match outcome {
         Outcome::ACCEPTED | Outcome::CANCEL_DONE => false,
@@ -21,8 +22,8 @@
     }
 }
 
-/// A reply to a client as it may be sent: without the lease, one that needs it says that this process does not lead,
-/// so that the request goes to the one that does.
+/// Returns the reply that may be sent to a client. Without the lease, a reply that needs it becomes
+/// `NOT_LEADER`, so that the request is sent to the actual leader.
 pub fn client_reply_under_lease(reply: ClientReply, has_lease: bool) -> ClientReply {
     if has_lease || !client_reply_needs_lease(reply.outcome) {
         return reply;
@@ -31,7 +32,8 @@
 }
 
 impl ConfigurationReply {
-    /// The reply as it may be sent: without the lease, one that needs it says nothing of the state.
+    /// Returns the reply that may be sent to the operator. Without the lease, a reply that needs it becomes
+    /// `Unavailable`, which reveals nothing about the state.
     pub fn under_lease(self, has_lease: bool) -> ConfigurationReply {
         if has_lease || !self.needs_lease() {
             return self;
@@ -39,11 +41,11 @@
         ConfigurationReply::Unavailable { retry_after_ms: RETRY_WITHOUT_LEASE_MS }
     }
 
-    /// Whether the operator may be sent this reply under the leader's lease only.
+    /// Returns whether this reply may be sent to the operator only under the leader lease.
     fn needs_lease(&self) -> bool {
         match self {
             ConfigurationReply::Accepted | ConfigurationReply::Unavailable { .. } => false,
-            // A version is too low, or not the one built on, by the newest configuration.
+            // Whether a version is too low or not the one to build on depends on the newest configuration.
             ConfigurationReply::Invalid { .. } | ConfigurationReply::Conflict { .. } => true,
             ConfigurationReply::Body { .. } => true,
         }
--- a/crates/scheduler/src/leader/listing_age.rs
+++ b/crates/scheduler/src/leader/listing_age.rs
@@ -1,8 +1,9 @@
-//! The age of what the platform's list says of a worker.
+//! Expiry of workers' listings.
 //!
-//! A worker may be draining since the moment of which the list is. Its starts are therefore bounded by the age of its
-//! listing: from `LeaderSettings::placement_limit` on it gets no further ones, and from `LeaderSettings::start_limit` on
-//! none that waits may leave. A list that is late costs starts.
+//! A worker may have started draining right after the time that a list reflects. Starts are therefore limited
+//! by the age of the worker's listing: after `LeaderSettings::placement_limit` the worker is not chosen for
+//! further starts, and after `LeaderSettings::start_limit` no pending start is sent to it. A delayed list
+//! therefore delays starts.
 
 use crate::placement::WorkerKey;
 use crate::time::NANOS_PER_MS;
@@ -12,7 +13,7 @@
 use super::worker_events::WorkerEvent;
 
 impl Leader {
-    /// Sets the timer for when the first listing is too old, if it is not set.
+    /// Sets the timer for the next expiry of a listing unless an earlier one is set.
     pub(super) fn arm_listing_expiry(&mut self) {
         let limits = self.workers.values().map(|entry| entry.starts_until);
         if let Some(at) = limits.filter(|until| *until > self.now).min() {
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Takes workers out of use whose listing has become too old.
+    /// Stops placing tasks on workers whose listing has expired.
     pub(super) fn expire_listings(&mut self) {
         let now = self.now;
         let expired = self.workers.iter().filter(|(_, entry)| entry.listed && entry.starts_until <= now);
--- a/crates/scheduler/src/leader/load_shedding.rs
+++ b/crates/scheduler/src/leader/load_shedding.rs
@@ -1,8 +1,9 @@
-//! Load shedding: a job that would begin too late to earn is rejected at once, so that what waits is what can be served.
+//! Load shedding: a job that would start too late to be of value is rejected immediately, so that only jobs
+//! that can be served wait.
 //!
-//! Two queues are bounded. One waits for capacity of workers: a job is rejected once even the shortest wait of late
-//! leaves it no worth. The other waits for the leader itself, whose processor bears only so many starts a second: a job is
-//! rejected once the starts before it take too long at the pace that was measured.
+//! Two queues are bounded. The first waits for worker capacity: a job is rejected once even the shortest
+//! recent wait would leave it without value. The second waits for the leader, whose processor sustains a
+//! limited rate of starts: a job is rejected once the starts ahead of it take too long at the measured rate.
 
 use configuration::Route;
 use messages::job::{JobSpec, Stage};
@@ -12,27 +13,27 @@
 use super::event_loop::Leader;
 use super::service::plan_of;
 
-/// A job is late, and after this many times its objective without worth.
+/// A job has no value once it ends later than its latency objective multiplied by this factor.
 const NO_VALUE_FACTOR: f64 = 3.0;
-/// Least time after which a client whose job is rejected may submit it again, in milliseconds.
+/// Minimum retry delay for a rejected job.
 const MIN_RETRY_MS: u64 = 1_000;
-/// Most time after which it may, in milliseconds.
+/// Maximum retry delay for a rejected job.
 const MAX_RETRY_MS: u64 = 10_000;
-/// Confirmations that take less are not waiting for the leader, in nanoseconds.
+/// A confirmation delay below this value shows that starts are not waiting for the leader.
 const NORMAL_START_DELAY_NS: u64 = 100 * NANOS_PER_MS;
-/// Starts for which a leader needs no measured pace.
+/// Backlog of starts below which jobs are accepted regardless of the measured rate.
 const MIN_SHEDDING_BACKLOG: u64 = 64;
-/// The longest wait for the leader at which jobs of the first plan are accepted, in milliseconds. It halves with each
-/// plan, so that later plans are rejected first.
+/// Maximum wait for the leader at which jobs of the first plan are accepted. The limit halves with each plan,
+/// so that later plans are rejected first.
 const MAX_BACKLOG_WAIT_MS: u64 = 200;
-/// The wait for the leader may take this part of the time that a job has to spare: the rest goes to what comes before
-/// the leader reads it, and after its tasks have ended.
+/// The wait for the leader may take up to the slack of the job divided by this value. The rest is reserved
+/// for delays before the leader reads the request and after the tasks have ended.
 const SLACK_DIVISOR: u64 = 4;
-/// When a client may submit again a job that the leader cannot bear, in milliseconds.
+/// Retry delay for a job that the leader cannot start fast enough.
 const BACKLOG_RETRY_MS: u32 = 2_000;
 
 impl Leader {
-    /// When a client may submit the job again, in milliseconds, if it is to be rejected now; `None`: it is accepted.
+    /// Returns the retry delay in milliseconds if the job must be rejected now, or `None` if it is accepted.
     pub(super) fn retry_after_overload_ms(&mut self, route: &Route, id: u64, job: &JobSpec) -> Option<u32> {
         let is_exempt = job.repeat > 0 || job.stages.iter().any(|stage| stage.long_running);
         if is_exempt {
@@ -44,7 +45,7 @@
         self.retry_after_capacity_ms(route, job)
     }
 
-    /// Whether the starts that wait for the leader take longer, at the pace that it bears, than the job can wait.
+    /// Returns whether the backlog of starts takes longer, at the sustained rate, than the job can wait.
     fn exceeds_start_pace(&mut self, route: &Route, id: u64, job: &JobSpec) -> bool {
         let now = self.now;
         let backlog = self.attempts.unconfirmed() as u64 + self.pending_clients.tasks();
@@ -61,7 +62,7 @@
         wait / NANOS_PER_MS > longest_ms
     }
 
-    /// As `retry_after_overload_ms`, for the queue that waits for capacity of workers.
+    /// Like `retry_after_overload_ms`, but only for the queue that waits for worker capacity.
     fn retry_after_capacity_ms(&mut self, route: &Route, job: &JobSpec) -> Option<u32> {
         let position = *self.service_positions.get(&route.service)?;
         let delay = self.services[position].start_delay(plan_of(route.priority), self.now);
@@ -73,17 +74,18 @@
     }
 }
 
-/// How long after its submission a job is late, in milliseconds.
+/// Returns the latency objective of a job in milliseconds: a job that takes longer from its submission is
+/// late.
 fn objective_ms(route: &Route, stages: &[Stage]) -> f64 {
     route.stretch * critical_path_ms(stages) as f64 + route.target_latency_ms as f64
 }
 
-/// How long a job may wait in all without being late, in milliseconds.
+/// Returns how long a job may wait in total without being late, in milliseconds.
 fn slack_ms(route: &Route, stages: &[Stage]) -> u64 {
     (objective_ms(route, stages) as u64).saturating_sub(critical_path_ms(stages))
 }
 
-/// The longest chain of work among steps that depend on each other, by the client's estimates, in milliseconds.
+/// Returns the critical path of the dependency graph, by the client's estimates, in milliseconds.
 fn critical_path_ms(stages: &[Stage]) -> u64 {
     let mut ends_ms: Vec<u64> = Vec::with_capacity(stages.len());
     for stage in stages {
--- a/crates/scheduler/src/leader/mechanisms.rs
+++ b/crates/scheduler/src/leader/mechanisms.rs
@@ -1,49 +1,51 @@
-//! Mechanisms of the leader that can be switched off one by one, to measure the effect of each.
+//! Mechanisms of the leader that can be disabled one by one to measure their effect.
 
 use std::fmt;
 
-/// A part of the leader's policy without which it still keeps all rules.
+/// An optional part of the leader's policy. Without it the leader still satisfies all correctness rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Workers on which several attempts in a row failed get no starts for a while.
+    /// Workers on which several consecutive attempts failed get no starts for a while.
     OutlierEjection,
-    /// A task is not started again where it failed while there is another worker for it.
+    /// A task is not restarted on a worker where it failed while another worker can take it.
     FailedWorkerAvoidance,
-    /// A second attempt runs beside a late one of a task that allows copies.
+    /// A second attempt runs in parallel with a late one if the task allows copies.
     SpeculativeCopies,
-    /// Attempts that would outlive a draining worker are stopped before it ends.
+    /// Attempts that would outlive a draining worker are stopped before the worker ends.
     DrainEvacuation,
     /// Tasks wait for capacity near their data.
     DataLocalityWait,
-    /// Gangs that are to share a rack wait for one.
+    /// Gangs that should share a rack wait for capacity within one rack.
     RackLocalityWait,
-    /// Capacity that is freed is reserved for a task that has waited long.
+    /// Freed capacity is reserved for a task that has waited long.
     CapacityReservations,
     /// Other starts pause for a gang that has waited long.
     GangAdmissionPauses,
-    /// Attempts of later priorities are stopped for the first one.
+    /// Attempts of lower priorities are stopped for tasks of the highest priority.
     Preemption,
-    /// Tasks go to the worker with the least capacity left over.
+    /// Tasks are placed on the worker with the least remaining capacity.
     BestFit,
-    /// Workers are preferred by pace and share of completed attempts.
+    /// Workers are preferred by their pace and their share of completed attempts.
     WorkerQuality,
-    /// Several lease renewals may follow each other quickly.
+    /// Several lease renewals may be sent in quick succession.
     LeaseRenewalBurst,
-    /// Another lease renewal is sent beside one that is overdue.
+    /// A second lease renewal is sent while another one is overdue.
     HedgedLeaseRenewals,
     /// Stalled attempts are moved to another worker.
     StallRelocation,
-    /// Deficit round robin over queues by plan and dominant resource; without it, one queue in order of arrival.
+    /// Deficit round robin over queues by plan and dominant resource. When disabled, there is a single queue
+    /// in order of arrival.
     FairQueues,
-    /// Worker leases are as long as the running attempts need; without it, as long as the deployment allows.
+    /// Worker leases last as long as the running attempts need. When disabled, they last as long as the
+    /// deployment allows.
     LeaseByNeed,
     /// Workers with an overdue response get no starts until they respond.
     Suspicion,
-    /// Stalls are detected by the lists that show them, not after seconds.
+    /// Stalls are detected from the first status lists that show them instead of after several seconds.
     QuickStallDetection,
-    /// Tasks of a step are packed on few workers.
+    /// Tasks of a step are packed onto few workers.
     Packing,
-    /// Workers whose attempts are long-running or take long are asked for lists less often.
+    /// Workers whose attempts are long-running or take long are polled for status lists less often.
     WaitByNeed,
 }
 
@@ -72,17 +74,17 @@
 ];
 
 impl Mechanism {
-    /// The mechanism with this name.
+    /// Returns the mechanism with this name.
     pub fn named(name: &str) -> Option<Self> {
         ALL.into_iter().find(|(_, known)| *known == name).map(|(mechanism, _)| mechanism)
     }
 
-    /// The names of all mechanisms.
+    /// Returns the names of all mechanisms.
     pub fn names() -> impl Iterator<Item = &'static str> {
         ALL.into_iter().map(|(_, name)| name)
     }
 
-    /// Its name on the command line.
+    /// Returns the mechanism's name on the command line.
     pub fn name(self) -> &'static str {
         ALL.into_iter().find(|(known, _)| *known == self).map_or("", |(_, name)| name)
     }
@@ -94,19 +96,19 @@
     }
 }
 
-/// Which mechanisms are in use: by default all.
+/// The enabled mechanisms; by default all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Mechanisms {
     disabled: Vec<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but these.
+    /// Enables all mechanisms except these.
     pub fn without(disabled: Vec<Mechanism>) -> Self {
         Self { disabled }
     }
 
-    /// Whether the mechanism is in use.
+    /// Returns whether the mechanism is enabled.
     pub fn uses(&self, mechanism: Mechanism) -> bool {
         !self.disabled.contains(&mechanism)
     }
--- a/crates/scheduler/src/leader/mod.rs
+++ b/crates/scheduler/src/leader/mod.rs
@@ -1,8 +1,9 @@
-//! The leader's decisions, without input or output: answers to clients and the operator, admission, placement, and
+//! The leader's decision logic, free of I/O: replies to clients and the operator, admission, placement, and
 //! the calls to workers.
 //!
-//! Commands are collected while events are handled; `Leader::flush` proposes them at once. Nothing is answered or
-//! ordered before the command that it rests on is committed and handed back as `Input::BatchApplied`.
+//! Commands are collected while events are handled, and `Leader::flush` proposes them together. No reply or
+//! order is issued before the command that it depends on is committed and passed back as
+//! `Input::BatchApplied`.
 
 mod admission;
 mod amounts;
--- a/crates/scheduler/src/leader/occupancy.rs
+++ b/crates/scheduler/src/leader/occupancy.rs
@@ -1,4 +1,4 @@
-//! Capacity that attempts occupy on workers, and the workers that a task is kept away from.
+//! Capacity that attempts occupy on workers, and the workers that a task avoids.
 
 use messages::job::Stage;
 
@@ -12,11 +12,11 @@
 use super::mechanisms::Mechanism;
 use super::service::plan_of;
 
-/// Workers that a task avoids at most.
+/// Maximum number of workers that a task avoids.
 const MAX_AVOIDED_WORKERS: usize = 8;
 
 impl Leader {
-    /// Reserves capacity for an attempt: one that an earlier leader committed, or a new one.
+    /// Reserves capacity for an attempt, either a new one or one that an earlier leader committed.
     pub(super) fn occupy(
         &mut self,
         work: &Work,
@@ -59,7 +59,7 @@
         self.arm_attempt_examination();
     }
 
-    /// Releases the capacity of an attempt that has finished.
+    /// Releases the capacity of a finished attempt.
     pub(super) fn release(&mut self, key: &AttemptKey) {
         let Some(attempt) = self.attempts.remove(key) else { return };
         let service = &mut self.services[attempt.service];
@@ -71,7 +71,7 @@
         self.update_placement(attempt.worker);
     }
 
-    /// A task failed or stalled on a worker: it is started elsewhere if there is a choice.
+    /// Records that the task failed or stalled on the worker, so that it is started elsewhere if possible.
     pub(super) fn avoid(&mut self, task: TaskKey, worker: WorkerKey) {
         if !self.uses(Mechanism::FailedWorkerAvoidance) {
             return;
--- a/crates/scheduler/src/leader/outlier_detector.rs
+++ b/crates/scheduler/src/leader/outlier_detector.rs
@@ -1,26 +1,27 @@
-//! Outlier ejection: a worker that does worse than its peers gets no starts for a while.
+//! Outlier ejection: a worker that performs worse than its peers gets no starts for a while.
 //!
-//! A poisoned job fails everywhere and a bad service fails on all workers; neither ejects a worker. What counts is a
-//! run of failed or stalled attempts of several jobs without one success, on a worker whose peers do better.
+//! A job that fails on every worker and a service that fails on all its workers do not eject a worker. A
+//! worker is ejected for consecutive failed or stalled attempts of several jobs, without a success in
+//! between, while its peers do better.
 
 use crate::time::NANOS_PER_S;
 
-/// Weight of the newest end in moving averages.
+/// Weight of the newest sample in moving averages.
 const NEWEST_SAMPLE_WEIGHT: f64 = 0.2;
-/// Failures in a row, without a success, that eject a worker.
+/// Number of consecutive failures that eject a worker.
 const MIN_CONSECUTIVE_FAILURES: u32 = 3;
-/// Different jobs among them at least.
+/// Minimum number of different jobs among these failures.
 const MIN_FAILED_JOBS: usize = 2;
-/// The first ejection time, in nanoseconds; doubles with each ejection.
+/// The first ejection time. The time doubles with each further ejection.
 const BASE_EJECTION_TIME_NS: u64 = 3 * NANOS_PER_S;
-/// The longest ejection time, in nanoseconds.
+/// The maximum ejection time.
 const MAX_EJECTION_TIME_NS: u64 = 48 * NANOS_PER_S;
-/// Least pace that is reported.
+/// Lower bound of the relative pace.
 const MIN_RELATIVE_PACE: f64 = 0.05;
-/// A worker's failure rate must be so many times that of its peers before it is ejected.
+/// A worker is ejected only if its failure rate is at least this multiple of its peers' failure rate.
 const MIN_FAILURE_RATE_RATIO: f64 = 2.0;
 
-/// An exponentially weighted average over the newest ends.
+/// An exponentially weighted moving average over ended attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct MovingAverage {
     value: f64,
@@ -40,22 +41,22 @@
     }
 }
 
-/// Statistics of one worker and its ejections.
+/// Statistics and ejections of one worker.
 #[derive(Debug, Clone)]
 pub(super) struct OutlierDetector {
-    /// The client's estimate over the time taken; 0 before the first success.
+    /// Ratio of the client's estimate to the actual run time; 0 before the first success.
     pace: MovingAverage,
-    /// Share of failures.
+    /// Share of failed attempts.
     failure_rate: MovingAverage,
     consecutive_failures: u32,
-    /// Different jobs among the failures in a row, at most `MIN_FAILED_JOBS`.
+    /// Different jobs among the consecutive failures, at most `MIN_FAILED_JOBS`.
     failed_jobs: Vec<u64>,
-    /// Recent ejections: one less with each success.
+    /// Count of recent ejections, which decreases by one with each success.
     ejections: u32,
     ejected_until: u64,
     /// When the last ejection began.
     ejected_at: u64,
-    /// After an ejection one attempt at a time shows whether the worker is healthy again.
+    /// Whether the worker is limited to one attempt at a time after an ejection, until an attempt succeeds.
     on_probation: bool,
 }
 
@@ -75,7 +76,8 @@
 }
 
 impl OutlierDetector {
-    /// An attempt ended `done`; `pace` is the client's estimate over the time taken.
+    /// Records an attempt that ended `done`. `pace` is the ratio of the client's estimate to the actual run
+    /// time.
     pub(super) fn record_success(&mut self, pace: f64) {
         if self.pace.value() == 0.0 {
             self.pace = MovingAverage::new(pace);
@@ -89,8 +91,9 @@
         self.ejections = self.ejections.saturating_sub(1);
     }
 
-    /// An attempt that was placed there at `placed_at` failed or stalled: the worker may be ejected. What was placed
-    /// there before the last ejection is no new evidence.
+    /// Records a failed or stalled attempt that was placed on the worker at `placed_at`, and ejects the
+    /// worker if the conditions are met. Attempts placed before the last ejection do not count as new
+    /// evidence.
     pub(super) fn record_failure(&mut self, job: u64, placed_at: u64, peers_failure_rate: f64, now: u64) {
         self.failure_rate.add(1.0);
         if self.on_probation && placed_at <= self.ejected_at {
@@ -113,7 +116,7 @@
         self.on_probation = true;
     }
 
-    /// Whether the worker may take a start while it has `assigned_count` attempts.
+    /// Returns whether the worker may take another start while it has `assigned_count` attempts.
     pub(super) fn allows_start(&self, now: u64, assigned_count: u32) -> bool {
         now >= self.ejected_until && (!self.on_probation || assigned_count == 0)
     }
@@ -123,17 +126,17 @@
         self.ejected_until
     }
 
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     pub(super) fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// Whether one attempt at a time is to show that the worker is healthy again.
+    /// Returns whether the worker is limited to one attempt at a time until an attempt succeeds.
     pub(super) fn is_on_probation(&self) -> bool {
         self.on_probation
     }
 
-    /// Pace beside that of the peers, 1 at most; 1 while nothing is known.
+    /// Returns the worker's pace relative to that of its peers, at most 1. Returns 1 if no pace is known.
     pub(super) fn relative_pace(&self, peers: f64) -> f64 {
         if self.pace.value() == 0.0 || peers <= 0.0 {
             return 1.0;
@@ -141,13 +144,13 @@
         (self.pace.value() / peers).clamp(MIN_RELATIVE_PACE, 1.0)
     }
 
-    /// Share of ends that were no failures.
+    /// Share of attempts that did not fail.
     pub(super) fn success_rate(&self) -> f64 {
         1.0 - self.failure_rate.value()
     }
 }
 
-/// Averages over all workers of a service.
+/// Moving averages over all workers of a service.
 #[derive(Debug, Clone)]
 pub(super) struct PeerAverages {
     pub(super) pace: MovingAverage,
@@ -160,11 +163,11 @@
     }
 }
 
-/// How many times less one end weighs in the averages of a service than in those of one worker.
+/// Factor by which one attempt weighs less in the averages of a service than in those of one worker.
 const SERVICE_DAMPING: u32 = 8;
 
 impl PeerAverages {
-    /// Adds an end: of a success the pace, of a failure `None`.
+    /// Adds an ended attempt: its pace if it succeeded, `None` if it failed.
     pub(super) fn record(&mut self, success_pace: Option<f64>) {
         let dampen = |average: &MovingAverage, sample: f64| {
             average.value() + (sample - average.value()) / f64::from(SERVICE_DAMPING)
--- a/crates/scheduler/src/leader/own_lateness.rs
+++ b/crates/scheduler/src/leader/own_lateness.rs
@@ -1,7 +1,9 @@
-//! The leader's own lateness: time in which its process could not send or read is not a worker's silence.
+//! Compensation for delays of the leader's own process: time in which the process could neither send nor read
+//! does not count against workers that have not responded.
 //!
-//! A driver that may be late hands in `Input::ReadUntil` and calls `Leader::record_process_pause`; time limits for answers of
-//! workers are then judged by what it says. Leases and everything else keep the steady clock.
+//! A driver that may be late passes in `Input::ReadUntil` and calls `Leader::record_process_pause`. Response
+//! timeouts of workers are then evaluated accordingly. Leases and everything else use the monotonic clock
+//! without compensation.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +11,13 @@
 use crate::time::NANOS_PER_S;
 use crate::worker::ResponseClock;
 
-/// The longest absence that is credited in full, in nanoseconds.
+/// Maximum pause that is credited in full.
 const MAX_PAUSE_CREDIT_NS: u64 = NANOS_PER_S;
-/// Over longer times, this share of the time may be credited as absence, in percent: a leader that is always late
-/// still finds out which workers are silent, half as fast.
+/// Share of the elapsed time, in percent, that may be credited as pauses in the long run. With it, a leader
+/// that is always late still detects unresponsive workers, in twice the time.
 const PAUSE_CREDIT_PERCENT: u64 = 50;
 
-/// How much absence may still be credited.
+/// The pause time that may still be credited.
 #[derive(Debug)]
 struct PauseCredit {
     remaining_ns: u64,
@@ -23,7 +25,7 @@
 }
 
 impl PauseCredit {
-    /// Takes as much of `pause_ns` as may be credited at `now`.
+    /// Takes the part of `pause_ns` that may be credited at `now`.
     fn take(&mut self, now: u64, pause_ns: u64) -> u64 {
         let refill = now.saturating_sub(self.refilled_at) / 100 * PAUSE_CREDIT_PERCENT;
         self.refilled_at = now;
@@ -34,12 +36,12 @@
     }
 }
 
-/// What a leader knows of its own lateness.
+/// Process pauses and unread input of the leader.
 #[derive(Debug)]
 pub(super) struct OwnLateness {
     pub(super) response_clock: ResponseClock,
     credit: PauseCredit,
-    /// Workers whose sessions wait until more input is read.
+    /// Workers whose sessions wait until more input has been read.
     awaiting_input: BTreeSet<WorkerKey>,
 }
 
@@ -52,24 +54,25 @@
         }
     }
 
-    /// This process was absent for `pause_ns` nanoseconds up to `now`.
+    /// Records a process pause of `pause_ns` nanoseconds up to `now`.
     pub(super) fn record_process_pause(&mut self, now: u64, pause_ns: u64) {
         let credited = self.credit.take(now, pause_ns);
         self.response_clock.add_absence(credited);
     }
 
-    /// Everything that arrived before `at` was handed in. Gives the workers whose sessions waited for that.
+    /// Records that everything that arrived before `at` has been passed in. Returns the workers whose
+    /// sessions waited for this.
     pub(super) fn read_until(&mut self, at: u64) -> BTreeSet<WorkerKey> {
         self.response_clock.set_read_until(at);
         std::mem::take(&mut self.awaiting_input)
     }
 
-    /// Whether any session waits until more input is read.
+    /// Returns whether any session waits until more input has been read.
     pub(super) fn awaits_input(&self) -> bool {
         !self.awaiting_input.is_empty()
     }
 
-    /// The session of this worker has to be polled once more input is read.
+    /// Marks the session of this worker to be polled once more input has been read.
     pub(super) fn await_input(&mut self, worker: WorkerKey) {
         self.awaiting_input.insert(worker);
     }
--- a/crates/scheduler/src/leader/pending_requests.rs
+++ b/crates/scheduler/src/leader/pending_requests.rs
@@ -4,19 +4,19 @@
 
 use crate::state::ConfigurationKey;
 
-/// A job under the prefix by which it was asked for.
+/// A job ID together with the host and path prefix of the request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct JobName {
     pub(super) id: u64,
     pub(super) prefix_key: String,
 }
 
-/// Clients' requests whose commands are not yet committed, by token.
+/// Client requests whose commands are not yet committed, by token.
 #[derive(Debug, Default)]
 pub(super) struct PendingClients {
     pub(super) submits: HashMap<JobName, Vec<u64>>,
     pub(super) cancels: HashMap<JobName, Vec<u64>>,
-    /// Number of tasks of each job that is not yet committed.
+    /// Number of tasks of each submitted job that is not yet committed.
     pub(super) submitted_tasks: HashMap<u64, u64>,
 }
 
@@ -30,7 +30,7 @@
         self.cancels.remove(name).unwrap_or_default()
     }
 
-    /// Tasks of all jobs that are not yet committed.
+    /// Total number of tasks in jobs that are not yet committed.
     pub(super) fn tasks(&self) -> u64 {
         self.submitted_tasks.values().sum()
     }
--- a/crates/scheduler/src/leader/placement_choice.rs
+++ b/crates/scheduler/src/leader/placement_choice.rs
@@ -1,4 +1,5 @@
-//! Where the next task of a waiting step, or its gang, may start, and how long better capacity is worth a wait.
+//! Choice of workers for the next task of a waiting step or for its gang, and the limits on waiting for
+//! better capacity.
 
 use messages::job::Stage;
 
@@ -13,16 +14,17 @@
 use super::service::{Candidate, Choice};
 use super::settings::LeaderSettings;
 
-/// The longest wait of a gang for one rack, in nanoseconds.
+/// Maximum wait of a gang for capacity within one rack.
 const MAX_RACK_WAIT_NS: u64 = 1_500 * NANOS_PER_MS;
-/// Longest wait of a task for capacity near its data, in nanoseconds: a job may have nothing running for 3 s at most.
+/// Maximum wait of a task for capacity near its data. A job may have nothing running for at most 3 s while
+/// there is capacity.
 const MAX_DATA_WAIT_NS: u64 = 2_000 * NANOS_PER_MS;
-/// How long a job waits for another worker before an ejected one is taken, in nanoseconds.
+/// How long a step waits for another worker before it accepts an ejected one.
 const EJECTED_WORKER_WAIT_NS: u64 = 1_000 * NANOS_PER_MS;
-/// Time between two checks of ejected workers for a step, in nanoseconds.
+/// Time between two checks of ejected workers for a step.
 const EJECTED_WORKER_RETRY_INTERVAL_NS: u64 = 500 * NANOS_PER_MS;
 
-/// Where the next task of a waiting step, or its gang, may start.
+/// Chooses the worker for the next task of a waiting step, or the workers for its gang.
 pub(super) fn choose(context: &PlacementContext, fleet: &Fleet, candidate: Candidate) -> Choice {
     let Candidate { task, since, waiting_tasks } = candidate;
     let PlacementContext { state, failed_on, .. } = context;
@@ -54,7 +56,7 @@
     if !fleet.could_fit_not_ejected(&demand)
         || context.accepts_ejected_worker(fleet, step, since, no_other_capacity)
     {
-        // Where the task failed before, it is started again only if no other worker may take it.
+        // A worker on which the task failed before is chosen only if no other worker can take the task.
         let allowed = |worker: &WorkerKey| no_other_capacity || !avoid.contains(worker);
         if let Some(worker) = fleet.place_as_last_resort(&demand).filter(allowed) {
             return Choice::Task(worker);
@@ -63,8 +65,8 @@
     Choice::RetryAt(context.next_ejected_worker_retry(since))
 }
 
-/// Where a gang may start: within one rack if it is to share one, after a while in several, and on ejected
-/// workers only where it can't start otherwise.
+/// Chooses the workers of a gang: first within one rack if the gang should share one, after a wait across
+/// racks, and on ejected workers only if the gang cannot start otherwise.
 pub(super) fn choose_gang(
     context: &PlacementContext,
     fleet: &Fleet,
@@ -98,7 +100,7 @@
     Choice::RetryAt(context.next_ejected_worker_retry(since))
 }
 
-/// What the choice depends on beside the fleet.
+/// The inputs of the choice apart from the fleet.
 pub(super) struct PlacementContext<'a> {
     pub(super) state: &'a State,
     pub(super) attempts: &'a Attempts,
@@ -120,8 +122,8 @@
         PlacementContext { state, attempts, failed_on, far_factor: *far_factor, mechanisms, now }
     }
 
-    /// How long a task may wait for capacity near its data, in nanoseconds: as long as it would lose elsewhere, but
-    /// no longer than a job may wait while there is capacity.
+    /// Returns how long a task may wait for capacity near its data, in nanoseconds: as long as the extra run
+    /// time elsewhere, but no longer than a job may wait while there is capacity.
     fn data_wait_ns(&self, stage: &Stage) -> u64 {
         if stage.affinity.is_empty() || !self.mechanisms.uses(Mechanism::DataLocalityWait) {
             return 0;
@@ -129,8 +131,8 @@
         self.remote_penalty_ns(stage).min(MAX_DATA_WAIT_NS)
     }
 
-    /// How long a gang that is to share a rack may wait for one, in nanoseconds: as long as it would lose in
-    /// several, but no longer than a job may wait while there is capacity.
+    /// Returns how long a gang that should share a rack may wait for one, in nanoseconds: as long as the
+    /// extra run time across racks, but no longer than a job may wait while there is capacity.
     fn rack_wait_ns(&self, stage: &Stage) -> u64 {
         if !stage.rack_local || !self.mechanisms.uses(Mechanism::RackLocalityWait) {
             return 0;
@@ -138,15 +140,15 @@
         self.remote_penalty_ns(stage).min(MAX_RACK_WAIT_NS)
     }
 
-    /// How much longer a task takes away from its data or its gang, in nanoseconds.
+    /// Returns the extra run time of a task away from its data or its gang, in nanoseconds.
     fn remote_penalty_ns(&self, stage: &Stage) -> u64 {
         let penalty_ms = stage.est_runtime_ms as f64 * (self.far_factor - 1.0).max(0.0);
         (penalty_ms * NANOS_PER_MS as f64) as u64
     }
 
-    /// Whether a step has waited for so long that an ejected worker is better than none: there is
-    /// `no_other_capacity` to wait for, or its job has nothing running though the service uses under half of its
-    /// capacity.
+    /// Returns whether a step has waited long enough to accept an ejected worker. That is the case if there
+    /// is `no_other_capacity` to wait for, or if nothing of its job runs although at least half of the
+    /// service's capacity is free.
     fn accepts_ejected_worker(
         &self,
         fleet: &Fleet,
@@ -161,7 +163,7 @@
         self.now >= since + EJECTED_WORKER_WAIT_NS && (no_other_capacity || job_starves())
     }
 
-    /// When a step that fits only on an ejected worker is placed again.
+    /// Returns when a step that fits only on an ejected worker is placed again.
     fn next_ejected_worker_retry(&self, since: u64) -> u64 {
         (since + EJECTED_WORKER_WAIT_NS).max(self.now + EJECTED_WORKER_RETRY_INTERVAL_NS)
     }
--- a/crates/scheduler/src/leader/poll_queue.rs
+++ b/crates/scheduler/src/leader/poll_queue.rs
@@ -1,43 +1,43 @@
-//! Which sessions of workers are polled next, and how many workers are contacted for the first time at once.
+//! The order in which worker sessions are polled, and the limit on concurrent first contacts.
 //!
-//! A new leader has to talk to every worker. One turn polls a bounded number of them, so that the driver can send
-//! heartbeats in between. Workers that carry attempts come first. The others are contacted as fast as they answer: each
-//! first contact costs a connection and a call.
+//! A new leader has to contact every worker. One turn polls a limited number of sessions so that the driver
+//! can send heartbeats in between. Workers with attempts come first. All other workers are contacted at the
+//! rate at which they respond, because each first contact costs a connection and a call.
 
 use std::collections::VecDeque;
 
 use crate::placement::WorkerKey;
 use crate::time::NANOS_PER_MS;
 
-/// Sessions that one turn polls at most.
+/// Maximum number of sessions that one turn polls.
 pub(super) const POLLS_PER_TURN: usize = 64;
-/// First contacts in flight.
+/// Maximum number of first contacts in flight.
 const MAX_FIRST_CONTACTS_IN_FLIGHT: usize = 64;
-/// A first contact without an answer stops counting after this time, in nanoseconds.
+/// Time after which a first contact without a response no longer counts as in flight.
 const FIRST_CONTACT_TIMEOUT_NS: u64 = 100 * NANOS_PER_MS;
 
 /// Sessions that wait to be polled, in two classes.
 #[derive(Debug, Default)]
 pub(super) struct PollQueue {
     ordinary: VecDeque<WorkerKey>,
-    /// Workers that carry nothing and have not answered yet.
+    /// Workers that have no attempts and have not responded yet.
     first_contacts: VecDeque<WorkerKey>,
-    /// First contacts in flight and when they stop counting, the earliest first.
+    /// First contacts in flight and the times at which they stop counting, earliest first.
     in_flight: VecDeque<(u64, WorkerKey)>,
 }
 
 impl PollQueue {
-    /// Adds a session.
+    /// Adds the session of a worker that has attempts or has responded before.
     pub(super) fn push(&mut self, key: WorkerKey) {
         self.ordinary.push_back(key);
     }
 
-    /// Adds the session of a worker that carries nothing and has not answered yet.
+    /// Adds the session of a worker that has no attempts and has not responded yet.
     pub(super) fn push_first_contact(&mut self, key: WorkerKey) {
         self.first_contacts.push_back(key);
     }
 
-    /// Takes out the session to poll next, if one may be polled now.
+    /// Takes the next session to poll, or returns `None` if no session may be polled now.
     pub(super) fn pop(&mut self, now: u64) -> Option<WorkerKey> {
         if let Some(key) = self.ordinary.pop_front() {
             return Some(key);
@@ -49,12 +49,12 @@
         self.first_contacts.pop_front()
     }
 
-    /// A worker was called for the first time.
+    /// Records the first call to a worker.
     pub(super) fn contact_started(&mut self, key: WorkerKey, now: u64) {
         self.in_flight.push_back((now + FIRST_CONTACT_TIMEOUT_NS, key));
     }
 
-    /// The call to a worker has ended.
+    /// Records the end of a call to a worker.
     pub(super) fn contact_ended(&mut self, key: WorkerKey) {
         self.in_flight.retain(|(_, contacted)| *contacted != key);
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// When the next session may be polled; `None` if none waits.
+    /// Returns when the next session may be polled, or `None` if no session waits.
     pub(super) fn next_due(&self, now: u64) -> Option<u64> {
         let is_full = self.in_flight.len() >= MAX_FIRST_CONTACTS_IN_FLIGHT;
         match (self.ordinary.is_empty(), self.first_contacts.is_empty()) {
--- a/crates/scheduler/src/leader/preemption.rs
+++ b/crates/scheduler/src/leader/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption for the first priority: attempts of later priorities are stopped where that loses the least work.
+//! Preemption for the highest priority: attempts of lower priorities are stopped where that loses the least
+//! work.
 
 use crate::ids::{AttemptKey, StepKey};
 use crate::placement::Victim;
@@ -12,19 +13,19 @@
 use super::service::Service;
 use super::timers::Timer;
 
-/// Steps of the first priority for which attempts are preempted in one turn.
+/// Maximum number of steps of the highest priority for which attempts are preempted in one turn.
 const PREEMPTING_STEPS_PER_TURN: usize = 4;
-/// Tasks of one step for which attempts are preempted in one turn.
+/// Maximum number of tasks of one step for which attempts are preempted in one turn.
 const PREEMPTING_TASKS_PER_STEP: usize = 8;
-/// Least time between two searches for attempts to stop, in nanoseconds.
+/// Minimum time between two searches for attempts to preempt.
 const PREEMPTION_INTERVAL_NS: u64 = 20 * NANOS_PER_MS;
-/// How long a step waits for attempts to end by themselves before some are stopped for it, in nanoseconds.
+/// How long a step waits for attempts to end by themselves before others are preempted for it.
 const VOLUNTARY_RELEASE_WAIT_NS: u64 = 50 * NANOS_PER_MS;
-/// Beyond the time of a stop, how long a step waits for the capacity of stopped attempts, in nanoseconds.
+/// How long a step waits for the capacity of preempted attempts, in addition to `stop_ms`.
 const PREEMPTED_CAPACITY_WAIT_NS: u64 = 300 * NANOS_PER_MS;
 
 impl Leader {
-    /// Starts tasks for which attempts were preempted, before others take the capacity.
+    /// Starts tasks for which attempts were preempted before other tasks take the freed capacity.
     pub(super) fn start_urgent(&mut self, state: &State, position: usize) {
         for step in self.services[position].urgent_steps(PREEMPTING_STEPS_PER_TURN) {
             let awaits_preempted_capacity = |service: &Service, now: u64| {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Stops attempts of later priorities for tasks of the first one that found no capacity.
+    /// Stops attempts of lower priorities for tasks of the highest priority that found no capacity.
     pub(super) fn preempt_for_urgent(&mut self, state: &State, position: usize) {
         let urgent = self.services[position].urgent_steps(PREEMPTING_STEPS_PER_TURN);
         if urgent.is_empty() || !self.uses(Mechanism::Preemption) {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Attempts that may be stopped for the first priority. A gang would lose the work of all its members.
+    /// Returns the attempts that may be stopped for the highest priority. Gang members are excluded because
+    /// the whole gang would lose its work.
     fn victims(&self, position: usize) -> Vec<Victim> {
         let may_stop = |attempt: &Attempt| {
             attempt.service == position && attempt.plan > 0 && !attempt.stopping && !attempt.gang
--- a/crates/scheduler/src/leader/queueing.rs
+++ b/crates/scheduler/src/leader/queueing.rs
@@ -1,4 +1,4 @@
-//! Tasks that may start enter the queues of their service.
+//! Enqueueing of tasks that are ready to start.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use super::service::{plan_of, EnqueueRequest, QueueEnd};
 
 impl Leader {
-    /// Queues all tasks of a step that may start and neither run nor are done.
+    /// Enqueues all tasks of a ready step that are neither running nor done.
     pub(super) fn enqueue_step(&mut self, state: &State, step: StepKey, end: QueueEnd) {
         let Some(work) = state.open_work(step.job) else { return };
         let Some(stage) = work.stage(step.step) else { return };
@@ -27,7 +27,8 @@
         self.enqueue(work, stage, step, tasks, end);
     }
 
-    /// Queues a task for another start, before tasks of jobs that have not begun. Of a gang, all members.
+    /// Enqueues a task for another attempt, ahead of jobs that have not begun. For a gang, all members are
+    /// enqueued.
     pub(super) fn enqueue_task(&mut self, state: &State, task: TaskKey) {
         let Some(work) = state.open_work(task.job) else { return };
         let Some(stage) = work.stage(task.step) else { return };
--- a/crates/scheduler/src/leader/recovery.rs
+++ b/crates/scheduler/src/leader/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery at a leader's start: the state of every attempt that may be running is queried, every waiting task queued.
+//! Recovery when a leader starts: the leader queries the state of every attempt that may be running and
+//! enqueues all waiting tasks.
 
 use std::collections::VecDeque;
 
@@ -10,23 +11,24 @@
 use super::settings::LeaderSettings;
 use super::timers::Timer;
 
-/// Jobs that one slice of a recovery goes through.
+/// Number of jobs that one slice of a recovery processes.
 const JOBS_PER_SLICE: usize = 64;
 
-/// A leader that is being built from the state, in slices: with thousands of jobs_to_enqueue jobs it takes longer than a leader may
-/// go without heartbeats.
+/// A leader that is being built from the state in slices. With thousands of open jobs this takes longer than
+/// a leader may go without sending heartbeats.
 ///
-/// The state must stay the same from `new` to `finish`. It does, since only the leader of the term proposes commands.
+/// The state must not change between `new` and `finish`. This holds because only the leader of the term
+/// proposes commands.
 pub struct LeaderRecovery {
     leader: Leader,
     /// Jobs whose attempts are not adopted yet.
     jobs_to_adopt: VecDeque<u64>,
-    /// Open jobs whose steps are not queued yet, those accepted first before the others.
+    /// Open jobs whose steps are not enqueued yet, in order of acceptance.
     jobs_to_enqueue: VecDeque<u64>,
 }
 
 impl LeaderRecovery {
-    /// Begins with the configuration and the workers; the parameters are those of `Leader::new`.
+    /// Loads the configuration and the workers. The parameters are those of `Leader::new`.
     pub fn new(term: u64, settings: LeaderSettings, state: &State, now: u64, seed: u64) -> Self {
         let mut leader = Leader::empty(term, settings, now, seed);
         leader.recover_workers(state);
@@ -35,7 +37,7 @@
         LeaderRecovery { leader, jobs_to_adopt, jobs_to_enqueue: open_jobs(state) }
     }
 
-    /// Does the next slice. Returns whether the recovery is complete.
+    /// Processes the next slice. Returns whether the recovery is complete.
     pub fn advance(&mut self, state: &State) -> bool {
         if !self.jobs_to_adopt.is_empty() {
             for job in next_slice(&mut self.jobs_to_adopt) {
@@ -49,7 +51,7 @@
         self.jobs_to_adopt.is_empty() && self.jobs_to_enqueue.is_empty()
     }
 
-    /// The leader, once `advance` has returned true.
+    /// Returns the leader. Must only be called after `advance` has returned true.
     pub fn finish(self) -> Leader {
         debug_assert!(
             self.jobs_to_adopt.is_empty() && self.jobs_to_enqueue.is_empty(),
@@ -58,7 +60,7 @@
         self.leader
     }
 
-    /// Does all slices that are left.
+    /// Processes all remaining slices and returns the leader.
     pub fn complete(mut self, state: &State) -> Leader {
         while !self.advance(state) {}
         self.finish()
@@ -70,7 +72,7 @@
     jobs.drain(..slice)
 }
 
-/// The jobs_to_enqueue jobs, those accepted first before the others.
+/// Returns the open jobs in order of acceptance.
 fn open_jobs(state: &State) -> VecDeque<u64> {
     let accepted = |(id, job): (u64, &Job)| job.open_work().map(|work| (work.submit().accepted_at_ms, id));
     let mut open: Vec<(u64, u64)> = state.jobs().filter_map(accepted).collect();
@@ -79,8 +81,9 @@
 }
 
 impl Leader {
-    /// The leader of `term`, with `state` as of the commit of the term's first entry. `now` is in nanoseconds of the
-    /// steady clock; `seed` determines the jitter of its timers. `LeaderRecovery` does the same in slices.
+    /// Creates the leader of `term` from the state as of the commit of the term's first entry. `now` is in
+    /// nanoseconds of the monotonic clock, and `seed` determines the jitter of the timers. `LeaderRecovery`
+    /// does the same in slices.
     pub fn new(term: u64, settings: LeaderSettings, state: &State, now: u64, seed: u64) -> Self {
         LeaderRecovery::new(term, settings, state, now, seed).complete(state)
     }
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Adopts the attempts of a job; those that are no longer wanted are stopped.
+    /// Adopts the active attempts of a job and stops those that are no longer needed.
     fn adopt_attempts(&mut self, state: &State, work: &Work, is_open: bool) {
         for (task, active) in work.active_attempts() {
             let Some(stage) = work.stage(task.step) else { continue };
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Queues the waiting steps of an jobs_to_enqueue job.
+    /// Enqueues the waiting steps of an open job.
     fn recover_steps(&mut self, state: &State, job: u64) {
         self.job_opened(state, job);
         let Some(work) = state.open_work(job) else { return };
--- a/crates/scheduler/src/leader/rejected_jobs.rs
+++ b/crates/scheduler/src/leader/rejected_jobs.rs
@@ -1,15 +1,16 @@
-//! Jobs that were record for overload lately: one that comes again has waited since then.
+//! Jobs that were recently rejected because of overload. If such a job is submitted again, its wait counts
+//! from the first rejection.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::time::NANOS_PER_S;
 
-/// How long a rejection is remembered, in nanoseconds.
+/// How long a rejection is remembered.
 const REJECTION_RETENTION_NS: u64 = 20 * NANOS_PER_S;
-/// Rejections that are remembered at most.
+/// Maximum number of remembered rejections.
 const MAX_REJECTIONS: usize = 16_384;
 
-/// When jobs were first record, in nanoseconds of the steady clock.
+/// When jobs were first rejected, in nanoseconds of the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct RejectedJobs {
     first_rejected: HashMap<u64, u64>,
@@ -17,7 +18,7 @@
 }
 
 impl RejectedJobs {
-    /// A job is record.
+    /// Records the rejection of a job.
     pub(super) fn record(&mut self, now: u64, job: u64) {
         self.forget_expired(now);
         if self.first_rejected.contains_key(&job) || self.by_age.len() >= MAX_REJECTIONS {
@@ -27,7 +28,7 @@
         self.by_age.push_back((now, job));
     }
 
-    /// How long ago a job was first record, in nanoseconds; 0 if it was not.
+    /// Returns the time since the first rejection of a job in nanoseconds, or 0 if the job was not rejected.
     pub(super) fn time_since_rejection(&self, now: u64, job: u64) -> u64 {
         self.first_rejected.get(&job).map_or(0, |first| now.saturating_sub(*first))
     }
--- a/crates/scheduler/src/leader/reports/job.rs
+++ b/crates/scheduler/src/leader/reports/job.rs
@@ -16,13 +16,13 @@
 use crate::state::{AttemptOutcome, State, Work};
 use crate::time::NANOS_PER_MS;
 
-/// Steps of a job that are reported at most: a job may have 100,000 times.
+/// Maximum number of reported steps. A job may have 100,000 occurrences.
 const MAX_STEPS: usize = 200;
-/// Attempts of a job that are reported at most.
+/// Maximum number of reported attempts of a job.
 const MAX_ATTEMPTS: usize = 1_000;
 
 impl Leader {
-    /// One job; `None` if it is not known.
+    /// Returns the report of a job, or `None` if the job is not known.
     pub fn job_report(&self, state: &State, id: u64, now: u64) -> Option<JobReport> {
         let job = state.job(id)?;
         let work = job.work();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether a time of a scheduled job is still to come.
+    /// Returns whether an occurrence of a scheduled job is not yet due.
     fn is_not_due(&self, state: &State, work: &Work, time: u32) -> bool {
         if !work.is_scheduled() {
             return false;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What prevents a start on the workers of the service, counted.
+    /// Counts the workers of the service by the obstacle that prevents a start there.
     fn count_obstacles(&self, position: usize, stage: &Stage, key: StepKey) -> Vec<ObstacleCount> {
         let demand = demand_of(key, stage, &[]);
         let mut counts: BTreeMap<Obstacle, ObstacleCount> = BTreeMap::new();
--- a/crates/scheduler/src/leader/reports/load.rs
+++ b/crates/scheduler/src/leader/reports/load.rs
@@ -1,39 +1,39 @@
-//! Reports of what a leader carries (its workers, what waits, what is in flight) and of the work it has done.
+//! Reports of the leader's current load (workers, waiting steps, attempts) and of the work that it has done.
 
 use crate::leader::event_loop::Leader;
 use crate::leader::service::Service;
 use crate::leader::work::LeaderWork;
 use crate::time::NANOS_PER_MS;
 
-/// What a leader carries at one moment.
+/// The load of a leader at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeaderLoad {
-    /// Known workers.
+    /// Number of known workers.
     pub workers: usize,
-    /// Workers that may take starts.
+    /// Number of workers that may take starts.
     pub usable_workers: usize,
-    /// Workers that do not answer.
+    /// Number of workers that do not respond.
     pub unreachable_workers: usize,
-    /// Workers of which an answer is overdue.
+    /// Number of workers with an overdue response.
     pub suspected_workers: usize,
-    /// Steps of which tasks wait for a start.
+    /// Number of steps with tasks that wait for a start.
     pub waiting_steps: usize,
-    /// Those of them that found no capacity.
+    /// Number of waiting steps that found no capacity.
     pub blocked_steps: usize,
-    /// Attempts that occupy a worker.
+    /// Number of attempts that occupy a worker.
     pub attempts: usize,
-    /// Those of them whose start was not confirmed yet.
+    /// Number of these attempts whose start is not confirmed yet.
     pub unconfirmed: usize,
-    /// Confirmed starts a second.
+    /// Confirmed starts per second.
     pub starts_per_s: u64,
-    /// How long confirmations take, in milliseconds; 0 if there were few.
+    /// Delay of start confirmations, in milliseconds; 0 if there were too few.
     pub start_delay_ms: u64,
-    /// Tasks of open jobs.
+    /// Number of tasks in open jobs.
     pub open_tasks: u64,
 }
 
 impl Leader {
-    /// What this leader carries now.
+    /// Returns the current load.
     pub fn load_report(&self, now: u64) -> LeaderLoad {
         let starts_per_s = self.start_pace.confirmed_per_s(now);
         let start_delay_ms = self.start_pace.delay(now).unwrap_or(0) / NANOS_PER_MS;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The work done since the last call.
+    /// Returns the work done since the last call and resets the counters.
     pub fn take_work(&mut self) -> LeaderWork {
         let workers_examined = self.services.iter().map(|service| service.fleet.take_examined()).sum();
         let share_updates = self.services.iter_mut().map(Service::take_share_updates).sum();
--- a/crates/scheduler/src/leader/reports/mod.rs
+++ b/crates/scheduler/src/leader/reports/mod.rs
@@ -1,4 +1,4 @@
-//! Read-only reports for operators, built when they are asked for.
+//! Read-only reports for operators, built on request.
 
 mod job;
 mod load;
--- a/crates/scheduler/src/leader/reports/queues.rs
+++ b/crates/scheduler/src/leader/reports/queues.rs
@@ -5,7 +5,7 @@
 use crate::leader::event_loop::Leader;
 
 impl Leader {
-    /// Queues and deficits of all services.
+    /// Returns the queues and deficits of all services.
     pub fn queues_report(&self, now: u64) -> Queues {
         let mut services: Vec<QueueReport> = self
             .service_positions
--- a/crates/scheduler/src/leader/reports/workers.rs
+++ b/crates/scheduler/src/leader/reports/workers.rs
@@ -8,19 +8,19 @@
 use crate::placement::{Resources, WorkerKey};
 use crate::time::NANOS_PER_MS;
 
-/// How many milliseconds are left until a time of the steady clock.
+/// Returns the milliseconds until a time of the monotonic clock, rounded up.
 fn left_ms(until: u64, now: u64) -> u64 {
     until.saturating_sub(now).div_ceil(NANOS_PER_MS)
 }
 
 impl Leader {
-    /// All workers, whether they may take starts and why not.
+    /// Returns all workers, whether they may take starts, and the obstacles that prevent starts.
     pub fn workers_report(&self, now: u64) -> Workers {
         let workers = self.workers.iter().map(|(key, entry)| self.worker_report(*key, entry, now));
         Workers { workers: workers.collect() }
     }
 
-    /// The incarnation of a worker, empty if it is no longer known.
+    /// Returns the instance ID of a worker, or an empty string if the worker is no longer known.
     pub(in crate::leader) fn instance_name(&self, worker: WorkerKey) -> String {
         self.workers.get(&worker).map_or_else(String::new, |entry| entry.instance.to_string())
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Everything that prevents starts on a worker.
+/// Returns all obstacles that prevent starts on a worker.
 fn obstacles_of(entry: &WorkerEntry, now: u64) -> Vec<WorkerObstacle> {
     let mut obstacles = Vec::new();
     if entry.incarnation_ended {
--- a/crates/scheduler/src/leader/reservations.rs
+++ b/crates/scheduler/src/leader/reservations.rs
@@ -1,7 +1,7 @@
-//! Reservations for tasks that are too large for the capacity that small tasks leave free.
+//! Capacity reservations for tasks that are too large for the capacity that small tasks leave free.
 //!
-//! Once a step has found no capacity for a while, what is freed on one worker is reserved for its next task until it
-//! fits there.
+//! Once a step has found no capacity for a while, capacity that is freed on one worker is reserved for the
+//! step's next task until the task fits there.
 
 use crate::ids::StepKey;
 use crate::placement::{Resources, WorkerKey};
@@ -14,16 +14,16 @@
 use super::mechanisms::Mechanism;
 use super::service::StepKind;
 
-/// How long a step waits without capacity before some is reserved for it, in nanoseconds.
+/// How long a step waits without capacity before capacity is reserved for it.
 const RESERVATION_WAIT_NS: u64 = 1_000 * NANOS_PER_MS;
 
-/// The smaller amount of each resource.
+/// Returns the smaller amount of each resource.
 fn component_min(a: Resources, b: Resources) -> Resources {
     Resources { cpu: a.cpu.min(b.cpu), mem_mb: a.mem_mb.min(b.mem_mb), gpu: a.gpu.min(b.gpu) }
 }
 
 impl Leader {
-    /// Reserves capacity for the step that has waited longest, and starts its next task once it fits.
+    /// Reserves capacity for the step that has waited longest, and starts the step's next task once it fits.
     pub(super) fn update_reservation(&mut self, state: &State, position: usize) {
         if !self.uses(Mechanism::CapacityReservations) {
             return;
@@ -59,14 +59,14 @@
         let demand = demand_of(step, stage, &[]);
         let fleet = &self.services[position].fleet;
         let Some(worker) = fleet.closest_to_fitting(&demand) else { return };
-        // Where it fits, this pass starts it: a reservation would take the capacity from it.
+        // If the task fits, this pass starts it. A reservation would take the capacity away from the task.
         let fits = fleet.free_on(worker).is_some_and(|free| demand.need.fits_in(free));
         if !fits {
             self.reserve_capacity(state, position, step, worker);
         }
     }
 
-    /// Reserves what is free on the worker of what the step's next task needs.
+    /// Reserves the free capacity of the worker, up to what the step's next task needs.
     fn reserve_capacity(&mut self, state: &State, position: usize, step: StepKey, worker: WorkerKey) {
         let stage = state.open_stage(step);
         let Some(stage) = stage.filter(|stage| stage.anti_affinity == 0) else { return };
--- a/crates/scheduler/src/leader/schedule.rs
+++ b/crates/scheduler/src/leader/schedule.rs
@@ -1,18 +1,18 @@
-//! The next due time of each job that runs at times of day, however often it repeats.
+//! The next due time of each scheduled job, regardless of how often the job repeats.
 
 use std::collections::BTreeSet;
 
-/// A time of a job and when it is due.
+/// An occurrence of a job and its due time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DueTime {
     /// Time of day in milliseconds since 1970.
     pub(super) due_ms: u64,
     pub(super) job: u64,
-    /// Which of the job's repeats, counted from 0.
+    /// Index of the occurrence among the job's repeats, counted from 0.
     pub(super) time: u32,
 }
 
-/// The next time of each scheduled job, in order of their due times.
+/// The next occurrence of each scheduled job, ordered by due time.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     by_due_time: BTreeSet<DueTime>,
@@ -23,12 +23,12 @@
         self.by_due_time.insert(due);
     }
 
-    /// The time that is due first.
+    /// Returns the occurrence that is due first.
     pub(super) fn first(&self) -> Option<DueTime> {
         self.by_due_time.first().copied()
     }
 
-    /// Takes out the time that is due first.
+    /// Takes the occurrence that is due first.
     pub(super) fn pop_first(&mut self) -> Option<DueTime> {
         self.by_due_time.pop_first()
     }
--- a/crates/scheduler/src/leader/service/capacity.rs
+++ b/crates/scheduler/src/leader/service/capacity.rs
@@ -1,6 +1,6 @@
-//! Capacity that becomes free: which blocked steps may be placed again.
+//! Handling of freed capacity: which blocked steps may be placed again.
 //!
-//! What is freed is collected, so that a pass over the blocked steps is made once for all that was freed in a turn.
+//! Workers with freed capacity are collected, so that one turn needs only one pass over the blocked steps.
 
 use mqos::{PlanOptions, Queues};
 
@@ -11,19 +11,19 @@
 use super::Service;
 
 impl Service {
-    /// Capacity was freed on a worker: the blocked steps that fit there may be placed again.
+    /// Records that capacity was freed on a worker, so that blocked steps that fit there may be placed again.
     pub(in crate::leader) fn capacity_freed(&mut self, worker: WorkerKey) {
         self.needs_admission = true;
         self.freed_on.push(worker);
     }
 
-    /// A worker was added, or may take starts again.
+    /// Records that a worker was added or may take starts again.
     pub(in crate::leader) fn worker_usable(&mut self, worker: WorkerKey) {
         self.capacity_freed(worker);
         self.workers_became_usable = true;
     }
 
-    /// Brings the queues up to date with what changed since the last pass over them.
+    /// Updates the queues with the changes since the last admission pass.
     pub(in crate::leader) fn prepare_pass(&mut self, now: u64) {
         self.needs_admission = false;
         self.update_shares();
@@ -31,7 +31,8 @@
         self.update_plan_heads(now);
     }
 
-    /// Unblocks the steps that fit where capacity was freed, or whose wait for better capacity has ended.
+    /// Unblocks the steps that fit on a worker with freed capacity, and the steps whose wait for better
+    /// capacity is over.
     fn unblock_steps(&mut self, now: u64) {
         let mut workers = std::mem::take(&mut self.freed_on);
         workers.sort_unstable();
@@ -45,17 +46,18 @@
         self.freed_on = workers;
     }
 
-    /// When the next wait for better capacity ends.
+    /// Returns the earliest time at which a wait for better capacity ends.
     pub(in crate::leader) fn next_retry_at(&self) -> Option<u64> {
         self.blocked.values().filter_map(|blocked| blocked.retry_at).min()
     }
 
-    /// How often the shares of all waiting steps were computed since the last call.
+    /// Returns how often the shares of all waiting steps were computed since the last call.
     pub(in crate::leader) fn take_share_updates(&mut self) -> u64 {
         std::mem::take(&mut self.share_updates)
     }
 
-    /// Computes the shares of the queues' entries again if workers that came into use changed the total by much.
+    /// Recomputes the shares of all queue entries if workers that became usable changed the total capacity by
+    /// over a tenth.
     fn update_shares(&mut self) {
         let total = self.fleet.total();
         let became_usable = std::mem::take(&mut self.workers_became_usable);
@@ -73,7 +75,8 @@
     }
 }
 
-/// Whether the shares of the queues' entries are to be computed again: the total has changed by over a tenth.
+/// Returns whether any resource differs by over a tenth, so that the shares of the queue entries must be
+/// recomputed.
 fn differs_by_over_a_tenth(total: Resources, before: Resources) -> bool {
     let changed = |now: u64, before: u64| now.abs_diff(before).saturating_mul(10) > before;
     changed(total.cpu, before.cpu) || changed(total.mem_mb, before.mem_mb) || changed(total.gpu, before.gpu)
--- a/crates/scheduler/src/leader/service/mod.rs
+++ b/crates/scheduler/src/leader/service/mod.rs
@@ -1,7 +1,8 @@
 //! One service: its workers, and the steps whose tasks wait for a start there.
 //!
-//! The queues hold steps, not tasks: the tasks of a step ask for the same, so that one entry stands for the next
-//! of them. It returns to the front until none is left, which keeps older jobs first.
+//! The queues hold steps, not tasks. All tasks of a step have the same demand, so that one entry per step
+//! represents its next task. After each start the entry returns to the step's position until no task is left,
+//! which keeps older jobs first.
 
 mod capacity;
 mod plan_heads;
@@ -28,41 +29,42 @@
 #[derive(Debug)]
 pub(super) struct Service {
     pub(super) fleet: Fleet,
-    /// Whether queues are by plan and dominant resource; else there is one, in order of arrival.
+    /// Whether there is a queue for each plan and dominant resource. Otherwise there is a single queue in
+    /// order of arrival.
     fair: bool,
     queues: Queues<StepKey, RESOURCES>,
     ready: BTreeMap<StepKey, ReadyStep>,
-    /// Steps that found no capacity since some was last freed where they fit.
+    /// Steps that found no capacity, and for which no capacity that fits has been freed since.
     blocked: BTreeMap<StepKey, BlockedStep>,
-    /// Workers on which capacity was freed since blocked steps were last looked at.
+    /// Workers on which capacity was freed since blocked steps were last checked.
     freed_on: Vec<WorkerKey>,
-    /// Whether workers came into use since the queues' shares were last checked.
+    /// Whether workers became usable since the shares of the queue entries were last checked.
     workers_became_usable: bool,
     /// All waiting steps by plan and order.
     by_plan_and_order: BTreeMap<(usize, i64), StepKey>,
-    /// Waiting steps of the first plan other than gangs, by order.
+    /// Waiting steps of the first plan other than gangs, by order. Attempts may be preempted for them.
     urgent: BTreeMap<i64, StepKey>,
     /// The first step of each plan.
     plan_heads: [Option<PlanHead>; WEIGHTS.len()],
-    /// How long steps of each plan have waited for their starts lately.
+    /// Recent start delays of the steps of each plan.
     start_delays: [StartDelay; WEIGHTS.len()],
-    /// Whether something changed that may let a step start.
+    /// Whether something changed that may allow a step to start.
     pub(super) needs_admission: bool,
-    /// Whether any worker ever reported progress.
+    /// Whether any worker has ever reported progress.
     pub(super) progress_reported: bool,
-    /// When attempts may next be preempted for the first plan.
+    /// The earliest time of the next preemption for the first plan.
     pub(super) next_preemption_at: u64,
-    /// Capacity that is reserved for a step.
+    /// The capacity that is reserved for a step.
     pub(super) reservation: Option<CapacityReservation>,
-    /// When other starts last began to pause for a gang.
+    /// When the last admission pause for a gang began.
     pub(super) gang_pause_started_at: u64,
-    /// The total of which the queues' entries are shares.
+    /// The total capacity that the shares of the queue entries refer to.
     shares_total: Resources,
-    /// How often the shares of all waiting steps were computed since that was last taken.
+    /// How often the shares of all waiting steps were computed since `take_share_updates` was last called.
     share_updates: u64,
-    /// Sort key last given to an entry at the front; decreases.
+    /// The order last assigned to a step at the front. Decreases with each such step.
     front_order: i64,
-    /// Sort key last given to an entry at the back; increases.
+    /// The order last assigned to a step at the back. Increases with each such step.
     back_order: i64,
 }
 
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Adds tasks to those that wait.
+    /// Adds tasks to the waiting tasks of their step.
     pub(super) fn enqueue(&mut self, waiting: EnqueueRequest) {
         if waiting.tasks.is_empty() {
             return;
@@ -123,14 +125,14 @@
         self.push_to_queue(waiting.step);
     }
 
-    /// Puts an entry of a waiting step into its queue, at the step's position.
+    /// Adds an entry for a waiting step to its queue, at the step's position.
     fn push_to_queue(&mut self, step: StepKey) {
         let Some(ready) = self.ready.get(&step) else { return };
         let (plan, need) = self.queue_entry_of(ready);
         self.queues.push_at(plan, step, need, ready.order);
     }
 
-    /// The plan of a step's queue, and what one entry of it needs as shares of the total.
+    /// Returns the plan of a step's queue, and the need of one entry as shares of the total capacity.
     fn queue_entry_of(&self, ready: &ReadyStep) -> (usize, [f64; RESOURCES]) {
         let need = ready.need.shares_of(self.shares_total);
         if self.fair {
@@ -152,13 +154,14 @@
         }
     }
 
-    /// A task was started without its step's turn, on capacity that was freed for it.
+    /// Records that a task was started on capacity freed for it, without its step being released by the
+    /// queues.
     pub(super) fn task_started_outside_queue(&mut self, step: StepKey, index: u32, now: u64) {
         self.reset_head_wait(step, now);
         self.remove_task(step.task(index));
     }
 
-    /// Takes a step out.
+    /// Removes a step.
     pub(super) fn remove_step(&mut self, step: StepKey) {
         if let Some(ready) = self.ready.remove(&step) {
             self.by_plan_and_order.remove(&(ready.plan, ready.order));
@@ -170,7 +173,7 @@
         self.queues.remove(&step);
     }
 
-    /// Takes all steps of a job out.
+    /// Removes all steps of a job.
     pub(super) fn remove_job(&mut self, job: u64) {
         let first = StepKey { job, time: 0, step: 0 };
         let last = StepKey { job, time: u32::MAX, step: u32::MAX };
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Takes a task out: it is done, or was started past the queues.
+    /// Removes a task that is done or was started without a release by the queues.
     pub(super) fn remove_task(&mut self, task: TaskKey) {
         let step = task.step_key();
         let Some(ready) = self.ready.get_mut(&step) else { return };
@@ -190,24 +193,24 @@
         }
     }
 
-    /// A task of the step, or its gang, is being started.
+    /// Records the wait of a step of which a task, or the gang, is being started.
     pub(super) fn record_start_delay(&mut self, step: StepKey, now: u64) {
         if let Some(ready) = self.ready.get(&step) {
             self.start_delays[ready.plan].record(now, now.saturating_sub(ready.since));
         }
     }
 
-    /// The least time that steps of a plan have waited for their starts lately, in nanoseconds.
+    /// Returns the minimum recent wait of the plan's steps before a start, in nanoseconds.
     pub(super) fn start_delay(&mut self, plan: usize, now: u64) -> u64 {
         self.start_delays[plan].minimum(now)
     }
 
-    /// A step that waits.
+    /// Returns a waiting step.
     pub(super) fn ready(&self, step: StepKey) -> Option<&ReadyStep> {
         self.ready.get(&step)
     }
 
-    /// A step that waits.
+    /// Returns a waiting step.
     pub(super) fn ready_mut(&mut self, step: StepKey) -> Option<&mut ReadyStep> {
         self.ready.get_mut(&step)
     }
--- a/crates/scheduler/src/leader/service/plan_heads.rs
+++ b/crates/scheduler/src/leader/service/plan_heads.rs
@@ -1,4 +1,4 @@
-//! The first waiting step of each plan, and how long it has waited as such.
+//! The first waiting step (head) of each plan, and how long it has been the head.
 
 use crate::ids::StepKey;
 
@@ -6,8 +6,8 @@
 use super::Service;
 
 impl Service {
-    /// Of the plans' heads, in order of priority, the first of this kind that has waited as such since `since` or
-    /// longer.
+    /// Returns the first plan head of this kind, in order of priority, that has been the head since `since`
+    /// or longer.
     pub(in crate::leader) fn waiting_head(&self, since: u64, kind: StepKind) -> Option<StepKey> {
         let is_gang = kind == StepKind::Gang;
         let waits = |head: &&PlanHead| {
@@ -16,7 +16,7 @@
         self.plan_heads.iter().flatten().find(waits).map(|head| head.step)
     }
 
-    /// Records the first step of each plan.
+    /// Updates the head of each plan.
     pub(super) fn update_plan_heads(&mut self, now: u64) {
         for (plan, head) in self.plan_heads.iter_mut().enumerate() {
             let first = self
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A task of the step was started: if the step is the head of its plan, its wait begins anew.
+    /// Restarts the wait of a step that is the head of its plan, because one of its tasks was started.
     pub(super) fn reset_head_wait(&mut self, step: StepKey, now: u64) {
         for head in self.plan_heads.iter_mut().flatten() {
             if head.step == step {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Waiting steps of the first plan other than gangs, the oldest first.
+    /// Returns up to `limit` waiting steps of the first plan other than gangs, in queue order.
     pub(in crate::leader) fn urgent_steps(&self, limit: usize) -> Vec<StepKey> {
         self.urgent.values().take(limit).copied().collect()
     }
--- a/crates/scheduler/src/leader/service/report.rs
+++ b/crates/scheduler/src/leader/service/report.rs
@@ -11,17 +11,17 @@
 use super::Service;
 
 impl Service {
-    /// Steps of which tasks wait for a start.
+    /// Number of steps with tasks that wait for a start.
     pub(in crate::leader) fn waiting_steps(&self) -> usize {
         self.ready.len()
     }
 
-    /// Waiting steps that found no capacity.
+    /// Number of waiting steps that found no capacity.
     pub(in crate::leader) fn blocked_steps(&self) -> usize {
         self.blocked.len()
     }
 
-    /// The queues and the capacity as they are. `name_of` gives the incarnation of a worker.
+    /// Returns the current queues and capacity. `name_of` returns the instance ID of a worker.
     pub(in crate::leader) fn report(
         &self,
         service: &str,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// One plan; `None` if nothing waits and there is no deficit.
+    /// Returns the report of one plan, or `None` if nothing waits and there is no deficit.
     fn plan_report(&self, plan: usize, now: u64) -> Option<PlanReport> {
         let [cpu, mem_mb, gpu] = self.queues.deficits(plan)?;
         let deficits = ResourceShares { cpu, mem_mb, gpu };
@@ -72,7 +72,8 @@
         })
     }
 
-    /// Whether a waiting step found no capacity, or needs more than is free on all workers together.
+    /// Returns whether a waiting step found no capacity, or needs more than the free capacity of all workers
+    /// together.
     fn lacks_capacity(&self, step: StepKey) -> bool {
         let free = self.fleet.free();
         self.blocked.contains_key(&step)
--- a/crates/scheduler/src/leader/service/scan.rs
+++ b/crates/scheduler/src/leader/service/scan.rs
@@ -1,4 +1,4 @@
-//! The step whose turn it is: taken out of its queue, and returned there.
+//! Scan of the queues: takes out the next step that can start, and returns it to its queue.
 
 use mqos::Released;
 
@@ -8,12 +8,13 @@
 use super::steps::{Candidate, Choice, NextStep};
 use super::Service;
 
-/// How many waiting steps of a queue are scanned for one that has capacity.
+/// Maximum number of waiting steps of a queue that are scanned for one that has capacity.
 const SCAN_DEPTH: usize = 32;
 
 impl Service {
-    /// The step whose turn it is, and where `choose` puts it. Steps for which there is no capacity keep their position.
-    /// Once the fleet has `examined_limit` examined workers on its account, no search for a further step begins.
+    /// Takes the next step out of its queue and returns it with the workers that `choose` selected. Steps
+    /// without capacity keep their position. Once the fleet has examined `examined_limit` workers, no search
+    /// for a further step begins.
     pub(in crate::leader) fn next_step(
         &mut self,
         examined_limit: u64,
@@ -21,7 +22,7 @@
     ) -> NextStep {
         let availability = self.fleet.free().shares_of(self.fleet.total());
         let Self { queues, blocked, ready, fleet, .. } = self;
-        // The first of each queue that has capacity: the queues may ask for it again.
+        // The first step with capacity of each queue. The queues may ask for the same step again.
         let mut chosen: Vec<(StepKey, Choice)> = Vec::new();
         let mut limit_reached = false;
         let released = queues.next_where(&availability, SCAN_DEPTH, |_, step, _| {
@@ -57,7 +58,8 @@
         NextStep::Step(released, choice.map_or(Choice::NoCapacity, |(_, choice)| choice))
     }
 
-    /// A released step of which tasks were started: the next of its tasks waits in its position.
+    /// Returns a released step to its position after the start of some of its tasks, so that its next task
+    /// waits there.
     pub(in crate::leader) fn released_step_started(
         &mut self,
         released: &Released<StepKey, RESOURCES>,
@@ -76,7 +78,7 @@
         self.push_to_queue(released.key);
     }
 
-    /// A released step of which nothing was started: it returns to its queue.
+    /// Returns a released step to its queue and refunds its cost, because no task was started.
     pub(in crate::leader) fn return_released_step(&mut self, released: &Released<StepKey, RESOURCES>) {
         self.queues.refund(released);
         self.push_to_queue(released.key);
--- a/crates/scheduler/src/leader/service/steps.rs
+++ b/crates/scheduler/src/leader/service/steps.rs
@@ -1,4 +1,4 @@
-//! Steps whose tasks wait for a start, and what placement decides about them.
+//! Steps whose tasks wait for a start, and the placement decisions on them.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,10 @@
 use crate::ids::{StepKey, TaskKey};
 use crate::placement::{Resources, WorkerKey, RESOURCES};
 
-/// Weights of the plans, by priority. Lower priorities share the last one.
+/// Weights of the plans, by priority. All lower priorities share the last plan.
 pub(super) const WEIGHTS: [f64; 6] = [32.0, 16.0, 8.0, 4.0, 2.0, 1.0];
 
-/// The plan of a priority.
+/// Returns the plan of a priority.
 pub(in crate::leader) fn plan_of(priority: u32) -> usize {
     (priority as usize).min(WEIGHTS.len() - 1)
 }
@@ -19,16 +19,16 @@
 #[derive(Debug, Clone)]
 pub(in crate::leader) struct ReadyStep {
     pub(in crate::leader) plan: usize,
-    /// What one entry of the queue needs: a task, or a whole gang.
+    /// Resources of one queue entry: a task, or a whole gang.
     pub(in crate::leader) need: Resources,
-    /// What one task needs, or one member of the gang.
+    /// Resources of one task or one gang member.
     pub(super) task_need: Resources,
-    /// The tasks that wait. Of a gang, all members at once.
+    /// The indices of the waiting tasks. For a gang, always all members.
     pub(in crate::leader) tasks: BTreeSet<u32>,
     pub(in crate::leader) gang: bool,
-    /// Until when no further attempts are preempted for it.
+    /// No further attempts are preempted for the step until this time.
     pub(in crate::leader) preempted_until: u64,
-    /// Since when it waits.
+    /// When the step began to wait.
     pub(in crate::leader) since: u64,
     /// Position among the steps of its service.
     pub(super) order: i64,
@@ -37,53 +37,53 @@
 /// A step that found no capacity.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BlockedStep {
-    /// What one task of it needs, or one member of its gang.
+    /// Resources of one task or one gang member.
     pub(super) need: Resources,
-    /// When it is placed again though no capacity was freed.
+    /// When the step is placed again even if no capacity is freed.
     pub(super) retry_at: Option<u64>,
 }
 
-/// What placement decides about a step whose turn it is.
+/// The placement decision on the next step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(in crate::leader) enum Choice {
-    /// Its next task goes there.
+    /// The step's next task starts on this worker.
     Task(WorkerKey),
-    /// Its gang goes there, member by member.
+    /// The gang starts on these workers: member `i` on the worker at index `i`.
     Gang(Vec<WorkerKey>),
-    /// No worker has capacity for it.
+    /// No worker has capacity for the step.
     NoCapacity,
-    /// There is capacity, but better capacity is worth waiting for until then.
+    /// There is capacity, but it is worth waiting for better capacity until this time.
     RetryAt(u64),
-    /// It no longer waits.
+    /// The step no longer waits.
     NotWaiting,
 }
 
-/// What a scan of the queues found.
+/// The result of a scan of the queues.
 #[derive(Debug)]
 pub(in crate::leader) enum NextStep {
-    /// The step whose turn it is, taken out of its queue, and where it goes.
+    /// The next step, taken out of its queue, and its placement.
     Step(Released<StepKey, RESOURCES>, Choice),
-    /// No step that is not blocked has capacity.
+    /// There is no capacity for any step.
     None,
-    /// None yet, and more workers were examined than the scan may examine.
+    /// The scan examined as many workers as allowed before it found a step.
     LimitReached,
 }
 
-/// Where a step enters its queue.
+/// The end at which a step enters its queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::leader) enum QueueEnd {
-    /// Before the steps that wait already: its job has begun.
+    /// Ahead of the waiting steps, because the step's job has begun.
     Front,
-    /// Behind the steps that wait already.
+    /// Behind the waiting steps.
     Back,
 }
 
-/// How the tasks of a step are started.
+/// How the tasks of a step start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::leader) enum StepKind {
-    /// All at once.
+    /// All tasks start together.
     Gang,
-    /// Each by itself.
+    /// Each task starts by itself.
     Single,
 }
 
@@ -91,36 +91,37 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlanHead {
     pub(super) step: StepKey,
-    /// Since when it has waited as such without a start.
+    /// Since when the step has been the head without the start of a task.
     pub(super) since: u64,
 }
 
-/// The next task of a step whose turn it is.
+/// The next task of a scanned step.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::leader) struct Candidate {
     pub(in crate::leader) task: TaskKey,
-    /// Since when its step waits.
+    /// When the step began to wait.
     pub(in crate::leader) since: u64,
-    /// How many tasks of the step wait, it among them.
+    /// Number of waiting tasks of the step, including this one.
     pub(in crate::leader) waiting_tasks: u64,
 }
 
-/// Tasks of a step that are to wait for a start.
+/// Tasks of a step that are added to the queue.
 #[derive(Debug, Clone)]
 pub(in crate::leader) struct EnqueueRequest {
     pub(in crate::leader) step: StepKey,
     pub(in crate::leader) plan: usize,
-    /// What one task needs, or one member of the gang.
+    /// Resources of one task or one gang member.
     pub(in crate::leader) task_need: Resources,
     pub(in crate::leader) gang: bool,
     pub(in crate::leader) tasks: BTreeSet<u32>,
     pub(in crate::leader) end: QueueEnd,
-    /// Since when it waits.
+    /// When the tasks began to wait.
     pub(in crate::leader) since: u64,
 }
 
 impl Choice {
-    /// How many attempts it starts; at least one, since a step has had its turn.
+    /// Returns the number of starts that the decision costs the turn's budget. This is at least one, because
+    /// the scan of a step has a cost even without a start.
     pub(in crate::leader) fn start_count(&self) -> u64 {
         match self {
             Choice::Gang(workers) => workers.len().max(1) as u64,
@@ -130,12 +131,12 @@
 }
 
 impl ReadyStep {
-    /// Whether attempts may be preempted for it.
+    /// Returns whether attempts may be preempted for the step.
     pub(super) fn is_urgent(&self) -> bool {
         self.plan == 0 && !self.gang
     }
 
-    /// The step as one that found no capacity.
+    /// Returns the record of this step as a step that found no capacity.
     pub(super) fn blocked(&self, retry_at: Option<u64>) -> BlockedStep {
         BlockedStep { need: self.task_need, retry_at }
     }
--- a/crates/scheduler/src/leader/start_delay.rs
+++ b/crates/scheduler/src/leader/start_delay.rs
@@ -1,14 +1,15 @@
-//! How long steps have waited for their starts lately: whether a queue is standing, and for how long.
+//! Measurement of recent waits before a start, which detects a standing queue and its delay.
 
 use crate::time::NANOS_PER_MS;
 
-/// Length of a window of observation, in nanoseconds.
+/// Length of an observation window.
 const WINDOW_NS: u64 = 1_000 * NANOS_PER_MS;
 
-/// The least wait among the starts of the current window and the one before it.
+/// The minimum wait among the starts of the current and the previous window.
 ///
-/// The least and not the mean: a step that waits for rare capacity says nothing about those behind it, but where even
-/// the shortest wait is long, every step that comes now will wait as long (a standing queue, as in CoDel, RFC 8289).
+/// The minimum is used instead of the mean. A step that waits for rare capacity says nothing about the steps
+/// behind it. But if even the shortest wait is long, every newly arriving step will wait as long (a standing
+/// queue, as in CoDel, RFC 8289).
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct StartDelay {
     window_started_at: u64,
@@ -17,13 +18,13 @@
 }
 
 impl StartDelay {
-    /// A step was started that had waited for `waited` nanoseconds.
+    /// Records the start of a step that had waited for `waited` nanoseconds.
     pub(super) fn record(&mut self, now: u64, waited: u64) {
         self.advance(now);
         self.current = Some(self.current.map_or(waited, |least| least.min(waited)));
     }
 
-    /// The least wait of late, in nanoseconds; 0 if nothing was started.
+    /// Returns the minimum recent wait in nanoseconds, or 0 if nothing was started.
     pub(super) fn minimum(&mut self, now: u64) -> u64 {
         self.advance(now);
         [self.current, self.previous].into_iter().flatten().min().unwrap_or(0)
--- a/crates/scheduler/src/leader/start_pace.rs
+++ b/crates/scheduler/src/leader/start_pace.rs
@@ -1,28 +1,30 @@
-//! The measured pace of starts: how many workers confirmed lately, and how long that took.
+//! The measured rate of starts: how many workers confirmed recently, and after which delay.
 //!
-//! While starts are confirmed quickly, the pace is that of the jobs that come and says nothing of what the leader can
-//! bear. Once confirmations take long, starts wait for the leader, and the pace is what it bears.
+//! While starts are confirmed quickly, the rate equals that of arriving jobs and says nothing about the
+//! leader's capacity. Once confirmations take long, starts wait for the leader, and the rate is what the
+//! leader sustains.
 
 use std::collections::VecDeque;
 
 use crate::time::{NANOS_PER_MS, NANOS_PER_S};
 
-/// Length of a window of observation, in nanoseconds.
+/// Length of an observation window.
 const WINDOW_NS: u64 = 250 * NANOS_PER_MS;
-/// Windows over which the pace is measured.
+/// Number of windows over which the rate is measured.
 const PACE_WINDOWS: u64 = 4;
-/// Windows over which the delay is measured.
+/// Number of windows over which the delay is measured.
 const DELAY_WINDOWS: u64 = 2;
-/// Width of a bucket of delays, in nanoseconds.
+/// Width of a delay bucket.
 const DELAY_BUCKET_NS: u64 = 20 * NANOS_PER_MS;
-/// Classes of delays; the last one holds all longer ones.
+/// Number of delay buckets. The last one holds all longer delays.
 const DELAY_BUCKETS: usize = 64;
-/// The delay is that which one start in so many does not exceed: slow workers are the others.
+/// The delay is the quantile that one in this many starts does not exceed. The other starts may be slow
+/// because of their workers.
 const DELAY_QUANTILE_DIVISOR: u32 = 4;
-/// With fewer confirmations the delay is not known.
+/// Minimum number of confirmations from which the delay is known.
 const MIN_CONFIRMATIONS: u32 = 16;
 
-/// Confirmations of one window.
+/// Confirmations within one window.
 #[derive(Debug, Clone)]
 struct Window {
     started_at: u64,
@@ -30,14 +32,15 @@
     by_delay: [u32; DELAY_BUCKETS],
 }
 
-/// Confirmed starts of late, and their delays from the choice of the worker. Times are nanoseconds of the steady clock.
+/// Recently confirmed starts, and their delays since the choice of the worker. Times are in nanoseconds of
+/// the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct StartPace {
     windows: VecDeque<Window>,
 }
 
 impl StartPace {
-    /// A worker confirmed a start, `delay` after it was chosen.
+    /// Records that a worker confirmed a start `delay` nanoseconds after it was chosen.
     pub(super) fn record_confirmation(&mut self, now: u64, delay: u64) {
         self.advance(now);
         let Some(window) = self.windows.back_mut() else { return };
@@ -46,7 +49,7 @@
         window.by_delay[bucket] += 1;
     }
 
-    /// How long confirmations take; `None` if there were too few.
+    /// Returns the delay of confirmations in nanoseconds, or `None` if there were too few.
     pub(super) fn delay(&self, now: u64) -> Option<u64> {
         let recent = || self.since(now.saturating_sub(DELAY_WINDOWS * WINDOW_NS));
         let confirmed: u32 = recent().map(|window| window.confirmed).sum();
@@ -64,7 +67,8 @@
         None
     }
 
-    /// How long so many starts take at the measured pace, in nanoseconds; `None` if no pace is known.
+    /// Returns the time that this many starts take at the measured rate in nanoseconds, or `None` if no rate
+    /// is known.
     pub(super) fn time_for_starts(&self, now: u64, starts: u64) -> Option<u64> {
         let recent = || self.since(now.saturating_sub(PACE_WINDOWS * WINDOW_NS));
         let started_at = recent().next()?.started_at;
@@ -73,12 +77,12 @@
         (confirmed > 0).then(|| starts.saturating_mul(elapsed) / confirmed)
     }
 
-    /// Confirmed starts a second.
+    /// Returns the confirmed starts per second.
     pub(super) fn confirmed_per_s(&self, now: u64) -> u64 {
         self.time_for_starts(now, 1).map_or(0, |nanos| NANOS_PER_S / nanos.max(1))
     }
 
-    /// The windows that started_at since `oldest`, the oldest first.
+    /// Iterates over the windows that began at `oldest` or later, oldest first.
     fn since(&self, oldest: u64) -> impl Iterator<Item = &Window> {
         self.windows.iter().filter(move |window| window.started_at >= oldest)
     }
--- a/crates/scheduler/src/leader/timers.rs
+++ b/crates/scheduler/src/leader/timers.rs
@@ -3,40 +3,40 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What is to be done at a time.
+/// The action of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Timer {
     /// Poll the session of this worker.
     Session(u64),
-    /// Reconsider whether this worker may take starts.
+    /// Check again whether this worker may take starts.
     Worker(u64),
-    /// Poll sessions that wait for it.
+    /// Poll sessions that wait in the poll queue.
     PollWorkers,
-    /// Read the platform's list.
+    /// Read the platform's instance list.
     ReadInstances,
-    /// Take workers out of use whose listing has become too old.
+    /// Stop placing tasks on workers whose listing has expired.
     ExpireListings,
     /// Examine running attempts.
     ExamineAttempts,
-    /// Start tasks that fall due.
+    /// Enqueue the steps of scheduled jobs that fall due.
     Schedule,
     /// Continue admission.
     Admit,
-    /// Release the starts of gangs whose members can all start.
+    /// Send the start orders of gangs whose members can all start.
     ReleaseGangs,
 }
 
-/// At most one time for each timer.
+/// A set of timers, with at most one time for each timer.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
-    /// All settings by time; those that were replaced are skipped.
+    /// All times that were set, earliest first. Times that were replaced are skipped.
     heap: BinaryHeap<Reverse<(u64, Timer)>>,
-    /// The valid setting of each timer.
+    /// The valid time of each timer.
     current: HashMap<Timer, u64>,
 }
 
 impl Timers {
-    /// Sets a timer, in place of an earlier setting.
+    /// Sets a timer and replaces its earlier time.
     pub(super) fn set(&mut self, at: u64, timer: Timer) {
         if self.current.insert(timer, at) != Some(at) {
             self.heap.push(Reverse((at, timer)));
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Removes a timer's setting.
+    /// Cancels a timer.
     pub(super) fn cancel(&mut self, timer: Timer) {
         self.current.remove(&timer);
     }
 
-    /// Takes out the next timer that is due.
+    /// Takes the next timer that is due.
     pub(super) fn pop_due(&mut self, now: u64) -> Option<Timer> {
         loop {
             let Reverse((at, timer)) = *self.heap.peek()?;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     pub(super) fn next(&mut self) -> Option<u64> {
         loop {
             let Reverse((at, timer)) = *self.heap.peek()?;
--- a/crates/scheduler/src/leader/turn_budget.rs
+++ b/crates/scheduler/src/leader/turn_budget.rs
@@ -1,11 +1,12 @@
-//! What the admission of one turn may cost: a turn stays short whatever waits.
+//! Limits on the cost of admission in one turn, which keep a turn short regardless of the number of waiting
+//! steps.
 
-/// Attempts that are started in one turn before no further step has its turn.
+/// Number of starts in one turn after which no further step is scanned.
 const STARTS_PER_TURN: u64 = 128;
-/// Workers that searches for capacity may examine in one turn before no further search begins.
+/// Number of examined workers in one turn after which no further search for capacity begins.
 const WORKERS_PER_TURN: u64 = 50_000;
 
-/// What the admission of one turn may still cost.
+/// The remaining admission budget of a turn.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct TurnBudget {
     /// The time of the turn.
@@ -15,7 +16,7 @@
 }
 
 impl TurnBudget {
-    /// The budget as it is at `now`: that of another turn is not spent.
+    /// Returns the budget at `now`, which is a full budget if `now` belongs to a new turn.
     pub(super) fn for_turn(self, now: u64) -> Self {
         if self.turn == now {
             return self;
@@ -23,22 +24,22 @@
         TurnBudget { turn: now, starts: STARTS_PER_TURN, workers: WORKERS_PER_TURN }
     }
 
-    /// Whether nothing more may be searched for or started.
+    /// Returns whether the budget allows no further search or start.
     pub(super) fn is_spent(self) -> bool {
         self.starts == 0 || self.workers == 0
     }
 
-    /// How many workers may still be examined.
+    /// Returns how many workers may still be examined.
     pub(super) fn workers(self) -> u64 {
         self.workers
     }
 
-    /// So many attempts were started. A gang starts at once, beyond the budget if need be.
+    /// Deducts started attempts. A gang starts as a whole, even beyond the budget.
     pub(super) fn spend_starts(&mut self, starts: u64) {
         self.starts = self.starts.saturating_sub(starts);
     }
 
-    /// So many workers were examined.
+    /// Deducts examined workers.
     pub(super) fn spend_workers(&mut self, workers: u64) {
         self.workers = self.workers.saturating_sub(workers);
     }
--- a/crates/scheduler/src/leader/worker_availability.rs
+++ b/crates/scheduler/src/leader/worker_availability.rs
@@ -1,4 +1,4 @@
-//! Whether workers may take starts, and what placement knows of them.
+//! Whether workers may take starts, and the facts about workers that placement uses.
 
 use crate::placement::WorkerKey;
 
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Reconsiders whether a worker may take starts, now and when the next obstacle ends.
+    /// Checks again whether a worker may take starts, now and when the next obstacle ends.
     pub(super) fn reconsider_worker(&mut self, key: WorkerKey) {
         self.update_placement(key);
         let Some(entry) = self.workers.get(&key) else { return };
@@ -26,15 +26,15 @@
         }
     }
 
-    /// Updates the facts by which placement knows a worker, if they changed.
+    /// Updates the facts that placement has about a worker, if they changed.
     pub(super) fn update_placement(&mut self, key: WorkerKey) {
         if self.report_facts(key) {
             self.notify_usable(key);
         }
     }
 
-    /// The same for many workers. Services learn of those that came into use after all facts are reported, so that the
-    /// shares of waiting steps are computed once.
+    /// Updates placement for several workers. Services are notified of workers that became usable only after
+    /// all facts are reported, so that the shares of waiting steps are computed once.
     pub(super) fn update_placement_of_all(&mut self, keys: &[WorkerKey]) {
         let became_usable: Vec<WorkerKey> =
             keys.iter().copied().filter(|key| self.report_facts(*key)).collect();
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Reports the facts about a worker to placement, if they changed. Returns whether it came into use.
+    /// Reports the facts about a worker to placement, if they changed. Returns whether the worker became
+    /// usable.
     fn report_facts(&mut self, key: WorkerKey) -> bool {
         let Some(entry) = self.workers.get_mut(&key) else { return false };
         let position = entry.service;
--- a/crates/scheduler/src/leader/worker_entry.rs
+++ b/crates/scheduler/src/leader/worker_entry.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a worker as the leader knows it.
+//! The leader's record of one incarnation of a worker.
 
 use std::sync::Arc;
 
@@ -10,16 +10,17 @@
 
 use super::outlier_detector::OutlierDetector;
 
-/// What the platform's list says about an incarnation. Times are nanoseconds of the steady clock.
+/// Attributes of an incarnation in the platform's instance list. Times are in nanoseconds of the monotonic
+/// clock.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Listing {
     pub(super) capacity: Resources,
     pub(super) labels: Vec<String>,
     pub(super) zone: String,
     pub(super) draining: bool,
-    /// The earliest end of an incarnation that is draining.
+    /// The earliest end of a draining incarnation.
     pub(super) ends_at: Option<u64>,
-    /// Until when it is warming up.
+    /// When the worker's warm-up ends.
     pub(super) warm_at: u64,
 }
 
@@ -27,41 +28,41 @@
 #[derive(Debug)]
 pub(super) struct WorkerEntry {
     pub(super) instance: Arc<str>,
-    /// Position of its service.
+    /// Index of the worker's service in `Leader::services`.
     pub(super) service: usize,
     pub(super) session: WorkerSession,
-    /// As last listed; `None` before the first list.
+    /// The newest list entry; `None` before the first one.
     pub(super) listing: Option<Listing>,
-    /// Whether the newest list shows it.
+    /// Whether the newest list shows the worker.
     pub(super) listed: bool,
-    /// The read of the list that showed it last; 0: none did.
+    /// The number of the last list read that showed the worker; 0 if no read did.
     pub(super) last_listed_read: u64,
-    /// From then on its listing is too old for further starts.
+    /// When the listing becomes too old for further starts.
     pub(super) starts_until: u64,
-    /// Since when lists do not show it.
+    /// Since when the list has not shown the worker.
     pub(super) unlisted_since: Option<u64>,
     pub(super) reachable: bool,
-    /// Whether a response of it is overdue.
+    /// Whether a response of the worker is overdue.
     pub(super) suspect: bool,
     pub(super) unhealthy: bool,
-    /// Whether this incarnation has certainly ended.
+    /// Whether this incarnation is known to have ended.
     pub(super) incarnation_ended: bool,
-    /// Until when it gets no starts after it rejected one.
+    /// No starts until this time, after the worker rejected one.
     pub(super) backoff_until: u64,
     pub(super) outlier_detector: OutlierDetector,
-    /// Whether its address is in the log, or in the next proposal.
+    /// Whether the incarnation's address is in the log or in the next proposal.
     pub(super) incarnation_logged: bool,
-    /// Attempts that occupy it.
+    /// Attempts that occupy the worker.
     pub(super) assigned: Vec<AttemptKey>,
-    /// Ends that are to be made durable.
+    /// Ends that the worker reported and that are not proposed yet.
     pub(super) pending_ends: Vec<WorkerEnd>,
-    /// Whether the session is to be polled at the end of this turn.
+    /// Whether the session is in the poll queue.
     pub(super) poll_scheduled: bool,
     /// The facts last reported to placement.
     pub(super) reported: Option<ReportedFacts>,
 }
 
-/// Facts reported to placement, coarse enough that small changes are not reported.
+/// The facts reported to placement, rounded so that small changes are not reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReportedFacts {
     pub(super) usable: bool,
@@ -71,9 +72,9 @@
     pub(super) trust_percent: u32,
 }
 
-/// Share of its usual pace that a worker is assumed to have while it is warming up.
+/// Assumed pace of a worker that is warming up, as a fraction of its regular pace.
 const WARMUP_PACE: f64 = 0.6;
-/// Step in which changes of pace and trust are reported to placement, in percent.
+/// Step size in which pace and trust are reported to placement, in percent.
 const REPORTED_STEP_PERCENT: f64 = 5.0;
 
 impl WorkerEntry {
@@ -105,27 +106,27 @@
         self.session.incarnation()
     }
 
-    /// Whether it carries nothing and has not answered yet.
+    /// Returns whether the worker has no attempts and has not responded yet.
     pub(super) fn is_first_contact(&self) -> bool {
         self.session.is_idle() && !self.session.has_been_answered()
     }
 
-    /// How many attempts occupy it.
+    /// Number of attempts that occupy the worker.
     pub(super) fn assigned_count(&self) -> u32 {
         u32::try_from(self.assigned.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether it may take starts now.
+    /// Returns whether the worker may take starts now.
     pub(super) fn is_usable(&self, now: u64) -> bool {
         self.is_in_service(now) && self.outlier_detector.allows_start(now, self.assigned_count())
     }
 
-    /// Whether only its ejection or probation prevents starts there now.
+    /// Returns whether starts are prevented only by the worker's ejection or probation.
     pub(super) fn is_ejected(&self, now: u64) -> bool {
         self.is_in_service(now) && !self.outlier_detector.allows_start(now, self.assigned_count())
     }
 
-    /// Whether it could take starts now if it were not ejected.
+    /// Returns whether the worker could take starts now if it were neither ejected nor on probation.
     fn is_in_service(&self, now: u64) -> bool {
         let is_listed = self.listed && self.listing.as_ref().is_some_and(|listing| !listing.draining);
         let is_listed = is_listed && now < self.starts_until;
@@ -134,7 +135,7 @@
         is_listed && answers && now >= self.backoff_until
     }
 
-    /// Its pace relative to its peers, 1 at most.
+    /// Returns the worker's pace relative to its peers, at most 1.
     pub(super) fn pace(&self, now: u64, peers: f64) -> f64 {
         let warm = self.listing.as_ref().is_none_or(|listing| now >= listing.warm_at);
         let pace = self.outlier_detector.relative_pace(peers);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The facts for placement if they differ from those reported before.
+    /// Returns the facts for placement if they differ from those last reported.
     pub(super) fn changed_facts(&mut self, now: u64, peers_pace: f64) -> Option<WorkerFacts> {
         let pace =
             (self.pace(now, peers_pace) * 100.0 / REPORTED_STEP_PERCENT).round() * REPORTED_STEP_PERCENT;
@@ -179,7 +180,7 @@
     }
 }
 
-/// The rack among a worker's labels: they are its kind, then its rack.
+/// Returns the rack among a worker's labels, which are its kind followed by its rack.
 fn rack_of(labels: &[String]) -> Option<String> {
     labels.get(1).or_else(|| labels.first()).cloned()
 }
--- a/crates/scheduler/src/leader/worker_events.rs
+++ b/crates/scheduler/src/leader/worker_events.rs
@@ -1,85 +1,88 @@
-//! Events of workers for operators: the driver logs and counts them.
+//! Events of workers that the driver logs and counts for operators.
 
 use std::sync::Arc;
 
 use crate::ids::AttemptKey;
 
-/// Events that wait for the driver at most; further ones are dropped.
+/// Maximum number of events that wait for the driver. Further events are dropped.
 const MAX_PENDING_EVENTS: usize = 256;
 
-/// What the leader decided or found out about a worker.
+/// A decision or an observation of the leader about a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerEvent {
-    /// Its attempts failed or stalled more often than those of its peers: it gets no starts for a while.
+    /// The worker gets no starts for a while because its attempts failed or stalled more often than those of
+    /// its peers.
     Ejected {
-        /// Its incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
-        /// The ejection time: how long it gets no starts, in milliseconds.
+        /// The ejection time in milliseconds.
         ejection_ms: u64,
     },
-    /// An attempt was completed on a worker that had been ejected.
+    /// A worker that had been ejected completed an attempt.
     Reinstated {
-        /// Its incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
     },
-    /// It does not answer.
+    /// The worker does not respond.
     TimedOut {
-        /// Its incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
-        /// Attempts that may be running there.
+        /// Number of attempts that may be running on the worker.
         attempts: u32,
     },
-    /// It answers again.
+    /// The worker responds again.
     Recovered {
-        /// Its incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
     },
-    /// Its incarnation has surely ended.
+    /// The worker's incarnation has ended.
     Lost {
-        /// Its incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
-        /// Attempts that were running there.
+        /// Number of attempts that were running on the worker.
         attempts: u32,
     },
-    /// A member of a gang ended there since the others had not all started in time.
+    /// A gang member ended on the worker because not all other members started in time.
     GangMemberTimedOut {
-        /// The worker's incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
-        /// Which attempt.
+        /// The member's attempt.
         key: AttemptKey,
         /// What this leader knows of the gang.
         gang: GangProgress,
     },
-    /// The platform's list is late: so many workers get no starts until it shows them again.
+    /// The platform's instance list is late. Workers with expired listings get no starts until the list shows
+    /// them again.
     ListingsExpired {
-        /// Workers whose listings are too old.
+        /// Number of workers whose listings have expired.
         workers: u32,
-        /// For how long the oldest of them has been too old, in milliseconds.
+        /// How long ago the oldest of these listings expired, in milliseconds.
         overdue_ms: u64,
     },
-    /// It has seen a newer leader: this one orders nothing more.
+    /// A worker has seen a newer leader, so that this leader sends no more orders.
     Fenced {
-        /// The worker's incarnation.
+        /// The worker's instance ID.
         instance: Arc<str>,
     },
 }
 
-/// What a leader knows of a gang of which a member waited in vain.
+/// What a leader knows of a gang of which a member ended before the gang was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GangProgress {
-    /// Time since this leader chose its workers, or took it over, in milliseconds.
+    /// Time since this leader chose the gang's workers or took the gang over, in milliseconds.
     pub placed_ms: u64,
-    /// Share of the member's work that was listed last, in percent: what it resumed from, as long as it waits.
+    /// Last reported progress of the member, in percent. While the member waits, this is the progress that it
+    /// resumed from.
     pub percent: u32,
-    /// Attempts that have not finished.
+    /// Number of members that have not finished.
     pub members: u32,
-    /// How many of them are known to have started.
+    /// Number of these members that are known to have started.
     pub started: u32,
-    /// How many of them were asked to stop.
+    /// Number of these members that were asked to stop.
     pub stopping: u32,
 }
 
-/// Events that the driver has not taken yet, the oldest first.
+/// Events that the driver has not taken yet, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct WorkerEvents {
     pending: Vec<WorkerEvent>,
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Takes all events that wait.
+    /// Takes all pending events.
     pub(super) fn take(&mut self) -> Vec<WorkerEvent> {
         std::mem::take(&mut self.pending)
     }
--- a/crates/scheduler/src/leader/worker_lease_need.rs
+++ b/crates/scheduler/src/leader/worker_lease_need.rs
@@ -1,8 +1,8 @@
-//! How long a worker's lease needs to be, and how long it may wait for ends, by the attempts it runs.
+//! The lease duration and the long-poll wait that a worker needs for its attempts.
 //!
-//! While a worker can't be reached, the outcome of its attempts is unknown until its lease has expired. A lease as
-//! long as its work, with a margin, keeps that time short; a shorter one would lose work whenever the core does not
-//! respond for a moment.
+//! While a worker is unreachable, the outcome of its attempts is unknown until its lease has expired. A lease
+//! that covers the remaining work plus a margin keeps that time short. A shorter lease would lose work
+//! whenever the scheduler does not respond for a moment.
 
 use crate::ids::AttemptKey;
 
@@ -10,19 +10,19 @@
 use super::mechanisms::Mechanism;
 use super::settings::LeaderSettings;
 
-/// Least worker lease, in milliseconds: an election, and lease renewals by the next leader, take less.
+/// Minimum worker lease. An election plus the lease renewals of the next leader take less time.
 const MIN_NEEDED_LEASE_MS: u64 = 2_500;
-/// What is added to the time that an attempt is expected to take still, in milliseconds.
+/// Margin on top of the expected remaining time of an attempt.
 const LEASE_MARGIN_MS: u64 = 1_500;
 
-/// Lists that are to show the progress of a run that takes as long as the client's estimate.
+/// Number of status lists that should report progress during a run of the estimated length.
 const LISTS_PER_RUN: u64 = 10;
-/// Longest wait for an end on a worker whose attempts make progress, in milliseconds.
+/// Maximum wait for an end on a worker with attempts that report progress.
 const MAX_RUNNING_WAIT_MS: u64 = 500;
-/// The same on a worker whose attempts are all long-running, in milliseconds.
+/// Wait for an end on a worker whose attempts are all long-running.
 const ALL_LONG_RUNNING_WAIT_MS: u64 = 1_000;
 
-/// The worker lease that these attempts need, in milliseconds.
+/// Returns the worker lease that these attempts need, in milliseconds.
 pub(super) fn needed_worker_lease_ms(
     attempts: &Attempts,
     assigned: &[AttemptKey],
@@ -40,8 +40,9 @@
     needs.max().unwrap_or(0).max(MIN_NEEDED_LEASE_MS).min(longest)
 }
 
-/// How long a worker with these attempts may wait for an end before it answers a lease renewal, in milliseconds:
-/// progress is to be seen several times in a run, and long-running attempts have none to report.
+/// Returns how long a worker with these attempts may wait for an end before it responds to a lease renewal,
+/// in milliseconds. Progress should be reported several times in a run, and long-running attempts have no
+/// progress to report.
 pub(super) fn needed_wait_ms(
     attempts: &Attempts,
     assigned: &[AttemptKey],
@@ -56,8 +57,8 @@
     shortest.map_or(ALL_LONG_RUNNING_WAIT_MS, |wait_ms| wait_ms.min(MAX_RUNNING_WAIT_MS)).max(min_wait_ms)
 }
 
-/// The worker lease that one attempt needs, in milliseconds. Long-running tasks and gangs without checkpoints lose
-/// most when a lease expires.
+/// Returns the worker lease that one attempt needs, in milliseconds. Long-running tasks and gangs without
+/// checkpoints lose the most when a lease expires.
 fn attempt_lease_ms(attempt: &Attempt, longest: u64, now: u64) -> u64 {
     if attempt.long_running || (attempt.gang && !attempt.checkpoints) {
         return longest;
--- a/crates/scheduler/src/leader/worker_sessions.rs
+++ b/crates/scheduler/src/leader/worker_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of workers: they are polled, and their outputs are carried out.
+//! Polling of worker sessions and handling of their outputs.
 
 use std::sync::Arc;
 
@@ -17,12 +17,13 @@
 use super::worker_events::WorkerEvent;
 use super::worker_lease_need::{needed_wait_ms, needed_worker_lease_ms};
 
-/// How long an earlier leader may still have sent lease renewals after this one started, in nanoseconds: a firewall
-/// that refuses connections can make it look dead while it goes on until its lease expires.
+/// How long an earlier leader may still have sent lease renewals after this leader started. A firewall that
+/// refuses connections can make the earlier leader look dead while it continues until its lease expires.
 const PREVIOUS_LEADER_OVERLAP_NS: u64 = 600 * NANOS_PER_MS;
 
 impl Leader {
-    /// The key of an incarnation, which becomes known on first use; its ends up to `acknowledged` are durable.
+    /// Returns the key of an incarnation and adds the worker if it is new. `acknowledged` is the number up to
+    /// which its ends are committed.
     pub(super) fn worker_key(&mut self, incarnation: &WorkerIncarnation, acknowledged: u64) -> WorkerKey {
         if let Some(key) = self.worker_keys.get(incarnation.instance.as_str()) {
             return *key;
@@ -55,7 +56,8 @@
         }
     }
 
-    /// The session is to be polled at the end of this turn, or of one that follows at once.
+    /// Adds the session to the poll queue. The session is polled at the end of this turn or of an immediately
+    /// following one.
     pub(super) fn schedule_poll(&mut self, key: WorkerKey) {
         let Some(entry) = self.workers.get_mut(&key) else { return };
         if std::mem::replace(&mut entry.poll_scheduled, true) {
@@ -68,8 +70,8 @@
         }
     }
 
-    /// The session has adopted an attempt: it is polled before those of workers that carry nothing, also if it waited
-    /// among them.
+    /// Schedules a poll after the session has adopted an attempt. The poll precedes those of workers without
+    /// attempts, even if the session already waited among them.
     pub(super) fn schedule_poll_after_adoption(&mut self, key: WorkerKey) {
         let Some(entry) = self.workers.get_mut(&key) else { return };
         let is_first = entry.session.attempt_count() == 1;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// A call to a worker has ended.
+    /// Handles the end of a call to a worker.
     pub(super) fn call_finished(&mut self, call: CallId, outcome: CallOutcome) {
         let now = self.now;
         match outcome {
@@ -99,13 +101,13 @@
         }
     }
 
-    /// Asks a worker to stop an attempt.
+    /// Requests the stop of an attempt.
     pub(super) fn stop_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get_mut(&key) else { return };
         attempt.stopping = true;
         let worker = attempt.worker;
         if !attempt.committed {
-            // Stopped as soon as the intent is durable and the session knows of it.
+            // The stop is sent once the start is committed and handed to the session.
             return;
         }
         if let Some(entry) = self.workers.get_mut(&worker) {
@@ -114,8 +116,8 @@
         self.schedule_poll(worker);
     }
 
-    /// Polls sessions for which something changed, `max_polls` at max_polls, and returns how many those were. The rest follows at
-    /// once in another turn.
+    /// Polls up to `max_polls` sessions from the poll queue and returns how many were polled. An immediately
+    /// following turn polls the rest.
     pub(super) fn poll_workers(&mut self, max_polls: usize, out: &mut Vec<Output>) -> usize {
         let mut polled = 0;
         while polled < max_polls {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Restarts the detection of stalls for a worker's attempts.
+    /// Restarts stall detection for the attempts of a worker.
     fn restart_stall_detection(&mut self, worker: WorkerKey) {
         let Some(entry) = self.workers.get(&worker) else { return };
         for key in &entry.assigned {
@@ -228,7 +230,8 @@
         }
     }
 
-    /// While a worker does not respond nothing is known of progress there: the detection of stalls begins anew.
+    /// Handles a change of a worker's reachability. An unreachable worker reports no progress, so that stall
+    /// detection restarts once the worker is reachable again.
     fn reachability_changed(&mut self, key: WorkerKey, reachable: bool) {
         self.change_worker(key, |entry| entry.reachable = reachable);
         if reachable {
