--- a/crates/scheduler/src/leader/attempts.rs
+++ b/crates/scheduler/src/leader/attempts.rs
@@ -15,7 +15,9 @@
     pub(super) worker: WorkerKey,
     /// Index of the attempt's service in `Leader::services`.
     pub(super) service: usize,
+    /// Resources that the attempt occupies.
     pub(super) need: Resources,
+    /// Plan (priority class) of the job.
     pub(super) plan: usize,
     /// The client's estimate of the run time, in milliseconds.
     pub(super) estimate_ms: u64,
@@ -42,7 +44,8 @@
     pub(super) baseline: Option<Baseline>,
     /// Completed share of the work, in percent.
     pub(super) percent: u32,
-    /// When `percent` last changed; initially the time at which the attempt was created.
+    /// Start of the current time without progress: when `percent` last changed, or when the attempt was
+    /// created, committed or reported as started, or when its worker became reachable again.
     pub(super) progress_at: u64,
     /// The latest checkpoint, and when this leader received it.
     pub(super) checkpoint: String,
--- a/crates/scheduler/src/leader/committed_changes.rs
+++ b/crates/scheduler/src/leader/committed_changes.rs
@@ -61,7 +61,10 @@
             StateChange::JobKnown { job } => self.reply_accepted(state, *job, out),
             StateChange::JobRejected { job, prefix_key } => {
                 let name = JobName { id: *job, prefix_key: prefix_key.clone() };
-                let text = "the ID belongs to a job of another queue, or a step has no tasks or depends on a later one: correct the job".to_owned();
+                let text =
+                    "the ID belongs to a job of another queue, or a step has no tasks or depends on a \
+                            later step: correct the job"
+                        .to_owned();
                 self.reply_submits(&name, &ClientReply { text, ..reply(Outcome::INVALID) }, out);
             }
             StateChange::CancelDone { job, prefix_key } => {
--- a/crates/scheduler/src/leader/gang_starts.rs
+++ b/crates/scheduler/src/leader/gang_starts.rs
@@ -52,7 +52,7 @@
             match self.readiness(&gang) {
                 Readiness::Ready => self.release_gang(&gang),
                 Readiness::NotYet if self.now < gang.held_since + MAX_HOLD_NS => {
-                    self.held_gangs.put_back(gang)
+                    self.held_gangs.put_back(gang);
                 }
                 Readiness::NotYet | Readiness::Incomplete => self.withdraw_gang(&gang),
             }
--- a/crates/scheduler/src/leader/service/steps.rs
+++ b/crates/scheduler/src/leader/service/steps.rs
@@ -63,7 +63,7 @@
 pub(in crate::leader) enum NextStep {
     /// The next step, taken out of its queue, and its placement.
     Step(Released<StepKey, RESOURCES>, Choice),
-    /// There is no capacity for any step.
+    /// No step can start now: each scanned step is blocked or has no capacity.
     None,
     /// The scan examined as many workers as allowed before it found a step.
     LimitReached,
