--- a/crates/scheduler/src/leader/attempts.rs
+++ b/crates/scheduler/src/leader/attempts.rs
@@ -104,10 +104,11 @@
             self.baseline.filter(|first| self.percent >= first.percent + MIN_MEASURED_PERCENT)
         {
             let measured_ms = self.progress_at.saturating_sub(first.at) / NANOS_PER_MS;
-            let left = u64::from(100u32.saturating_sub(self.percent));
-            let since_ms = now.saturating_sub(self.progress_at) / NANOS_PER_MS;
-            let remaining_at_progress_ms = measured_ms * left / u64::from(self.percent - first.percent);
-            return remaining_at_progress_ms.saturating_sub(since_ms);
+            let remaining_percent = u64::from(100u32.saturating_sub(self.percent));
+            let since_progress_ms = now.saturating_sub(self.progress_at) / NANOS_PER_MS;
+            let remaining_at_progress_ms =
+                measured_ms * remaining_percent / u64::from(self.percent - first.percent);
+            return remaining_at_progress_ms.saturating_sub(since_progress_ms);
         }
         self.estimate_ms.saturating_sub(elapsed_ms)
     }
--- a/crates/scheduler/src/leader/gang_starts.rs
+++ b/crates/scheduler/src/leader/gang_starts.rs
@@ -51,9 +51,7 @@
         for gang in self.held_gangs.take() {
             match self.readiness(&gang) {
                 Readiness::Ready => self.release_gang(&gang),
-                Readiness::NotYet if self.now < gang.held_since + MAX_HOLD_NS => {
-                    self.held_gangs.put_back(gang);
-                }
+                Readiness::NotYet if self.now < gang.since + MAX_HOLD_NS => self.held_gangs.put_back(gang),
                 Readiness::NotYet | Readiness::Incomplete => self.withdraw_gang(&gang),
             }
         }
--- a/crates/scheduler/src/leader/held_gangs.rs
+++ b/crates/scheduler/src/leader/held_gangs.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub(super) struct HeldGang {
     /// When the leader began to hold the orders, in nanoseconds of the monotonic clock.
-    pub(super) held_since: u64,
+    pub(super) since: u64,
     pub(super) members: Vec<AttemptKey>,
 }
 
@@ -30,7 +30,7 @@
     pub(super) fn add(&mut self, key: AttemptKey, now: u64) {
         match self.gangs.iter_mut().rev().find(|gang| gang.includes(key)) {
             Some(gang) => gang.members.push(key),
-            None => self.gangs.push(HeldGang { held_since: now, members: vec![key] }),
+            None => self.gangs.push(HeldGang { since: now, members: vec![key] }),
         }
     }
 
--- a/crates/scheduler/src/leader/own_lateness.rs
+++ b/crates/scheduler/src/leader/own_lateness.rs
@@ -21,6 +21,7 @@
 #[derive(Debug)]
 struct PauseCredit {
     remaining_ns: u64,
+    /// When the credit was last refilled.
     refilled_at: u64,
 }
 
--- a/crates/scheduler/src/leader/preemption.rs
+++ b/crates/scheduler/src/leader/preemption.rs
@@ -62,11 +62,11 @@
                 self.timers.set_no_later(due, Timer::Admit);
                 continue;
             }
-            let mut left = victims.take().unwrap_or_else(|| self.victims(position));
-            if !left.is_empty() {
-                self.preempt_for_step(state, position, step, &mut left);
+            let mut remaining_victims = victims.take().unwrap_or_else(|| self.victims(position));
+            if !remaining_victims.is_empty() {
+                self.preempt_for_step(state, position, step, &mut remaining_victims);
             }
-            victims = Some(left);
+            victims = Some(remaining_victims);
         }
     }
 
--- a/crates/scheduler/src/leader/queueing.rs
+++ b/crates/scheduler/src/leader/queueing.rs
@@ -19,11 +19,11 @@
         if !work.is_step_ready(step) {
             return;
         }
-        let idle = |index: &u32| {
+        let is_idle = |index: &u32| {
             let task = step.task(*index);
             !work.is_task_done(task) && self.attempts.is_task_idle(task)
         };
-        let tasks = (0..stage.count).filter(idle).collect();
+        let tasks = (0..stage.count).filter(is_idle).collect();
         self.enqueue(work, stage, step, tasks, end);
     }
 
--- a/crates/scheduler/src/leader/rejected_jobs.rs
+++ b/crates/scheduler/src/leader/rejected_jobs.rs
@@ -14,6 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RejectedJobs {
     first_rejected: HashMap<u64, u64>,
+    /// Time of the first rejection and job ID, oldest first.
     by_age: VecDeque<(u64, u64)>,
 }
 
--- a/crates/scheduler/src/leader/service/capacity.rs
+++ b/crates/scheduler/src/leader/service/capacity.rs
@@ -38,8 +38,8 @@
         workers.sort_unstable();
         workers.dedup();
         let free: Vec<Resources> = workers.iter().filter_map(|key| self.fleet.free_on(*key)).collect();
-        let most = free.iter().fold(Resources::ZERO, |most, free| most.max(*free));
-        let fits = |need: Resources| need.fits_in(most) && free.iter().any(|free| need.fits_in(*free));
+        let max_free = free.iter().fold(Resources::ZERO, |max_free, free| max_free.max(*free));
+        let fits = |need: Resources| need.fits_in(max_free) && free.iter().any(|free| need.fits_in(*free));
         let wait_is_over = |retry_at: Option<u64>| retry_at.is_some_and(|at| at <= now);
         self.blocked.retain(|_, blocked| !wait_is_over(blocked.retry_at) && !fits(blocked.need));
         workers.clear();
--- a/crates/scheduler/src/leader/service/mod.rs
+++ b/crates/scheduler/src/leader/service/mod.rs
@@ -32,7 +32,9 @@
     /// Whether there is a queue for each plan and dominant resource. Otherwise there is a single queue in
     /// order of arrival.
     fair: bool,
+    /// One entry for each waiting step, blocked steps included.
     queues: Queues<StepKey, RESOURCES>,
+    /// Steps with tasks that wait for a start.
     ready: BTreeMap<StepKey, ReadyStep>,
     /// Steps that found no capacity, and for which no capacity that fits has been freed since.
     blocked: BTreeMap<StepKey, BlockedStep>,
--- a/crates/scheduler/src/leader/start_pace.rs
+++ b/crates/scheduler/src/leader/start_pace.rs
@@ -28,7 +28,9 @@
 #[derive(Debug, Clone)]
 struct Window {
     started_at: u64,
+    /// Number of confirmations.
     confirmed: u32,
+    /// Number of confirmations by delay bucket.
     by_delay: [u32; DELAY_BUCKETS],
 }
 
@@ -56,13 +58,13 @@
         if confirmed < MIN_CONFIRMATIONS {
             return None;
         }
-        let mut left = confirmed / DELAY_QUANTILE_DIVISOR;
+        let mut remaining = confirmed / DELAY_QUANTILE_DIVISOR;
         for bucket in 0..DELAY_BUCKETS {
             let count: u32 = recent().map(|window| window.by_delay[bucket]).sum();
-            if count > left {
+            if count > remaining {
                 return Some(bucket as u64 * DELAY_BUCKET_NS);
             }
-            left -= count;
+            remaining -= count;
         }
         None
     }
--- a/crates/scheduler/src/leader/turn_budget.rs
+++ b/crates/scheduler/src/leader/turn_budget.rs
@@ -11,7 +11,9 @@
 pub(super) struct TurnBudget {
     /// The time of the turn.
     turn: u64,
+    /// Number of starts left.
     starts: u64,
+    /// Number of workers that may still be examined.
     workers: u64,
 }
 
