--- a/crates/scheduler/src/leader/attempt_examination.rs
+++ b/crates/scheduler/src/leader/attempt_examination.rs
@@ -31,10 +31,10 @@
 /// The same threshold as a fraction of the client's estimate. Even slow workers advance by one percent in
 /// that time.
 const QUICK_STALL_ESTIMATE_RATIO: f64 = 0.2;
-/// A speculative copy of a task that allows copies starts once the run time exceeds the client's estimate by
-/// this factor and by at least `MIN_SPECULATION_EXCESS_MS`.
+/// An attempt is late, and may get a speculative copy, once its run time exceeds both the client's estimate
+/// multiplied by this factor and the estimate plus `MIN_SPECULATION_EXCESS_MS`.
 const SPECULATION_FACTOR: u64 = 2;
-/// Minimum excess over the client's estimate before a speculative copy starts.
+/// Minimum excess of the run time over the client's estimate before an attempt is late.
 const MIN_SPECULATION_EXCESS_MS: u64 = 1_000;
 
 /// Action to take on an attempt.
