--- a/crates/control/src/admin/call.rs
+++ b/crates/control/src/admin/call.rs
@@ -1,4 +1,4 @@
-//! Calls of administrators and the replies to them.
+//! Calls to the administrators' API and the replies to them.
 
 use tokio::sync::oneshot;
 
@@ -11,7 +11,7 @@
     pub reply: oneshot::Sender<AdminReply>,
 }
 
-/// A request of an administrator. Reports on the group and its jobs are given by the leader only.
+/// A request of an administrator. Only the leader reports on the group and its jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminRequest {
     /// The state of this process as a member.
@@ -22,7 +22,7 @@
     Queues,
     /// One job; leader only.
     Job {
-        /// Its identity.
+        /// Identity of the job.
         id: u64,
     },
     /// The accepted configurations; leader only.
@@ -44,13 +44,13 @@
     Metrics(String),
     /// Another process leads.
     Redirect {
-        /// Its `Control` address.
+        /// The leader's `Control` address.
         control: String,
     },
-    /// No leader is known, or it cannot confirm that it leads.
+    /// No leader is known, or the leader cannot confirm that it leads.
     Unavailable,
-    /// It does not exist; the text says what to do.
+    /// The requested item does not exist; the text says what to do.
     NotFound(String),
-    /// It cannot be done now; the text says what to do.
+    /// The request cannot be executed now; the text says what to do.
     Rejected(String),
 }
--- a/crates/control/src/admin/metrics.rs
+++ b/crates/control/src/admin/metrics.rs
@@ -5,7 +5,8 @@
 use crate::metrics::text::MetricsText;
 
 impl Driver {
-    /// The counters of this process and its present state; queues and workers on the leader only.
+    /// The counters and the current state of this process. Queues and workers are included on the leader
+    /// only.
     pub(super) fn metrics_text(&self, now: u64) -> AdminReply {
         let mut text = MetricsText::default();
         self.write_member_metrics(&mut text, now);
--- a/crates/control/src/admin/mod.rs
+++ b/crates/control/src/admin/mod.rs
@@ -1,6 +1,6 @@
 //! The administrators' API: reports on a running group, and a few commands to it.
 //!
-//! It is served beside the operator's API. It keeps no state: each reply is built on request.
+//! It is served on the same address as the operator's API. It keeps no state: each reply is built on request.
 
 pub(crate) mod call;
 mod metrics;
--- a/crates/control/src/admin/reports.rs
+++ b/crates/control/src/admin/reports.rs
@@ -15,7 +15,7 @@
     /// Answers a call of an administrator.
     pub(crate) fn handle_admin_call(&mut self, now: u64, call: AdminCall) {
         let reply = self.answer_admin(now, call.request);
-        // The caller may have disconnected; it asks again.
+        // Sending fails if the caller has disconnected; the caller then repeats the call.
         let _ = call.reply.send(reply);
     }
 
@@ -33,7 +33,7 @@
                 self.leader_report(|leader, state| match leader.job_report(state, id, now) {
                     Some(report) => document(&report),
                     None => AdminReply::NotFound(
-                        "no such job: it was never accepted, or ended so long ago that it is forgotten"
+                        "no such job: it was never accepted, or it ended so long ago that it was removed"
                             .to_owned(),
                     ),
                 })
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The reply that `report` builds from the leader, if this process leads.
+    /// The reply that `report` builds from the leader; `Unavailable` if this process does not lead.
     fn leader_report(
         &self,
         report: impl FnOnce(&scheduler::leader::Leader, &scheduler::state::State) -> AdminReply,
@@ -50,7 +50,7 @@
     }
 
     fn redirect_to_leader(&self) -> AdminReply {
-        match self.leader_elsewhere() {
+        match self.remote_leader() {
             Some(leader) => AdminReply::Redirect { control: leader.control.clone() },
             None => AdminReply::Unavailable,
         }
@@ -109,23 +109,23 @@
         let (id, term) = (node.id(), node.term());
         let others = node.membership().members.iter().filter(|member| member.voter && member.id != id);
         if others.count() == 0 {
-            let text = "there is no other voter that could lead: let another core process join first";
+            let text = "there is no other voter that could lead: another core process must join first";
             return AdminReply::Rejected(text.to_owned());
         }
-        log::info!("transferring leadership of term {term}, as an administrator asked");
+        log::info!("transferring leadership of term {term} at an administrator's request");
         self.step_consensus(now, Event::Transfer);
         document(&TransferStart { from: hex(id), term })
     }
 
     fn start_snapshot(&mut self) -> AdminReply {
         if self.replica.is_taking_snapshot() {
-            let text = "a snapshot is being written: ask again once it is done, if it is not new enough";
+            let text = "a snapshot is already being written: repeat the request if it is not recent enough";
             return AdminReply::Rejected(text.to_owned());
         }
         let index = self.replica.applied_index();
         let is_begun = index > self.replica.snapshot_index();
         if is_begun {
-            log::info!("taking a snapshot up to entry {index}, as an administrator asked");
+            log::info!("taking a snapshot up to entry {index} at an administrator's request");
             self.replica.take_snapshot();
         }
         document(&SnapshotStart { id: hex(self.replica.node().id()), index, begun: is_begun })
@@ -149,7 +149,7 @@
     match serde_json::to_vec(document) {
         Ok(bytes) => AdminReply::Document(bytes),
         Err(error) => AdminReply::Rejected(format!(
-            "the answer cannot be written ({error}): this is a fault of the program"
+            "the answer cannot be written ({error}): this is a bug in the program"
         )),
     }
 }
--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,13 +1,13 @@
-//! The process's monotonic clock, in the units of the state machines.
+//! The process's monotonic clock, in the nanoseconds that the state machines use.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nanoseconds of one millisecond.
+/// One millisecond in nanoseconds.
 pub const MILLISECOND: u64 = 1_000_000;
-/// Nanoseconds of one second.
+/// One second in nanoseconds.
 pub const SECOND: u64 = 1_000 * MILLISECOND;
 
-/// Counts nanoseconds since it was created; monotonic.
+/// A monotonic clock that counts nanoseconds since its creation.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -24,7 +24,7 @@
         u64::try_from(self.origin.elapsed().as_nanos()).unwrap_or(u64::MAX)
     }
 
-    /// The instant at which `now` will return `at`; times more than a day ahead are limited to a day.
+    /// The instant at which `now` will return `at`. Times more than a day ahead are limited to one day.
     pub fn instant(&self, at: u64) -> Instant {
         const DAY: u64 = 24 * 3_600 * SECOND;
         let latest = self.now().saturating_add(DAY);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Milliseconds since 1970 by the time of day, which may jump.
+/// Wall-clock time in milliseconds since 1970; it may jump.
 pub fn time_of_day_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/control/src/connection_budget.rs
+++ b/crates/control/src/connection_budget.rs
@@ -1,21 +1,23 @@
-//! How many connections to workers the process may keep open, within its limit of descriptors.
+//! Limits the number of connections to workers, within the process's limit of file descriptors.
 //!
-//! This is bookkeeping only: it counts open connections and selects the idle one to close, the longest idle first.
+//! This module only does the bookkeeping: it counts open connections and selects which idle connection to
+//! close, the longest idle first.
 
 use std::collections::BTreeMap;
 
-/// Descriptors reserved for files: the log, snapshots, settings, pages.
+/// File descriptors reserved for files: the log, snapshots, settings and pages.
 const FILE_DESCRIPTORS: u64 = 200;
-/// Descriptors reserved for connections to peers, edges, the platform and operator_calls.
+/// File descriptors reserved for connections to peers, edges, the platform and callers of the operator's API.
 const OTHER_CONNECTIONS: u64 = 300;
 
-/// Share of the descriptors that all connections together may take, in percent. Bursts in which all connections to
-/// workers are in use, and connections that are closing, need the rest.
+/// Maximum share of the file descriptors that all connections together may use, in percent. The rest is
+/// needed for bursts in which all connections to workers are in use, and for connections that are closing.
 const CONNECTIONS_PERCENT: u64 = 70;
 
-/// Connections to workers that fit beside the others, of `max_descriptors` of the process (0: no limit is known).
+/// Maximum number of connections to workers, given the process's limit of `max_descriptors` (0: limit
+/// unknown).
 ///
-/// Under very low limits workers still get half.
+/// If the limit is very low, connections to workers still get half of it.
 pub fn max_worker_connections(max_descriptors: u64) -> usize {
     if max_descriptors == 0 {
         return usize::MAX;
@@ -26,14 +28,15 @@
     usize::try_from(usual.max(max_descriptors / 2)).unwrap_or(usize::MAX)
 }
 
-/// Names an idle connection that may be closed. Rises with time.
+/// Identifies an idle connection that may be closed. Later tickets are greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleTicket(u64);
 
-/// Open connections, and those of them that are idle and may be closed, with their owners.
+/// Number of open connections, and the owners of the idle connections that may be closed.
 ///
-/// `open` counts idle connections too. An idle connection is in `idle` under its ticket until it is used again, closed
-/// for another reason (`no_longer_idle`) or selected for closing (`take_excess`); whoever closes one calls `closed`.
+/// `open` includes idle connections. An idle connection stays in `idle` under its ticket until it is used
+/// again or closed for another reason (`no_longer_idle`), or is selected for closing (`take_excess`). Whoever
+/// closes a connection calls `closed`.
 #[derive(Debug)]
 pub struct ConnectionBudget<Owner> {
     limit: usize,
@@ -43,7 +46,7 @@
 }
 
 impl<Owner> ConnectionBudget<Owner> {
-    /// No connections, of at most `limit`.
+    /// Creates a budget of at most `limit` connections, none of them open.
     pub fn new(limit: usize) -> Self {
         ConnectionBudget { limit, open: 0, next_ticket: 0, idle: BTreeMap::new() }
     }
@@ -53,27 +56,27 @@
         self.limit = limit;
     }
 
-    /// Open connections, idle ones included.
+    /// Number of open connections, including idle ones.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// Whether one more connection fits within the limit, if need be in place of an idle one.
+    /// Whether one more connection fits within the limit, if necessary in place of an idle one.
     pub fn has_room(&self) -> bool {
         self.open < self.limit || !self.idle.is_empty()
     }
 
-    /// One more connection is being opened.
+    /// Counts a connection that is being opened.
     pub fn opened(&mut self) {
         self.open += 1;
     }
 
-    /// A connection that has no ticket closed.
+    /// Counts a closed connection, which must have no ticket any more.
     pub fn closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// An open connection of `owner` became idle and may be closed.
+    /// Registers that an open connection of `owner` is idle and may be closed.
     pub fn became_idle(&mut self, owner: Owner) -> IdleTicket {
         let ticket = IdleTicket(self.next_ticket);
         self.next_ticket += 1;
@@ -81,14 +84,15 @@
         ticket
     }
 
-    /// An idle connection is used again, or closed for another reason: its ticket ends.
+    /// Removes the ticket of an idle connection that is used again or was closed for another reason.
     pub fn no_longer_idle(&mut self, ticket: IdleTicket) {
         self.idle.remove(&ticket);
     }
 
-    /// The longest idle connection, if more are open than the limit. Its ticket ends; `closed` must follow.
+    /// Selects the longest idle connection for closing if more connections are open than the limit allows.
+    /// The ticket is removed; the caller must close the connection and call `closed`.
     ///
-    /// Connections in use are never selected, so that the limit may be exceeded while all are in use.
+    /// Connections in use are never selected, so the limit may be exceeded while all connections are in use.
     pub fn take_excess(&mut self) -> Option<(IdleTicket, Owner)> {
         if self.open <= self.limit {
             return None;
--- a/crates/control/src/disk_opening.rs
+++ b/crates/control/src/disk_opening.rs
@@ -1,7 +1,8 @@
-//! Opens the disk of a process, and waits while the disk refuses that for now.
+//! Opens the disk of a process, and retries while the disk fails for a reason that may pass.
 //!
-//! A disk that is full, or fails, may do so for a moment only. A process that ended by that error would be started
-//! again at once, and end again. It stays instead, answers that it does not lead, and tries again.
+//! A full or failing disk may recover after a moment. A process that ended because of that error would be
+//! started again at once and would end again. The process therefore keeps running, answers that it does not
+//! lead, and retries.
 
 use crate::clients::Clients;
 use crate::error::ControlError;
@@ -15,31 +16,31 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Time between two attempts.
+/// Delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is done with the disk before it is opened.
+/// How the disk is prepared before it is opened.
 #[derive(Debug, Clone)]
 pub enum DiskPreparation {
-    /// Nothing: it belongs to this process's identity.
+    /// Not at all: the disk belongs to this process's identity.
     None,
-    /// It is cleared, since the group has removed the identity.
+    /// Clear the disk, because the group has removed the identity.
     Clear,
-    /// It is cleared, and the first log of a new group is written.
-    Found {
+    /// Clear the disk and write the first log of a new group.
+    WriteFirstLog {
         /// The identity of this process as a member.
         id: NodeId,
-        /// The members.
+        /// The members of the group.
         membership: Membership,
     },
 }
 
-/// Prepares and opens the disk, as soon as it lets itself be written to. `None` if the platform asks the process to stop
-/// before that.
+/// Prepares and opens the disk as soon as it can be written to. Returns `None` if the platform asks the
+/// process to stop before that.
 ///
 /// # Errors
 ///
-/// Fails if the settings lack what is needed, or in a way that a retry does not repair.
+/// Fails if a required setting is missing, or with an error that a retry does not fix.
 pub async fn open(
     settings: &ProcessSettings,
     preparation: &DiskPreparation,
@@ -49,7 +50,7 @@
     loop {
         match prepare_and_open(settings, preparation) {
             Ok(opened) => return Ok(Some(opened)),
-            Err(error) if error.may_pass() => log::error!("{error}; waiting for the disk"),
+            Err(error) if error.is_transient() => log::error!("{error}; waiting for the disk"),
             Err(error) => return Err(error),
         }
         let retry_at = Instant::now() + RETRY_INTERVAL;
@@ -69,19 +70,19 @@
     match preparation {
         DiskPreparation::None => {}
         DiskPreparation::Clear => identity::clear(settings)?,
-        DiskPreparation::Found { id, membership } => {
+        DiskPreparation::WriteFirstLog { id, membership } => {
             identity::found_group(settings, *id, membership.clone())?;
         }
     }
     identity::open(settings)
 }
 
-/// Keeps the list of clients, and tells them that this process does not lead. Calls of operators and administrators are
-/// dropped, which answers them as unavailable.
+/// Maintains the list of clients, and answers them that this process does not lead. Calls of operators and
+/// administrators are dropped; the API then answers that no leader is available.
 fn handle_without_disk(clients: &mut Clients, event: DriverEvent) {
     match event {
         DriverEvent::Accepted { connection, outbox } => clients.add(connection, outbox),
-        DriverEvent::Closed { connection } => drop(clients.closed(connection)),
+        DriverEvent::Closed { connection } => drop(clients.remove_connection(connection)),
         DriverEvent::Frame { connection, body } => answer_without_disk(clients, connection, body),
         _ => {}
     }
@@ -89,7 +90,7 @@
 
 fn answer_without_disk(clients: &mut Clients, connection: ConnectionId, body: OneOfbody) {
     match body {
-        OneOfbody::hello(hello) => clients.greeted(connection, &hello, &LeaderNotice::default()),
+        OneOfbody::hello(hello) => clients.register_hello(connection, &hello, &LeaderNotice::default()),
         OneOfbody::request(request) => clients.reject(connection, &request),
         OneOfbody::ping(ping) => clients.push(connection, OneOfbody::pong(Pong { number: ping.number })),
         _ => {}
--- a/crates/control/src/driver/event_handlers.rs
+++ b/crates/control/src/driver/event_handlers.rs
@@ -1,4 +1,4 @@
-//! Handlers of the events that reach the driver from outside.
+//! Handlers of the events that reach the driver from other tasks, threads and processes.
 
 use super::Driver;
 use crate::events::{ConnectionId, DriverEvent, OperatorCall, OperatorReply, FIRST_ACCEPTED};
@@ -41,14 +41,14 @@
     }
 
     fn handle_listed_page(&mut self, now: u64, page: ListedPage) {
-        let ListedPage { instances, asked_at, has_changed, complete_list } = page;
+        let ListedPage { instances, requested_at, has_changed, complete_list } = page;
         if let Some(pages) = &complete_list {
             let listed = pages.iter().flat_map(|page| page.iter());
             let addresses: HashSet<&str> = listed.map(|instance| instance.address.as_str()).collect();
             self.workers.retain(|address| addresses.contains(address));
         }
         let is_last = complete_list.is_some();
-        self.notify_leader(now, Input::Instances { instances, as_of: asked_at, has_changed, is_last });
+        self.notify_leader(now, Input::Instances { instances, as_of: requested_at, has_changed, is_last });
     }
 
     fn handle_frame(&mut self, now: u64, connection: ConnectionId, body: OneOfbody) {
@@ -87,10 +87,11 @@
             self.group_join.add_contact(&hello.address);
         }
         let notice = self.leader_notice();
-        self.clients.greeted(connection, hello, &notice);
+        self.clients.register_hello(connection, hello, &notice);
     }
 
-    /// A message for another identity is dropped: that identity was in use here before its disk was lost.
+    /// Passes a consensus message to the node. A message addressed to another identity is dropped: this
+    /// machine used that identity before it lost its disk.
     fn handle_consensus_message(&mut self, now: u64, message: ConsensusMessage) {
         if message.to != self.replica.node().id() || message.from == 0 {
             return;
@@ -121,7 +122,7 @@
             }
             return;
         }
-        for token in self.clients.closed(connection) {
+        for token in self.clients.remove_connection(connection) {
             self.notify_leader(now, Input::Abandoned { token });
         }
     }
@@ -138,26 +139,27 @@
             self.notify_leader(now, input);
             return;
         }
-        let reply = match self.leader_elsewhere() {
+        let reply = match self.remote_leader() {
             Some(leader) => OperatorReply::Redirect { control: leader.control.clone() },
             None => OperatorReply::Unavailable,
         };
-        // The caller may have disconnected; it sends the call again.
+        // Sending fails if the caller has disconnected; the caller then repeats the call.
         let _ = call.reply.send(reply);
     }
 
-    /// The leader as far as this process knows, if it is another process.
-    pub(crate) fn leader_elsewhere(&self) -> Option<&Member> {
+    /// The leader that this process knows of, if it is another process.
+    pub(crate) fn remote_leader(&self) -> Option<&Member> {
         let own_id = self.replica.node().id();
         self.replica.leader().filter(|leader| leader.id != own_id)
     }
 
-    /// Whether requests are accepted: this process leads, its lease holds, and it is not stopping.
+    /// Whether this process accepts requests: it leads, its lease holds, and it is not stopping.
     pub(crate) fn is_serving(&self, now: u64) -> bool {
         self.leader.is_some() && !self.is_stopping() && self.replica.has_lease(now)
     }
 
-    /// What other processes are notified of the leader. A leader whose state is not complete yet does not count.
+    /// The notice about the leader that other processes get. While this process leads but its leader state is
+    /// incomplete, the notice names no leader.
     fn leader_notice(&self) -> LeaderNotice {
         let node = self.replica.node();
         let is_ready = |id| id != node.id() || (self.leader.is_some() && !self.is_stopping());
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Notifies all connected processes of the leader.
+    /// Sends the leader notice to all connected processes.
     pub(super) fn announce_leader(&self) {
         self.clients.announce(&self.leader_notice());
     }
--- a/crates/control/src/driver/event_log.rs
+++ b/crates/control/src/driver/event_log.rs
@@ -1,6 +1,6 @@
-//! Event log: counts significant events and writes one line for each at level info.
+//! Event log: counts significant events and logs one line at level info for each.
 //!
-//! A line is a few words, then fields as `name=value`.
+//! A line consists of a short text followed by fields as `name=value`.
 
 use super::Driver;
 use crate::clock::MILLISECOND;
@@ -10,13 +10,14 @@
 use scheduler::leader::WorkerEvent;
 use scheduler::state::{State, StateChange};
 
-/// Without a leader for this long, the reason is recorded: an election takes less.
-const OBSTACLE_DELAY: u64 = 2_000 * MILLISECOND;
-/// Least time between two records of reasons.
-const OBSTACLE_INTERVAL: u64 = 1_000 * MILLISECOND;
+/// The reason for a missing leader is logged once there has been none for this long. An election takes less
+/// time.
+const OBSTACLE_DELAY_NS: u64 = 2_000 * MILLISECOND;
+/// Minimum time between two such log lines.
+const OBSTACLE_INTERVAL_NS: u64 = 1_000 * MILLISECOND;
 
 impl Driver {
-    /// Records what an applied batch changed.
+    /// Counts and logs the changes made by an applied batch.
     pub(super) fn record_applied(&mut self, now: u64, changes: &[StateChange]) {
         let is_leader = self.leader.is_some();
         let state = self.replica.state();
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Records what the local leader decided about workers.
+    /// Counts and logs what the local leader decided about workers.
     pub(super) fn record_worker_events(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         for event in leader.take_worker_events() {
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Records why no leader takes commands, once for each reason. Short spans without a leader are not recorded.
+    /// Logs why no leader accepts commands, once for each reason. Periods without a leader that are shorter
+    /// than `OBSTACLE_DELAY_NS` are not logged.
     pub(super) fn record_leadership_obstacle(&mut self, now: u64) {
         let Some(obstacle) = self.replica.node().leadership_obstacle() else {
             self.leaderless_since = None;
@@ -48,8 +50,8 @@
         let is_logged = self
             .logged_obstacle
             .as_ref()
-            .is_some_and(|(logged, at)| *logged == obstacle || now < at + OBSTACLE_INTERVAL);
-        if now < since + OBSTACLE_DELAY || is_logged {
+            .is_some_and(|(logged, at)| *logged == obstacle || now < at + OBSTACLE_INTERVAL_NS);
+        if now < since + OBSTACLE_DELAY_NS || is_logged {
             return;
         }
         let node = self.replica.node();
@@ -64,7 +66,7 @@
         self.logged_obstacle = Some((obstacle, now));
     }
 
-    /// Records why this process no longer leads.
+    /// Logs why this process no longer leads.
     pub(super) fn record_step_down(&self, now: u64) {
         let Some(step_down) = self.replica.node().last_step_down() else { return };
         log::warn!(
@@ -76,7 +78,7 @@
         );
     }
 
-    /// Records that another leader is known, or none.
+    /// Counts and logs a change of the known leader, which may also be a change to no leader.
     pub(super) fn record_leader_change(&mut self) {
         self.metrics.leader_changed();
         let term = self.replica.node().term();
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Records that another membership is in force.
+    /// Counts and logs a change of the membership.
     pub(super) fn record_membership_change(&mut self) {
         self.metrics.membership_changed();
         if !log::log_enabled!(Level::Info) {
@@ -104,19 +106,19 @@
         log::info!("membership changed voters={} learners={}", members_text(true), members_text(false));
     }
 
-    /// Records that a snapshot of this process is durable.
+    /// Counts and logs that a snapshot of this process is durable.
     pub(super) fn record_snapshot(&mut self, index: u64, bytes: usize) {
         self.metrics.snapshot_taken();
         log::info!("snapshot taken index={index} bytes={bytes}");
     }
 }
 
-/// Whether a job starts at once, so that the time until its start measures the scheduler.
+/// Whether a job is not scheduled for later, so that the time until its start measures the scheduler.
 fn starts_at_once(state: &State, job: u64) -> bool {
     state.open_work(job).is_some_and(|work| !work.is_scheduled())
 }
 
-/// Logs an effect that all members apply; job failures are logged by the leader only.
+/// Logs a change that every member applies. Failed jobs are logged by the leader only.
 fn log_change(change: &StateChange, is_leader: bool) {
     match change {
         StateChange::ConfigurationAccepted { key, version } => {
@@ -145,9 +147,18 @@
         WorkerEvent::GangMemberTimedOut { instance, key, gang } => {
             let AttemptKey { task, attempt } = key;
             log::warn!(
-                "a gang's member waited in vain instance={instance} job={:016x} time={} step={} index={} attempt={attempt} \
+                "a gang member ended because the rest of its gang did not start in time \
+                 instance={instance} job={:016x} time={} step={} index={} attempt={attempt} \
                  placed_ms={} percent={} members={} started={} stopping={}",
-                task.job, task.time, task.step, task.index, gang.placed_ms, gang.percent, gang.members, gang.started, gang.stopping
+                task.job,
+                task.time,
+                task.step,
+                task.index,
+                gang.placed_ms,
+                gang.percent,
+                gang.members,
+                gang.started,
+                gang.stopping
             );
         }
         WorkerEvent::ListingsExpired { workers, overdue_ms } => {
--- a/crates/control/src/driver/founding.rs
+++ b/crates/control/src/driver/founding.rs
@@ -1,4 +1,5 @@
-//! Founds a group by agreement of the seeds where none was founded: see [`consensus::Founding`].
+//! Founds (bootstraps) a consensus group by agreement of the seeds if none exists: see
+//! [`consensus::Founding`].
 
 use super::{Driver, DriverExit};
 use crate::events::ConnectionId;
@@ -9,7 +10,7 @@
 use std::net::SocketAddr;
 
 impl Driver {
-    /// Takes the steps that are due.
+    /// Executes the steps of the founding that are due.
     pub(super) fn poll_founding(&mut self, now: u64) {
         loop {
             let status = self.founding_status();
@@ -17,41 +18,48 @@
                 FoundingStep::Wait => return,
                 FoundingStep::SendOffer(offer) => self.send_founding_offer(&offer),
                 FoundingStep::Propose(membership) => {
-                    log::warn!("proposes to the other seeds to found a group: none has found one");
+                    log::warn!(
+                        "proposing to the other seeds to found a group: no seed has found an existing one"
+                    );
                     let proposal = FoundingProposal { membership: Some(membership_to_wire(&membership)) };
                     let body = OneOfbody::founding_proposal(proposal);
                     self.peers.send_to_addresses(self.group_join.seeds(), &body);
                 }
                 FoundingStep::Found(membership) => {
-                    self.exit = Some(DriverExit::Founds { id: self.founding_id, membership });
+                    self.exit = Some(DriverExit::FoundGroup { id: self.founding_id, membership });
                     return;
                 }
             }
         }
     }
 
-    /// A process names its leader, which may take no commands yet, and its members.
+    /// Handles a notice from another process about its leader, which may not accept commands yet, and its
+    /// members.
     pub(super) fn handle_leader_notice(&mut self, now: u64, notice: LeaderNotice) {
         let Some(group) = other_group(notice.leader_id, notice.membership, false) else { return };
         self.founding.handle_leader(now, &group.membership);
-        self.give_way(now, &group);
+        self.yield_to_group(now, &group);
     }
 
-    /// A process tells of its group.
+    /// Handles a notice from another process about its group.
     pub(super) fn handle_group_notice(&mut self, now: u64, notice: GroupNotice) {
         let group = other_group(notice.leader_id, notice.membership, notice.takes_commands);
         self.founding.handle_group(now, &notice.address, group.as_ref());
-        group.into_iter().for_each(|group| self.give_way(now, &group));
+        group.into_iter().for_each(|group| self.yield_to_group(now, &group));
     }
 
-    fn give_way(&mut self, now: u64, other: &OtherGroup) {
+    /// Abandons this process's own founding, which holds no commands, in favor of `other` if the founding
+    /// rules say so.
+    fn yield_to_group(&mut self, now: u64, other: &OtherGroup) {
         if self.founding.gives_way(now, self.replica.node(), other) {
-            log::warn!("another group has a leader: this process gives up its founding, which holds nothing");
+            log::warn!(
+                "another group has a leader: abandoning the group founded here, which holds no commands"
+            );
             self.exit = Some(DriverExit::Removed);
         }
     }
 
-    /// What this process tells others of its group.
+    /// The notice about this process's group that other processes get.
     fn group_notice(&self) -> GroupNotice {
         let node = self.replica.node();
         GroupNotice {
@@ -62,7 +70,8 @@
         }
     }
 
-    /// Tells seeds that are no members of the group that this process leads: they may have founded another.
+    /// Notifies the seeds that are not members of the group led by this process, because they may have
+    /// founded another group.
     pub(super) fn announce_group(&mut self) {
         let node = self.replica.node();
         let members: Vec<SocketAddr> =
@@ -75,13 +84,15 @@
         }
     }
 
-    /// Whether this process is a member of a founding that came to nothing, as far as it knows.
+    /// Whether this process is a member of a founded group that, as far as this process knows, has never
+    /// committed a command.
     pub(super) fn has_founded_alone(&self) -> bool {
         let node = self.replica.node();
         node.is_member() && node.is_uninitialized()
     }
 
-    /// Another process offers to found a group. One that holds commands of a group, or has a leader, refuses.
+    /// Handles another process's offer to found a group. A process that holds commands of a group, or has a
+    /// leader, rejects the offer and answers with its own group.
     pub(super) fn handle_founding_offer(
         &mut self,
         now: u64,
@@ -96,18 +107,19 @@
         self.founding.handle_offer(now, FoundingOffer { member, seeds: offer.seeds.into_iter().collect() });
     }
 
-    /// Another seed proposes to found a group.
+    /// Handles another seed's proposal to found a group.
     pub(super) fn handle_founding_proposal(&mut self, now: u64, proposal: FoundingProposal) {
         let Some(membership) = proposal.membership.map(membership_from_wire) else { return };
         let status = self.founding_status();
         if self.founding.accepts(now, &status, &membership) {
-            self.exit = Some(DriverExit::Founds { id: self.founding_id, membership });
+            self.exit = Some(DriverExit::FoundGroup { id: self.founding_id, membership });
         }
     }
 
-    /// The seeds are read first: an offer names those that are set now.
+    /// Sends the offer to all contacts, then reads the settings file again so that the next offer names the
+    /// current seeds.
     fn send_founding_offer(&mut self, offer: &FoundingOffer) {
-        log::debug!("offers to found a group with its seeds");
+        log::debug!("offering to found a group with the seeds");
         let seeds = offer.seeds.iter().cloned().collect();
         let offer = peer::FoundingOffer { member: Some(member_to_wire(&offer.member)), seeds };
         let contacts = self.group_join.contacts();
@@ -128,7 +140,7 @@
     }
 }
 
-/// A group with this leader and these members; `None` if a process names no leader.
+/// The group with this leader and these members; `None` if there is no leader (0) or no membership.
 fn other_group(
     leader: u64,
     membership: Option<peer::Membership>,
--- a/crates/control/src/driver/lateness.rs
+++ b/crates/control/src/driver/lateness.rs
@@ -1,11 +1,11 @@
-//! Tells the leader how late this process is, and up to when it has read what arrived.
+//! Tells the leader how long this process was stalled, and up to which time it has read its input.
 
 use super::Driver;
 use scheduler::leader::{Input, Leader};
 
 impl Driver {
-    /// Tells the leader how long this process was absent before the turn that begins now.
-    pub(super) fn note_absence(&mut self, now: u64, next_timer: u64) {
+    /// Reports to the leader how long this process was stalled before the turn that begins now.
+    pub(super) fn record_stall(&mut self, now: u64, next_timer: u64) {
         let absence = self.absence.turn_began(now, next_timer);
         if absence == 0 {
             return;
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Sends a marker if the leader may judge the silence of workers, or this process that of relays, only after what has arrived is read.
+    /// Sends an input marker if the leader is about to time out workers, or the router is about to time out
+    /// relays. Both wait until everything that has arrived is read.
     pub(super) fn send_marker_if_awaited(&mut self) {
         let now = self.clock.now();
         let awaits_input = |leader: &Leader| leader.awaits_input() || self.router.awaits_input(now);
@@ -24,10 +25,10 @@
         }
     }
 
-    /// Everything that arrived before `at` was handled.
+    /// Handles an input marker: everything that arrived before `at` has been handled.
     pub(super) fn handle_input_marker(&mut self, now: u64, at: u64) {
         self.input_markers.arrived();
         self.notify_leader(now, Input::ReadUntil { at });
-        self.judge_relays(now, at);
+        self.expire_overdue_relays(now, at);
     }
 }
--- a/crates/control/src/driver/leadership.rs
+++ b/crates/control/src/driver/leadership.rs
@@ -1,4 +1,4 @@
-//! Leader duties: runs the scheduler's leader from election to step-down and executes its outputs.
+//! Leader duties: runs the scheduler's leader from election until step-down and executes its outputs.
 
 use super::Driver;
 use crate::clock::{time_of_day_ms, MILLISECOND};
@@ -8,11 +8,11 @@
 use scheduler::leader::{client_reply_under_lease, Input, Leader, LeaderRecovery, LeaderSettings, Output};
 use scheduler::worker::CallOutcome;
 
-/// Least time between two runs of polls, admission and proposals, in nanoseconds.
-const FLUSH_INTERVAL: u64 = MILLISECOND;
+/// Minimum time between two flushes of the leader, each of which polls, admits and proposes.
+const FLUSH_INTERVAL_NS: u64 = MILLISECOND;
 
 impl Driver {
-    /// Begins to build the leader: this process leads `term`, and its state is complete.
+    /// Starts to build the leader. This process leads `term`, and its replicated state is complete.
     pub(super) fn become_leader(&mut self, now: u64, term: u64) {
         log::info!("leads term={term}");
         self.step_down();
@@ -24,7 +24,8 @@
         self.recovery = Some(LeaderRecovery::new(term, settings, state, now, fastrand::u64(..)));
     }
 
-    /// Builds more of the leader that is being built, until the turn ends, and starts it once it is complete.
+    /// Continues to build the leader until the turn's time is used up, and starts the leader once it is
+    /// complete.
     pub(super) fn advance_recovery(&mut self, now: u64, turn_ends: u64) {
         let Some(mut recovery) = self.recovery.take() else { return };
         while !recovery.advance(self.replica.state()) {
@@ -48,7 +49,8 @@
         self.tick_leader(now);
     }
 
-    /// Stops the leader, if there is one: pending calls are answered, those to workers abandoned.
+    /// Stops the leader, if there is one. Pending client and operator calls are answered; calls to workers
+    /// are abandoned.
     pub(super) fn step_down(&mut self) {
         self.recovery = None;
         if self.leader.take().is_none() {
@@ -57,7 +59,7 @@
         log::info!("stepped down");
         self.metrics.leadership_changed(Leadership::Lost);
         self.leader_outputs.clear();
-        self.wake_at = u64::MAX;
+        self.next_leader_tick = u64::MAX;
         self.flush_due = u64::MAX;
         self.workers.abandon_calls();
         self.router.end_term();
@@ -67,9 +69,9 @@
         self.announce_leader();
     }
 
-    /// Gives the leader its tick.
+    /// Sends the leader its tick.
     pub(super) fn tick_leader(&mut self, now: u64) {
-        self.wake_at = u64::MAX;
+        self.next_leader_tick = u64::MAX;
         self.notify_leader(now, Input::Tick { time_of_day_ms: time_of_day_ms() });
     }
 
@@ -80,10 +82,10 @@
         }
     }
 
-    /// Notifies the leader of its lease, if that changed, and lets it poll, admit and propose.
+    /// Tells the leader about a changed lease, and lets the leader poll, admit and propose.
     ///
-    /// Between two such runs lies `FLUSH_INTERVAL`, in which other tasks run and input is read: under load, what many
-    /// events ask for becomes one entry of the log.
+    /// `FLUSH_INTERVAL_NS` passes between two flushes so that other tasks run and input is read. Under load,
+    /// the requests of many events thus become one log entry.
     pub(super) fn flush_leader(&mut self, now: u64) {
         if now < self.next_flush {
             self.flush_due = self.next_flush;
@@ -97,7 +99,7 @@
                 leader.set_lease(now, lease_until);
             }
             leader.flush(self.replica.state(), now, &mut self.leader_outputs);
-            self.next_flush = self.clock.now() + FLUSH_INTERVAL;
+            self.next_flush = self.clock.now() + FLUSH_INTERVAL_NS;
         }
     }
 
@@ -118,16 +120,18 @@
             }
             Output::CancelCall { call } => self.cancel_call(call),
             Output::ReadInstances => self.platform.read(),
-            Output::WakeAt { at } => self.wake_at = at,
+            Output::WakeAt { at } => self.next_leader_tick = at,
         }
     }
 
-    /// Sends a call to a worker if the applied log backs it (`State::check_call`) and the lease holds. Otherwise the leader is
-    /// told that the call was not sent, or was withheld for want of the lease.
+    /// Sends a call to a worker if the applied log justifies the call (`State::check_call`) and the lease
+    /// holds. Otherwise the leader gets the outcome that the call was not sent, or was withheld because the
+    /// lease has expired.
     ///
-    /// The lease is checked against the clock as it stands at this moment: `now` is the start of the turn, and applying
-    /// entries may have taken longer than the rest of the lease. The call's fencing token rises with the term and with the
-    /// worker's route (`relay`); workers reject one that is lower than the highest they have seen.
+    /// The lease is checked against the current clock: `now` is the start of the turn, and applying entries
+    /// may have taken longer than the rest of the lease. The call's fencing token rises with the term and
+    /// with each change of the worker's route (`relay`); workers reject a token that is lower than the
+    /// highest one they have seen.
     fn call_worker(&mut self, now: u64, worker_call: WorkerCall) {
         let call = worker_call.call;
         if let Err(error) = self.replica.state().check_call(&worker_call.instance, &worker_call.request) {
--- a/crates/control/src/driver/mod.rs
+++ b/crates/control/src/driver/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop of the control role: collects events, passes them to the state machines, and executes their outputs.
+//! The event loop of the control role: collects events, passes them to the state machines, and executes their
+//! outputs. One iteration of the loop is called a turn.
 
 mod event_handlers;
 mod event_log;
@@ -9,7 +10,7 @@
 mod relaying;
 mod shutdown;
 
-use crate::absence::AbsenceMeter;
+use crate::absence::StallMeter;
 use crate::clients::Clients;
 use crate::clock::{Clock, MILLISECOND};
 use crate::connection_budget::max_worker_connections;
@@ -39,30 +40,33 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, Instant};
 
-/// After this time in a turn no further event is handled and no further entry applied, in nanoseconds: between turns,
-/// heartbeats are sent and the responses to them are read.
-const TURN_TIME: u64 = 4 * MILLISECOND;
-/// How often other tasks get to run between two turns that follow each other at once: an answer passes through the
-/// tasks of its connection and of its call.
+/// Time budget of a turn. Once it is used up, the turn handles no further ordinary event and applies no
+/// further entry: heartbeats are sent and their responses are read between turns.
+const TURN_TIME_NS: u64 = 4 * MILLISECOND;
+/// How many times other tasks get to run between two turns without a pause: a worker's answer passes through
+/// the task of its connection and the task of its call.
 const YIELDS_BETWEEN_TURNS: usize = 4;
-/// Committed entries applied in one turn. After a restart thousands become committed at once.
+/// Maximum number of committed entries applied in one turn. After a restart, thousands become committed at
+/// once.
 const MAX_APPLIED_PER_TURN: usize = 256;
 
-/// How often a leader reads the seeds in the settings file: machines that start may know no member but through them.
-const SEED_CHECK_INTERVAL: u64 = 1_000 * MILLISECOND;
+/// Interval at which a leader reads the seeds from the settings file. A newly started machine may know no
+/// member except through the seeds.
+const SEED_CHECK_INTERVAL_NS: u64 = 1_000 * MILLISECOND;
 
-/// During shutdown, the interval of the checks whether all replies have been sent.
-const SHUTDOWN_CHECK_INTERVAL: u64 = 5 * MILLISECOND;
+/// Interval of the checks during shutdown whether all replies have been sent.
+const SHUTDOWN_CHECK_INTERVAL_NS: u64 = 5 * MILLISECOND;
 
 /// Why a driver ended.
 #[derive(Debug)]
 pub enum DriverExit {
     /// The platform asked the process to stop.
     Stopped,
-    /// The group has removed this identity: clear the disk and join again.
+    /// The group has removed this identity: the process must clear its disk and join again.
     Removed,
-    /// The seeds have agreed to found a group: write its first log and start as this member.
-    Founds {
+    /// The seeds have agreed to found a group: the process must write the group's first log and start as this
+    /// member.
+    FoundGroup {
         /// The identity of this process as a member.
         id: NodeId,
         /// The members.
@@ -72,17 +76,19 @@
     Failed(ControlError),
 }
 
-/// One identity of this process, from its start to its end.
+/// Runs the control role under one identity of this process, until that identity ends.
 ///
-/// The driver is the only owner of the replica and of the leader, and everything runs on its thread. Two rules follow
-/// from the order of one turn, and everything else relies on them:
+/// The driver is the only owner of the replica and of the leader, and runs on one thread. The order of steps
+/// within a turn guarantees two rules that all other code relies on:
 ///
-/// - The leader sees each applied entry before the next one is applied, so that it never decides on a state that is
-///   newer than the inputs it has processed.
-/// - Messages of consensus are sent before committed entries are applied, so that heartbeats do not queue behind them.
+/// - The leader sees each applied entry before the next one is applied, so that it never decides on a state
+///   that is newer than the inputs it has processed.
+/// - Consensus messages are sent before committed entries are applied, so that heartbeats do not queue behind
+///   entries.
 ///
-/// `leader` is present from the moment this process leads and has built it from the complete state, until it steps down. Having a leader
-/// is not enough to answer or to call workers: each such output checks the lease (`Replica::has_lease`) first.
+/// `leader` is set from the time at which this process leads and has built the leader from the complete
+/// state, until it steps down. A set `leader` is not sufficient to answer or to call workers: each such
+/// output first checks the lease (`Replica::has_lease`).
 pub struct Driver {
     pub(crate) settings: ProcessSettings,
     pub(crate) mechanisms: Mechanisms,
@@ -90,81 +96,82 @@
     pub(crate) clock: Clock,
     pub(crate) replica: Replica,
     pub(crate) leader: Option<Leader>,
-    /// The leader of this process while it is being built from the state. Meanwhile no entry is applied.
+    /// The leader while it is being built from the state. No entry is applied during that time.
     recovery: Option<LeaderRecovery>,
     pub(crate) leader_outputs: Vec<Output>,
-    /// When the leader wants its next tick, in nanoseconds of `clock`.
-    pub(crate) wake_at: u64,
-    /// When the leader may next poll, admit and propose, in nanoseconds of `clock`.
+    /// Time of the leader's next tick, in nanoseconds of `clock`.
+    pub(crate) next_leader_tick: u64,
+    /// Earliest time of the next flush of the leader (poll, admit, propose), in nanoseconds of `clock`.
     next_flush: u64,
-    /// When the leader is to do so at the latest, in nanoseconds of `clock`; `u64::MAX` if nothing asks for it.
+    /// Latest time of the next flush, in nanoseconds of `clock`; `u64::MAX` if none is needed.
     flush_due: u64,
-    /// End of the lease that the leader was last notified of, in nanoseconds of `clock`.
+    /// End of the lease that the leader was last told about, in nanoseconds of `clock`.
     pub(crate) announced_lease: u64,
     effects: VecDeque<Effect>,
     pub(crate) peers: PeerConnections,
     pub(crate) clients: Clients,
     pub(crate) operator_calls: OperatorCalls,
     pub(crate) workers: WorkerClient,
-    /// Who makes the calls of this process as a leader.
+    /// Routes this process's calls as a leader: locally or over relays.
     pub(crate) router: CallRouter,
-    /// The calls that this process makes for another leader.
+    /// Makes calls on behalf of another leader.
     relay: RelayAgent,
-    /// When this process as a relay may report next, in nanoseconds of `clock`.
+    /// Earliest time of this process's next report as a relay, in nanoseconds of `clock`.
     next_report: u64,
     pub(crate) platform: PlatformClient,
     pub(crate) metrics: Metrics,
     group_join: GroupJoin,
     founding: Founding,
-    /// The member that this process would be in a group that it founds by agreement.
+    /// This process's identity in a group that it founds by agreement.
     founding_id: NodeId,
-    /// Since when no leader that takes commands is known.
+    /// When the last known leader that accepts commands was lost; `None` while there is one.
     leaderless_since: Option<u64>,
-    /// The reason for that, as it was logged last, and when.
+    /// The last logged reason for a missing leader, and when it was logged.
     logged_obstacle: Option<(LeadershipObstacle, u64)>,
-    absence: AbsenceMeter,
+    absence: StallMeter,
     input_markers: InputMarkers,
-    /// When the load of this leader was last recorded, in nanoseconds of `clock`.
+    /// When the leader's load was last logged, in nanoseconds of `clock`.
     load_recorded_at: u64,
-    /// When a leader reads the seeds in the settings file next, in nanoseconds of `clock`.
+    /// When a leader next reads the seeds from the settings file, in nanoseconds of `clock`.
     next_seed_check: u64,
-    /// Set once the process was asked to stop: the latest time at which it ends, in nanoseconds of `clock`.
+    /// Latest time at which the process ends, in nanoseconds of `clock`; set once the process was asked to
+    /// stop.
     stop_by: Option<u64>,
     exit: Option<DriverExit>,
     written: UnboundedReceiver<Written>,
 }
 
-/// What one turn may still apply.
+/// What is left of a turn's budget for applying entries.
 struct ApplyBudget {
-    /// Entries.
+    /// Number of entries that may still be applied.
     entries: usize,
-    /// Time, in nanoseconds of the driver's clock.
+    /// End of the time budget, in nanoseconds of the driver's clock.
     until: u64,
 }
 
 impl ApplyBudget {
-    /// Whether no further entry may be applied in this turn. The first one always may.
-    fn is_used_up(&self, now: u64) -> bool {
+    /// Whether no further entry may be applied in this turn. The first entry of a turn may always be applied.
+    fn is_exhausted(&self, now: u64) -> bool {
         self.entries == 0 || (self.entries < MAX_APPLIED_PER_TURN && now >= self.until)
     }
 }
 
-/// What outlives an identity.
+/// State of the process that outlives an identity.
 pub struct ProcessContext {
     /// The process's clock.
     pub clock: Clock,
     /// Path of the settings file.
     pub settings_path: PathBuf,
-    /// Which mechanisms a leader uses.
+    /// The scheduler mechanisms that a leader uses.
     pub mechanisms: Mechanisms,
-    /// Where tasks send their events.
+    /// The sending side of the event queue, for tasks.
     pub sender: EventSender,
-    /// Where the driver receives them.
+    /// The driver's side of the event queue.
     pub events: EventQueue,
 }
 
 impl Driver {
-    /// Starts from what the disk held.
+    /// Starts a driver from the recovered contents of the disk.
     ///
     /// # Errors
     ///
@@ -198,7 +205,7 @@
             leader: None,
             recovery: None,
             leader_outputs: Vec::new(),
-            wake_at: u64::MAX,
+            next_leader_tick: u64::MAX,
             next_flush: 0,
             flush_due: u64::MAX,
             announced_lease: 0,
@@ -208,7 +215,7 @@
             founding_id,
             leaderless_since: None,
             logged_obstacle: None,
-            absence: AbsenceMeter::default(),
+            absence: StallMeter::default(),
             input_markers: InputMarkers::new(events.ordinary().clone()),
             load_recorded_at: now,
             next_seed_check: 0,
@@ -233,7 +240,8 @@
         };
         driver.platform.set_rate(platform_rate(&driver.settings));
         driver.workers.set_max_connections(max_connections(&driver.settings));
-        // Connections outlive an identity of this process, and their other sides greet only once.
+        // Connections outlive an identity of this process, and the other side sends its hello only once per
+        // connection.
         for (peer, address) in driver.clients.core_processes() {
             driver.peers.set_address(peer, &address);
             driver.group_join.add_contact(&address);
@@ -250,7 +258,7 @@
             let next_timer = self.next_timer();
             timer.as_mut().reset(self.clock.instant(next_timer).into());
             if self.has_work() || events.has_ordinary() {
-                // The next turn is due at once: without this, the tasks of connections would not run.
+                // The next turn starts at once: without these yields, the tasks of connections would not run.
                 for _ in 0..YIELDS_BETWEEN_TURNS {
                     yield_now().await;
                 }
@@ -263,7 +271,7 @@
                 () = &mut timer => {}
             }
             let now = self.clock.now();
-            self.note_absence(now, next_timer);
+            self.record_stall(now, next_timer);
             self.take_turn(now, first, events);
             self.absence.turn_ended(self.clock.now());
             if let Some(exit) = self.take_exit(now) {
@@ -272,58 +280,59 @@
         }
     }
 
-    /// Handles the messages of consensus and its timer, then urgent events, then others as time permits, then what is
-    /// due, and carries out what follows from all of them.
+    /// Handles, in this order: consensus messages, the consensus timer, urgent events, ordinary events while
+    /// the time budget lasts, and due timers. Then executes the resulting outputs.
     fn take_turn(&mut self, now: u64, first: Option<DriverEvent>, events: &mut EventQueue) {
         let mut at = now;
-        events.move_waiting();
+        events.fetch_ordinary();
         let mut next = first;
         while let Some(event) = next.take().or_else(|| events.next_consensus()) {
             self.handle_event(now, event);
-            at = self.part_ended(TurnPart::OtherEvents, 1, at);
+            at = self.record_turn_part(TurnPart::OtherEvents, 1, at);
         }
         self.tick_consensus(now);
         self.send_messages();
         while let Some(event) = events.next_urgent() {
             let part = event.turn_part();
             self.handle_event(now, event);
-            at = self.part_ended(part, 1, at);
+            at = self.record_turn_part(part, 1, at);
         }
-        let turn_ends = now + TURN_TIME;
+        let turn_ends = now + TURN_TIME_NS;
         while at < turn_ends {
             let Some(event) = events.next_ordinary() else { break };
             let part = event.turn_part();
             self.handle_event(now, event);
-            at = self.part_ended(part, 1, at);
+            at = self.record_turn_part(part, 1, at);
         }
         self.tick(now);
         self.advance_recovery(now, turn_ends);
-        at = self.part_ended(TurnPart::Timers, 1, at);
+        at = self.record_turn_part(TurnPart::Timers, 1, at);
         self.process_outputs(now, turn_ends);
-        self.send_relayed(now);
-        at = self.part_ended(TurnPart::Outputs, 1, at);
+        self.send_relay_frames(now);
+        at = self.record_turn_part(TurnPart::Outputs, 1, at);
         self.send_marker_if_awaited();
         self.replica.take_snapshot_if_due();
-        self.metrics.turns.ended(at.saturating_sub(now));
+        self.metrics.turns.record_turn(at.saturating_sub(now));
         self.record_load(at);
     }
 
-    /// Counts the time since `began` for a part of the turn, and returns the time now.
-    fn part_ended(&mut self, part: TurnPart, events: u64, began: u64) -> u64 {
+    /// Adds the time since `began` to a part of the turn, and returns the current time.
+    fn record_turn_part(&mut self, part: TurnPart, events: u64, began: u64) -> u64 {
         let now = self.clock.now();
-        self.metrics.turns.part(part, events, now.saturating_sub(began));
+        self.metrics.turns.record_part(part, events, now.saturating_sub(began));
         now
     }
 
-    /// The settings and the connections of other processes, for the identity that follows.
+    /// Ends this identity. Returns the settings and the connections of other processes, for the next
+    /// identity.
     pub fn into_parts(mut self) -> (ProcessSettings, Clients) {
         self.step_down();
         (self.settings, self.clients)
     }
 
-    /// Whether the last turn has left something to do.
+    /// Whether the last turn left work that is due at once.
     fn has_work(&self) -> bool {
-        let is_leader_due = self.leader.is_some() && self.wake_at <= self.clock.now();
+        let is_leader_due = self.leader.is_some() && self.next_leader_tick <= self.clock.now();
         !self.effects.is_empty() || self.recovery.is_some() || is_leader_due
     }
 
@@ -333,15 +342,15 @@
         }
         let join_timer = self.group_join.next_timer(self.member_status());
         let mut next = self.replica.node().next_timer().min(join_timer).min(self.founding.next_timer());
-        next = next.min(self.relaying_timer());
+        next = next.min(self.relay_timer());
         if self.leader.is_some() {
-            next = next.min(self.wake_at).min(self.flush_due);
+            next = next.min(self.next_leader_tick).min(self.flush_due);
         }
         if self.replica.node().is_leader() {
             next = next.min(self.next_seed_check);
         }
         if self.stop_by.is_some() {
-            next = next.min(self.clock.now() + SHUTDOWN_CHECK_INTERVAL);
+            next = next.min(self.clock.now() + SHUTDOWN_CHECK_INTERVAL_NS);
         }
         next
     }
@@ -353,12 +362,13 @@
     }
 
     fn tick(&mut self, now: u64) {
-        if self.wake_at <= now {
+        if self.next_leader_tick <= now {
             self.tick_leader(now);
         }
         match self.group_join.poll(now, self.member_status()) {
             JoinStep::Wait => {}
-            // Members that a former founding has left are given up, not taken into another group with their log.
+            // The members of a founded group that never committed a command are abandoned: they do not join
+            // another group with their log.
             JoinStep::RequestJoin if self.has_founded_alone() => {}
             JoinStep::RequestJoin => self.peers.request_join(&self.group_join.contacts()),
             JoinStep::ReloadSettings => self.reload_settings(),
@@ -366,7 +376,7 @@
         self.poll_founding(now);
         self.record_leadership_obstacle(now);
         if self.replica.node().is_leader() && self.next_seed_check <= now {
-            self.next_seed_check = now + SEED_CHECK_INTERVAL;
+            self.next_seed_check = now + SEED_CHECK_INTERVAL_NS;
             self.reload_settings();
             self.announce_group();
         }
@@ -377,7 +387,7 @@
         MemberStatus { is_member: node.is_member(), knows_leader: node.leader().is_some() }
     }
 
-    /// Passes an event to consensus; what follows from it is processed by `process_effects`.
+    /// Passes an event to consensus. `process_effects` processes the resulting effects.
     pub(crate) fn step_consensus(&mut self, now: u64, event: Event) {
         self.replica.handle(now, event, &mut self.effects);
     }
@@ -394,8 +404,8 @@
         }
     }
 
-    /// Processes effects and outputs of the leader until none are left, or until the turn ends: the rest follows in the
-    /// next one.
+    /// Processes effects and leader outputs until none are left or the turn's time is used up; the rest is
+    /// left to the next turn.
     fn process_outputs(&mut self, now: u64, turn_ends: u64) {
         let mut budget = ApplyBudget { entries: MAX_APPLIED_PER_TURN, until: turn_ends };
         loop {
@@ -410,7 +420,7 @@
                 self.execute(now, output);
             }
             if self.clock.now() >= turn_ends {
-                // What the outputs led to is for the leader to process in another turn.
+                // The leader processes the results of these outputs in a later turn.
                 self.flush_due = self.next_flush;
                 return self.send_messages();
             }
@@ -424,12 +434,13 @@
         }
     }
 
-    /// Processes effects in order; the leader sees each applied entry before the next one is applied. False if it
-    /// stopped at an entry because the budget of this turn is used up.
+    /// Processes effects in order. The leader sees each applied entry before the next one is applied. Returns
+    /// false if it stopped at an entry, either because this turn's budget is used up or because the leader is
+    /// still being built.
     fn process_effects(&mut self, now: u64, budget: &mut ApplyBudget) -> bool {
         loop {
             let is_entry = matches!(self.effects.front(), Some(Effect::Committed(_)));
-            if is_entry && (self.recovery.is_some() || budget.is_used_up(self.clock.now())) {
+            if is_entry && (self.recovery.is_some() || budget.is_exhausted(self.clock.now())) {
                 return false;
             }
             let Some(effect) = self.effects.pop_front() else {
@@ -478,9 +489,10 @@
         self.replica.propose(now, batch, &mut self.effects);
     }
 
-    /// Connects to the members in force and to the seeds, and to all contacts while this process is not a member.
+    /// Connects to the current members and the seeds; to all contacts while this process is not a member.
     ///
-    /// Seeds need not be members: a machine that has never been one may know nobody but them, and they nobody but it.
+    /// Seeds are connected even if they are not members: a seed that has never been a member may know only
+    /// the other seeds, and no member may know it.
     fn connect_to_members(&mut self) {
         let node = self.replica.node();
         let contacts =
@@ -489,7 +501,7 @@
         self.announce_leader();
     }
 
-    /// Reads the settings file again. If it cannot be read, nothing changes.
+    /// Reads the settings file again and applies the changes. Nothing changes if the file cannot be read.
     fn reload_settings(&mut self) {
         match settings_file::read(&self.settings_path) {
             Ok(settings) if settings == self.settings => {}
@@ -504,7 +516,7 @@
                 self.workers.set_max_connections(max_connections(&settings));
                 self.settings = settings;
                 if seeds_changed {
-                    log::info!("other seeds are set: connecting to them");
+                    log::info!("the seeds have changed: connecting to them");
                     self.connect_to_members();
                 }
             }
@@ -513,7 +525,7 @@
     }
 }
 
-/// Calls a second that the platform accepts; 0 if the settings give no limit.
+/// Rate limit of the platform's API in calls per second; 0 if the settings give none.
 fn platform_rate(settings: &ProcessSettings) -> f64 {
     settings.cloud_api.as_ref().map_or(0.0, |platform| platform.rate_per_s)
 }
--- a/crates/control/src/driver/relaying.rs
+++ b/crates/control/src/driver/relaying.rs
@@ -1,4 +1,5 @@
-//! Calls to workers over relays: as the leader that has them made, and as the relay that makes them.
+//! Calls to workers over relays, on both sides: as the leader that routes calls, and as a relay that makes
+//! them.
 
 use super::Driver;
 use crate::clock::MILLISECOND;
@@ -10,11 +11,11 @@
 use scheduler::leader::{CallId, Input, Leader};
 use scheduler::worker::CallOutcome;
 
-/// Least time between two reports of a relay, in nanoseconds: under load one carries the outcomes of many calls.
-const REPORT_INTERVAL: u64 = 2 * MILLISECOND;
+/// Minimum time between two reports of a relay. Under load, one report carries the outcomes of many calls.
+const REPORT_INTERVAL_NS: u64 = 2 * MILLISECOND;
 
 impl Driver {
-    /// This process leads `term`: calls are routed anew.
+    /// Starts to route calls for `term`, which this process leads.
     pub(super) fn begin_routing(&mut self, now: u64, term: u64) {
         if self.relay.end_session_before(term) {
             self.workers.abandon_calls();
@@ -24,7 +25,7 @@
         self.update_relays(now);
     }
 
-    /// The members of the group may have changed.
+    /// Updates the router's relays to the current members of the group.
     pub(super) fn update_relays(&mut self, now: u64) {
         if self.leader.is_none() {
             return;
@@ -32,10 +33,10 @@
         let members: Vec<NodeId> =
             self.replica.node().membership().members.iter().map(|member| member.id).collect();
         let interrupted = self.router.set_members(now, &members);
-        self.calls_ended(now, interrupted);
+        self.notify_calls_finished(now, interrupted);
     }
 
-    /// Has a call made, here or by a relay.
+    /// Makes a call from this process or over a relay.
     pub(super) fn route_call(&mut self, call: WorkerCall) {
         let lease_until = self.replica.node().lease_until();
         if let Some(call) = self.router.route(call, lease_until) {
@@ -43,30 +44,30 @@
         }
     }
 
-    /// The leader no longer needs a call.
+    /// Cancels a call that the leader no longer needs.
     pub(super) fn cancel_call(&mut self, call: CallId) {
-        if self.router.cancel(call) == Cancellation::Here {
+        if self.router.cancel(call) == Cancellation::Local {
             self.workers.cancel(call);
         }
     }
 
-    /// A call that this process made has ended: its own as a leader, or one that it made as a relay.
+    /// Handles the end of a call that this process made, either as the leader or as a relay.
     pub(super) fn handle_call_finished(&mut self, now: u64, call: CallId, outcome: CallOutcome) {
         if self.leader.is_none() {
             self.relay.call_finished(call, outcome);
             return;
         }
-        if let Some(outcome) = self.router.finished_here(call, outcome) {
+        if let Some(outcome) = self.router.finish_local_call(call, outcome) {
             self.notify_leader(now, Input::CallFinished { call, outcome });
         }
     }
 
-    /// A leader has calls for this process to make.
+    /// Handles a batch of calls that a leader sent to this process as its relay.
     pub(super) fn handle_call_batch(&mut self, batch: WorkerCallBatch) {
         if self.leader.is_some() || self.recovery.is_some() {
             return;
         }
-        for action in self.relay.take_batch(self.replica.node().term(), batch) {
+        for action in self.relay.receive_batch(self.replica.node().term(), batch) {
             match action {
                 AgentAction::AbandonCalls => self.workers.abandon_calls(),
                 AgentAction::Start(call) => self.workers.start(call),
@@ -75,32 +76,32 @@
         }
     }
 
-    /// A relay reports outcomes of calls.
+    /// Handles a relay's report of call outcomes.
     pub(super) fn handle_relay_report(&mut self, now: u64, report: RelayReport) {
-        let finished = self.router.take_report(now, report);
-        self.calls_ended(now, finished);
+        let finished = self.router.receive_report(now, report);
+        self.notify_calls_finished(now, finished);
     }
 
-    /// A core process cannot be reached.
+    /// Handles that a core process is unreachable.
     pub(super) fn relay_unreachable(&mut self, now: u64, id: NodeId) {
-        let interrupted = self.router.relay_lost(now, id);
-        self.calls_ended(now, interrupted);
+        let interrupted = self.router.handle_relay_loss(now, id);
+        self.notify_calls_finished(now, interrupted);
     }
 
-    /// Everything that arrived before `read_until` was handled.
-    pub(super) fn judge_relays(&mut self, now: u64, read_until: u64) {
-        let interrupted = self.router.judge_relays(now, read_until);
-        self.calls_ended(now, interrupted);
+    /// Ends the sessions of overdue relays. Everything that arrived before `read_until` has been handled.
+    pub(super) fn expire_overdue_relays(&mut self, now: u64, read_until: u64) {
+        let interrupted = self.router.expire_overdue_relays(now, read_until);
+        self.notify_calls_finished(now, interrupted);
     }
 
-    fn calls_ended(&mut self, now: u64, calls: Vec<(CallId, CallOutcome)>) {
+    fn notify_calls_finished(&mut self, now: u64, calls: Vec<(CallId, CallOutcome)>) {
         for (call, outcome) in calls {
             self.notify_leader(now, Input::CallFinished { call, outcome });
         }
     }
 
-    /// Sends what is due to relays, or to the leader that this process is a relay of.
-    pub(super) fn send_relayed(&mut self, now: u64) {
+    /// Sends due batches to relays, or the due report to the leader that this process is a relay for.
+    pub(super) fn send_relay_frames(&mut self, now: u64) {
         if self.leader.is_some() {
             for (relay, batch) in self.router.take_batches(now) {
                 self.peers.send_frame(relay, OneOfbody::worker_calls(batch));
@@ -114,13 +115,13 @@
             return;
         }
         if let Some((leader, report)) = self.relay.take_report(self.clock.now()) {
-            self.next_report = now + REPORT_INTERVAL;
+            self.next_report = now + REPORT_INTERVAL_NS;
             self.peers.send_frame(leader, OneOfbody::relay_report(report));
         }
     }
 
-    /// When `send_relayed` or `judge_relays` has something to do, if nothing else happens before.
-    pub(super) fn relaying_timer(&self) -> u64 {
+    /// When `send_relay_frames` or `expire_overdue_relays` is next due, if nothing else happens before.
+    pub(super) fn relay_timer(&self) -> u64 {
         if self.leader.is_some() {
             return self.router.next_timer(self.clock.now());
         }
--- a/crates/control/src/driver/shutdown.rs
+++ b/crates/control/src/driver/shutdown.rs
@@ -5,17 +5,18 @@
 use consensus::Event;
 use process_signals::Signal;
 
-/// The longest time from the signal to the end: leadership is transferred and replies are sent within it.
-const SHUTDOWN_TIMEOUT: u64 = 2_000 * MILLISECOND;
+/// Maximum time from the stop signal to the end of the process, for the transfer of leadership and the last
+/// replies.
+const SHUTDOWN_TIMEOUT_NS: u64 = 2_000 * MILLISECOND;
 
 impl Driver {
-    /// Handles a signal of the platform.
+    /// Handles a signal from the platform.
     pub(crate) fn handle_signal(&mut self, now: u64, signal: Signal) {
         match signal {
             Signal::Reload => self.reload_settings(),
             Signal::Stop if self.stop_by.is_none() => {
                 log::info!("stopping: transferring leadership and finishing replies");
-                self.stop_by = Some(now + SHUTDOWN_TIMEOUT);
+                self.stop_by = Some(now + SHUTDOWN_TIMEOUT_NS);
                 self.step_consensus(now, Event::Transfer);
             }
             Signal::Stop => {}
@@ -27,11 +28,11 @@
         self.stop_by.is_some()
     }
 
-    /// Why the driver ends now; `None` if it goes on.
+    /// Why the driver must end now; `None` if it continues.
     pub(super) fn take_exit(&mut self, now: u64) -> Option<DriverExit> {
         match self.exit.take() {
             None => {}
-            Some(DriverExit::Removed | DriverExit::Founds { .. }) if self.is_stopping() => {
+            Some(DriverExit::Removed | DriverExit::FoundGroup { .. }) if self.is_stopping() => {
                 return Some(DriverExit::Stopped);
             }
             Some(exit) => return Some(exit),
--- a/crates/control/src/event_queue.rs
+++ b/crates/control/src/event_queue.rs
@@ -1,24 +1,24 @@
-//! The queue between tasks and the driver.
+//! The queue of events from tasks to the driver.
 //!
-//! Two lanes do not wait behind the events of clients and workers, however many of those there are. Messages of
-//! consensus come first: a leader that does not read the acknowledgements of its heartbeats in time loses its lease.
-//! Urgent events follow: they have time limits of their own, are few, and are quickly handled.
+//! Two lanes never wait behind the many events of clients and workers. Consensus messages come first: a
+//! leader that reads the acknowledgements of its heartbeats too late loses its lease. Urgent events come
+//! second: they have deadlines of their own, are few, and are handled quickly.
 
 use crate::events::{DriverEvent, Lane};
 use std::collections::VecDeque;
 use tokio::select;
 use tokio::sync::mpsc;
 
-/// Events that may wait in each lane; beyond them the tasks that send wait, and with them their peers.
-const MAX_WAITING_EVENTS: usize = 1_024;
-/// Events that are moved from the ordinary lane at one time.
-const MAX_MOVED_EVENTS: usize = 256;
+/// Capacity of each lane. While a lane is full, the sending tasks wait, and so do their peers.
+const LANE_CAPACITY: usize = 1_024;
+/// Maximum number of events fetched from the ordinary lane at a time.
+const MAX_FETCHED_EVENTS: usize = 256;
 
-/// The driver is gone.
+/// The driver has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Disconnected;
 
-/// Where connections to other processes send their events.
+/// The sending side of the queue.
 #[derive(Debug, Clone)]
 pub struct EventSender {
     consensus: mpsc::Sender<DriverEvent>,
@@ -27,7 +27,7 @@
 }
 
 impl EventSender {
-    /// Sends an event; waits while its lane is full.
+    /// Sends an event to its lane; waits while the lane is full.
     ///
     /// # Errors
     ///
@@ -41,90 +41,92 @@
         lane.send(event).await.map_err(|_| Disconnected)
     }
 
-    /// The lane of urgent events, for those that send no others.
+    /// The urgent lane, for tasks that send no other events.
     pub fn urgent(&self) -> &mpsc::Sender<DriverEvent> {
         &self.urgent
     }
 
-    /// The lane of ordinary events, for tasks that send no others.
+    /// The ordinary lane, for tasks that send no other events.
     pub fn ordinary(&self) -> &mpsc::Sender<DriverEvent> {
         &self.ordinary
     }
 
-    /// Whether the driver is gone.
+    /// Whether the driver has ended.
     pub fn is_closed(&self) -> bool {
         self.ordinary.is_closed()
     }
 }
 
-/// The driver's side of the queue. Within each lane events keep their order.
+/// The driver's side of the queue. Events keep their order within each lane.
 pub struct EventQueue {
     consensus: mpsc::Receiver<DriverEvent>,
     urgent: mpsc::Receiver<DriverEvent>,
     ordinary: mpsc::Receiver<DriverEvent>,
-    /// Events of the ordinary lane that were moved here at one time and are not handled yet.
-    moved: VecDeque<DriverEvent>,
-    /// Reused to move events; empty in between.
+    /// Events fetched from the ordinary lane that are not handled yet.
+    fetched: VecDeque<DriverEvent>,
+    /// Buffer for fetching events, kept for reuse; empty between calls.
     buffer: Vec<DriverEvent>,
 }
 
-/// An empty queue, and where events are sent.
+/// Creates an empty queue and its sender.
 pub fn event_queue() -> (EventSender, EventQueue) {
-    let (consensus_sender, consensus) = mpsc::channel(MAX_WAITING_EVENTS);
-    let (urgent_sender, urgent) = mpsc::channel(MAX_WAITING_EVENTS);
-    let (ordinary_sender, ordinary) = mpsc::channel(MAX_WAITING_EVENTS);
+    let (consensus_sender, consensus) = mpsc::channel(LANE_CAPACITY);
+    let (urgent_sender, urgent) = mpsc::channel(LANE_CAPACITY);
+    let (ordinary_sender, ordinary) = mpsc::channel(LANE_CAPACITY);
     let sender =
         EventSender { consensus: consensus_sender, urgent: urgent_sender, ordinary: ordinary_sender };
-    (sender, EventQueue { consensus, urgent, ordinary, moved: VecDeque::new(), buffer: Vec::new() })
+    (sender, EventQueue { consensus, urgent, ordinary, fetched: VecDeque::new(), buffer: Vec::new() })
 }
 
 impl EventQueue {
-    /// Returns once an event waits, with that event if it is of consensus or urgent.
+    /// Waits for an event. Returns it if it is a consensus message or urgent; ordinary events are fetched
+    /// instead, for `next_ordinary`.
     pub async fn wait(&mut self) -> Option<DriverEvent> {
-        if !self.moved.is_empty() {
+        if !self.fetched.is_empty() {
             return self.next_consensus().or_else(|| self.next_urgent());
         }
         select! {
             biased;
             Some(event) = self.consensus.recv() => Some(event),
             Some(event) = self.urgent.recv() => Some(event),
-            _ = self.ordinary.recv_many(&mut self.buffer, MAX_MOVED_EVENTS) => {
-                self.moved.extend(self.buffer.drain(..));
+            _ = self.ordinary.recv_many(&mut self.buffer, MAX_FETCHED_EVENTS) => {
+                self.fetched.extend(self.buffer.drain(..));
                 None
             }
         }
     }
 
-    /// Makes ordinary events that wait available, a bounded number of them. Turns that begin with a message of consensus
-    /// or a write thus handle them too.
-    pub fn move_waiting(&mut self) {
-        while self.moved.len() < MAX_MOVED_EVENTS {
+    /// Fetches waiting ordinary events, up to a limit, so that turns that begin with a consensus message or a
+    /// completed write handle them too.
+    pub fn fetch_ordinary(&mut self) {
+        while self.fetched.len() < MAX_FETCHED_EVENTS {
             let Ok(event) = self.ordinary.try_recv() else { return };
-            self.moved.push_back(event);
+            self.fetched.push_back(event);
         }
     }
 
-    /// The next message of consensus that waits.
+    /// The next waiting consensus message.
     pub fn next_consensus(&mut self) -> Option<DriverEvent> {
         self.consensus.try_recv().ok()
     }
 
-    /// The next urgent event that waits.
+    /// The next waiting urgent event.
     pub fn next_urgent(&mut self) -> Option<DriverEvent> {
         self.urgent.try_recv().ok()
     }
 
-    /// The next ordinary event that waits, of those that `wait` or `move_waiting` made available.
+    /// The next ordinary event among those that `wait` or `fetch_ordinary` have fetched.
     pub fn next_ordinary(&mut self) -> Option<DriverEvent> {
-        self.moved.pop_front()
+        self.fetched.pop_front()
     }
 
-    /// Whether ordinary events were made available that are not handled yet.
+    /// Whether fetched ordinary events are not handled yet.
     pub fn has_ordinary(&self) -> bool {
-        !self.moved.is_empty()
+        !self.fetched.is_empty()
     }
 
-    /// The next event, messages of consensus first and urgent events second; `None` once no sender is left.
+    /// Waits for the next event: consensus messages first, urgent events second. Returns `None` once no
+    /// sender is left.
     pub async fn next(&mut self) -> Option<DriverEvent> {
         if let Some(event) = self.next_consensus().or_else(|| self.next_urgent()) {
             return Some(event);
--- a/crates/control/src/events.rs
+++ b/crates/control/src/events.rs
@@ -12,25 +12,25 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Names a connection between processes; unique for the lifetime of this process.
+/// Identifies a connection between processes; unique for the lifetime of this process.
 pub type ConnectionId = u64;
-/// Connections from here on were accepted; those below were opened by this process.
+/// First identifier of accepted connections. Connections opened by this process have lower ones.
 pub const FIRST_ACCEPTED: ConnectionId = 1 << 32;
 
-/// Something that happened outside the driver.
+/// An event from outside the driver.
 pub enum DriverEvent {
     /// Another process connected.
     Accepted {
         /// The new connection.
         connection: ConnectionId,
-        /// Queue of the frames to send on it.
+        /// Queue of the frames to be sent on the connection.
         outbox: Arc<Outbox>,
     },
     /// A frame arrived.
     Frame {
-        /// The connection it arrived on.
+        /// The connection that the frame arrived on.
         connection: ConnectionId,
-        /// Its content.
+        /// The frame's content.
         body: OneOfbody,
     },
     /// A connection ended.
@@ -38,42 +38,43 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// Where this process was connected, nothing listens any more.
+    /// A new connection was refused at an address where this process was connected before: no process listens
+    /// there any more.
     Refused {
         /// The connection.
         connection: ConnectionId,
     },
     /// A call to a worker ended.
     CallFinished {
-        /// The generation of `WorkerClient` that made it: one for each leadership of this process.
+        /// The generation of `WorkerClient` that made the call: each leadership of this process has its own.
         generation: u64,
         /// The leader's number of the call.
         call: CallId,
-        /// How it ended.
+        /// The outcome.
         outcome: CallOutcome,
     },
-    /// Everything that arrived before this marker set out has been handed to the driver.
+    /// Everything that arrived before this marker was sent has been handed to the driver.
     InputMarker {
-        /// When it set out, in nanoseconds of the process's clock.
+        /// When the marker was sent, in nanoseconds of the process's clock.
         at: u64,
     },
     /// A page of the platform's list was read, or could not be read.
     Instances {
-        /// The read that it belongs to.
+        /// The read that the page belongs to.
         read: ReadId,
-        /// The page, or why the read ended.
+        /// The page, or the error that ended the read.
         result: Result<ListedPage, PlatformError>,
     },
-    /// A call of the operator.
+    /// A call to the operator's API.
     Operator(OperatorCall),
-    /// A call of an administrator.
+    /// A call to the administrators' API.
     Admin(AdminCall),
-    /// A signal of the platform.
+    /// A signal from the platform.
     Signal(Signal),
 }
 
 impl DriverEvent {
-    /// The part of a turn that handles the event.
+    /// The part of a turn that the handling of this event is counted in.
     pub fn turn_part(&self) -> TurnPart {
         match self {
             DriverEvent::Frame { body: OneOfbody::request(_), .. } => TurnPart::Requests,
@@ -88,8 +89,9 @@
 
     /// The lane in which the event waits for the driver.
     ///
-    /// What keeps a time limit of another process, of the operator or of the platform is urgent. Requests of clients and
-    /// outcomes of calls to workers are ordinary, and so is the end of a connection, which follows the requests on it.
+    /// Events with a deadline set by another process, the operator or the platform are urgent. Client
+    /// requests and outcomes of calls to workers are ordinary. So is the end of a connection, because it must
+    /// follow the requests on that connection.
     pub fn lane(&self) -> Lane {
         match self {
             DriverEvent::Frame { body: OneOfbody::consensus(_), .. } => Lane::Consensus,
@@ -111,12 +113,12 @@
     }
 }
 
-/// Where an event waits for the driver: a lane is emptied before the next one.
+/// Lanes of the event queue, by priority: each lane is emptied before the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lane {
-    /// Messages of consensus.
+    /// Consensus messages.
     Consensus,
-    /// Other events with a time limit.
+    /// Other events with a deadline.
     Urgent,
     /// All other events.
     Ordinary,
@@ -136,9 +138,9 @@
 pub enum OperatorRequest {
     /// Replace the configuration.
     Put {
-        /// The version that the change builds on, if given.
+        /// The version that the change is based on, if given.
         if_match: Option<u64>,
-        /// The body as sent.
+        /// The body as received.
         body: Vec<u8>,
     },
     /// Return the newest configuration.
@@ -150,21 +152,21 @@
 pub enum OperatorReply {
     /// The configuration is committed.
     Accepted,
-    /// The newest configuration, as it was sent.
+    /// The newest configuration, exactly as it was sent.
     Body(Vec<u8>),
-    /// Another version is in force.
+    /// The change is based on another version than the current one.
     Conflict {
-        /// Which one, and what the operator has to do.
+        /// The current version, and what the operator has to do.
         text: String,
     },
-    /// The configuration is invalid, and why.
+    /// The configuration is invalid; the text says why.
     Invalid(String),
     /// Another process leads.
     Redirect {
-        /// Its `Control` address.
+        /// The leader's `Control` address.
         control: String,
     },
-    /// The call surely had no effect: no leader is known, or it cannot confirm that it leads.
+    /// The call had no effect: no leader is known, or the leader cannot confirm that it leads.
     Unavailable,
     /// The call may or may not have taken effect.
     OutcomeUnknown,
--- a/crates/control/src/http.rs
+++ b/crates/control/src/http.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use tokio::task::spawn_local;
 
-/// The longest answer that is read.
+/// Maximum size of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 quick_error! {
@@ -21,26 +21,26 @@
     pub enum CallError {
         /// The address is not `ip:port`.
         Address(text: String) {
-            display("{text:?} is no address: the platform's list must give ip:port")
+            display("{text:?} is not an address: the platform's list must contain ip:port")
         }
         /// The request cannot be written as HTTP.
         Request(error: hyper::http::Error) {
             from()
-            display("the request cannot be written ({error}): a header holds bytes that HTTP does not allow")
+            display("the request cannot be written ({error}): a header contains bytes that HTTP does not allow")
         }
         /// No connection was established: no byte of the request was sent.
         Connect(error: std::io::Error) {
-            display("cannot connect ({error}): see whether the other side runs and is reachable")
+            display("cannot connect ({error}): check that the other side runs and is reachable")
         }
-        /// The connection was closed before the request was started: no byte of it was sent.
+        /// The connection was closed before the request was started: no byte of the request was sent.
         NotSent {
-            display("the persistent connection had been closed: the call may be made again on a new one")
+            display("the persistent connection was already closed: the call may be repeated on a new connection")
         }
-        /// The call expired before it could leave: no byte of it was sent.
+        /// The call expired before it could be sent: no byte of it was sent.
         Expired {
-            display("the call expired before it could be sent: see whether this machine is overloaded")
+            display("the call expired before it could be sent: check whether this machine is overloaded")
         }
-        /// The connection ended before the complete answer; the request may have been executed.
+        /// The connection ended before the complete answer arrived. The request may have been executed.
         ConnectionLost(reason: String) {
             display("no complete answer ({reason}): the call may have been executed")
         }
@@ -50,13 +50,14 @@
 /// The answer to a call.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its complete body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// One persistent connection. Dropped while a call is in flight, it closes, so that a late answer reaches no later call.
+/// One persistent connection. Dropping it while a call is in flight closes the connection, so that a late
+/// answer cannot be taken for the answer to a later call.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
@@ -68,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if no connection is established, or it ends at once.
+    /// Fails if no connection is established or if it ends at once.
     pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let stream = socket::connect(address).await.map_err(CallError::Connect)?;
         let write_limit = WriteLimit::default();
@@ -104,23 +105,24 @@
     ///
     /// `NotSent` if no byte of the request was sent, `ConnectionLost` if it may have been executed.
     pub async fn call(&mut self, request: Request<Full<Bytes>>) -> Result<Answer, CallError> {
-        self.call_before(request, None).await
+        self.call_with_deadline(request, None).await
     }
 
-    /// The same for a request of which no byte may leave from `expires_at` on, however late the task is that writes it.
+    /// Like `call`, but sends no byte of the request at or after `expires_at`, however late the task runs
+    /// that writes to the connection.
     ///
     /// # Errors
     ///
-    /// As `call`, and `Expired` if no byte of the request was sent since it had expired. The connection then closes.
-    pub async fn call_before(
+    /// As for `call`; `Expired` if the request expired before any byte was sent. The connection then closes.
+    pub async fn call_with_deadline(
         &mut self,
         request: Request<Full<Bytes>>,
         expires_at: Option<Instant>,
     ) -> Result<Answer, CallError> {
         self.ready().await?;
-        self.write_limit.begin(expires_at);
+        self.write_limit.begin_request(expires_at);
         match self.exchange(request).await {
-            Err(_) if self.write_limit.has_held_back_all() => Err(CallError::Expired),
+            Err(_) if self.write_limit.has_expired_unsent() => Err(CallError::Expired),
             result => result,
         }
     }
--- a/crates/control/src/http_api.rs
+++ b/crates/control/src/http_api.rs
@@ -1,4 +1,4 @@
-//! What the routes of the operator's and the administrators' API share: their context and the form of responses.
+//! Shared by the routes of the operator's and the administrators' API: context and response format.
 
 use crate::event_queue::EventSender;
 use dropshot::{Body, HttpError};
@@ -8,24 +8,24 @@
 use std::time::Duration;
 use tinyjson::JsonValue;
 
-/// A call whose outcome is not known after this time is answered by an error: the caller sends it again.
+/// A call whose outcome is unknown after this time gets an error response; the caller repeats the call.
 pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// When a caller may retry, in seconds.
+/// Value of the `Retry-After` header, in seconds.
 const RETRY_AFTER_S: &str = "1";
 const JSON: &str = "application/json";
 
-/// What the handlers need.
+/// Context of the request handlers.
 #[derive(Debug)]
 pub struct ApiContext {
     pub(crate) events: EventSender,
 }
 
-/// A response with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json(builder: hyper::http::response::Builder, body: Body) -> Result<Response<Body>, HttpError> {
     Ok(builder.header(CONTENT_TYPE, JSON).body(body)?)
 }
 
-/// A response that says in JSON why the call failed.
+/// Builds a response whose JSON body says why the call failed.
 pub(crate) fn json_error(status: StatusCode, text: &str) -> Result<Response<Body>, HttpError> {
     let value = JsonValue::from(HashMap::from([("Error".to_owned(), JsonValue::from(text.to_owned()))]));
     let body = value.stringify().unwrap_or_else(|_| "{}".to_owned());
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of this process as its disk holds it, and how it gets one.
+//! The identity of this process as stored on its disk, and how the process gets one.
 
 use crate::error::ControlError;
 use configuration::ProcessSettings;
@@ -11,18 +11,18 @@
 use std::path::Path;
 use storage::{FileDirectory, Identity, Recovered, Store, StoreOptions};
 
-/// Bits of an identity that hold the machine's IPv4.
+/// Number of low bits of an identity that hold the machine's IPv4 address.
 const ADDRESS_BITS: u32 = 32;
-/// A file of this name marks a folder that is being cleared.
-const CLEARING: &str = "clearing";
+/// Name of the file that marks a data directory as being cleared.
+const CLEARING_MARKER: &str = "clearing";
 
-/// What a process starts with.
+/// An opened disk with its recovered contents.
 pub struct OpenedDisk {
-    /// The log on its disk.
+    /// The store with the log.
     pub store: Store<FileDirectory>,
-    /// Its identity.
+    /// The identity of this process.
     pub id: NodeId,
-    /// What the disk held.
+    /// The recovered consensus state.
     pub restored: Restored,
 }
 
@@ -37,35 +37,38 @@
     })
 }
 
-/// Where the control process at `ip` listens for other processes: ports are alike on all machines.
+/// The address at which the control process on machine `ip` listens for peers. All machines use the same
+/// port.
 pub fn peer_address(settings: &ProcessSettings, ip: Ipv4Addr) -> SocketAddr {
     SocketAddrV4::new(ip, *settings.port_range.start()).into()
 }
 
-/// Where the control processes of the seeds listen for other processes, this one left out.
+/// The peer addresses of the seeds, except this process.
 pub fn seed_addresses(settings: &ProcessSettings) -> Vec<SocketAddr> {
     let seeds = settings.seed_nodes.iter().filter(|seed| *seed.ip() != settings.ip);
     seeds.map(|seed| peer_address(settings, *seed.ip())).collect()
 }
 
-/// Where the control processes of all seeds listen for other processes, as members' addresses are written.
+/// The peer addresses of all seeds, in the text form of members' addresses.
 pub fn founding_addresses(settings: &ProcessSettings) -> BTreeSet<String> {
     settings.seed_nodes.iter().map(|seed| peer_address(settings, *seed.ip()).to_string()).collect()
 }
 
-/// How this process, as a member of this identity, would found a group by agreement of the seeds.
+/// Creates the founding state machine for this process, which would be member `id` of a group founded by
+/// agreement of the seeds.
 ///
 /// # Errors
 ///
-/// Fails if the settings give no `Control` address.
+/// Fails if the settings have no `Control` address.
 pub fn founding(settings: &ProcessSettings, id: NodeId) -> Result<Founding, ControlError> {
     let candidate = own_member(settings, id)?;
     let tolerated_losses = settings.fault_tolerance.machines as usize;
     Ok(Founding::new(candidate, founding_addresses(settings), tolerated_losses))
 }
 
-/// Opens the disk. An empty disk gets an identity before anything else: that of a founder on the very first start,
-/// otherwise one that was never used before, since the votes of an earlier identity are lost with its disk.
+/// Opens the disk. An empty disk first gets an identity. On the very first start of the system, that is the
+/// identity of a founder. Otherwise the identity is one that was never used before, because the votes of an
+/// earlier identity were lost with its disk.
 pub fn open(settings: &ProcessSettings) -> Result<OpenedDisk, ControlError> {
     let path = settings.data_directory.as_deref().ok_or(ControlError::NoDataDirectory)?;
     finish_clearing(path).map_err(ControlError::DataDirectory)?;
@@ -75,7 +78,8 @@
         return Ok(OpenedDisk { store, id: identity.node_id, restored });
     }
     if recovered != Recovered::default() {
-        // A founding that was interrupted: no vote was given under it.
+        // Founding the group was interrupted before the identity was written: no vote was given under that
+        // identity.
         drop(store);
         clear(settings)?;
         (store, recovered) = open_store(path)?;
@@ -84,7 +88,7 @@
     if let Some(membership) = founders(settings) {
         let id = founder_id(settings.ip);
         let restored = Node::bootstrap(membership);
-        found(&mut store, id, &restored)?;
+        write_first_log(&mut store, id, &restored)?;
         return Ok(OpenedDisk { store, id, restored });
     }
     let id = unused_id(settings.ip);
@@ -97,7 +101,7 @@
     Ok(Store::open(directory, StoreOptions::default())?)
 }
 
-/// The members of the group at its first start, if this process is one of them.
+/// The members of the group at the first start of the system, if this process is one of them.
 fn founders(settings: &ProcessSettings) -> Option<Membership> {
     let own = settings.listen.control?;
     if !settings.bootstrap || !settings.seed_nodes.contains(&own) {
@@ -119,16 +123,16 @@
     u64::from(u32::from(ip))
 }
 
-/// Draws an identity that this machine has never used.
+/// Draws a random identity that this machine has not used before.
 pub fn unused_id(ip: Ipv4Addr) -> NodeId {
     (u64::from(fastrand::u32(1..)) << ADDRESS_BITS) | founder_id(ip)
 }
 
-/// Clears the disk and writes the first log of a group of these members, of whom this process is `id`.
+/// Clears the disk and writes the first log of a group with these members. This process is member `id`.
 ///
 /// # Errors
 ///
-/// Fails if the disk does. It is empty then, or holds the complete founding.
+/// Fails if the disk fails. The disk then either counts as empty or holds the complete first log.
 pub fn found_group(
     settings: &ProcessSettings,
     id: NodeId,
@@ -137,11 +141,16 @@
     clear(settings)?;
     let path = settings.data_directory.as_deref().ok_or(ControlError::NoDataDirectory)?;
     let (mut store, _) = open_store(path)?;
-    found(&mut store, id, &Node::bootstrap_again(membership))
+    write_first_log(&mut store, id, &Node::bootstrap_again(membership))
 }
 
-/// Writes the first log. The identity goes last: without it the disk still counts as empty.
-fn found(store: &mut Store<FileDirectory>, id: NodeId, restored: &Restored) -> Result<(), ControlError> {
+/// Writes the first log. The identity is written last: a disk without an identity still counts as empty, so
+/// an interrupted write leaves no partial group.
+fn write_first_log(
+    store: &mut Store<FileDirectory>,
+    id: NodeId,
+    restored: &Restored,
+) -> Result<(), ControlError> {
     if let Some(snapshot) = &restored.snapshot {
         store.save_snapshot(&snapshot_to_stored(snapshot))?;
     }
@@ -152,21 +161,22 @@
     Ok(())
 }
 
-/// Clears the disk of an identity that the group has removed: the process joins as a new one.
+/// Clears the disk of an identity that the group has removed, so that the process joins under a new identity.
 pub fn clear(settings: &ProcessSettings) -> Result<(), ControlError> {
     let path = settings.data_directory.as_deref().ok_or(ControlError::NoDataDirectory)?;
     begin_clearing(path).and_then(|()| finish_clearing(path)).map_err(ControlError::DataDirectory)
 }
 
-/// Marks the folder durably as being cleared, so that a loss of power in between leaves no part of a log.
+/// Durably marks the directory as being cleared, so that a power failure during clearing leaves no partial
+/// log.
 fn begin_clearing(path: &Path) -> io::Result<()> {
-    File::create(path.join(CLEARING))?.sync_all()?;
+    File::create(path.join(CLEARING_MARKER))?.sync_all()?;
     File::open(path)?.sync_all()
 }
 
-/// Clears the folder, if it is marked.
+/// Clears the directory if it is marked.
 fn finish_clearing(path: &Path) -> io::Result<()> {
-    let marker = path.join(CLEARING);
+    let marker = path.join(CLEARING_MARKER);
     if !marker.exists() {
         return Ok(());
     }
--- a/crates/control/src/input_marker.rs
+++ b/crates/control/src/input_marker.rs
@@ -1,49 +1,50 @@
-//! Finds out up to when this process has surely read what arrived.
+//! Determines up to which time this process has read all input that had arrived.
 //!
-//! An answer of a worker passes through the task of its connection, the task of its call and the queue of events before
-//! the driver handles it, and each of them may be behind. A marker takes the same way: once the driver handles it,
-//! everything that had arrived before the marker set out was handled.
+//! A worker's answer passes through the task of its connection, the task of its call and the event queue
+//! before the driver handles it, and each of these may be behind. A marker takes the same path: once the
+//! driver handles the marker, it has handled everything that had arrived before the marker was sent.
 
 use crate::events::DriverEvent;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, yield_now};
 
-/// How often a marker lets all waiting tasks run, each time after the sockets were asked what has arrived: once for the
-/// task of a connection, once for the task of its call, and the rest since one question reports a limited number of
-/// sockets and a task may stop after a part of its input.
+/// How many times a marker lets all waiting tasks run, each time after the runtime has polled the sockets.
+/// One pass is for the task of a connection and one for the task of its call. The others are needed because
+/// one poll reports a limited number of sockets and a task may stop after a part of its input.
 const PASSES: usize = 6;
 
-/// Sends a marker for `at`, which must be the present moment, on the way of an answer that arrives now.
-pub async fn mark_input(at: u64, events: mpsc::Sender<DriverEvent>) {
+/// Sends a marker for `at`, which must be the current time, along the path of an answer that arrives now.
+pub async fn send_input_marker(at: u64, events: mpsc::Sender<DriverEvent>) {
     for _ in 0..PASSES {
         yield_now().await;
     }
-    // The driver is gone only if the process ends.
+    // Sending fails only if the driver has ended because the process is ending.
     let _ = events.send(DriverEvent::InputMarker { at }).await;
 }
 
-/// Sends a marker behind the input that has arrived, at most one at a time, when the leader waits for one.
+/// Sends input markers when the leader or the router waits for one, at most one at a time.
 pub(crate) struct InputMarkers {
     events: mpsc::Sender<DriverEvent>,
-    is_on_its_way: bool,
+    /// Whether a marker was sent and has not arrived.
+    is_pending: bool,
 }
 
 impl InputMarkers {
-    /// No marker is on its way.
+    /// Creates the sender; no marker is pending.
     pub(crate) fn new(events: mpsc::Sender<DriverEvent>) -> Self {
-        InputMarkers { events, is_on_its_way: false }
+        InputMarkers { events, is_pending: false }
     }
 
-    /// Sends a marker for `now`, the present moment, unless one is on its way.
+    /// Sends a marker for `now`, the current time, unless one is pending.
     pub(crate) fn send(&mut self, now: u64) {
-        if !self.is_on_its_way {
-            self.is_on_its_way = true;
-            spawn_local(mark_input(now, self.events.clone()));
+        if !self.is_pending {
+            self.is_pending = true;
+            spawn_local(send_input_marker(now, self.events.clone()));
         }
     }
 
-    /// The marker on its way has arrived.
+    /// Records that the pending marker has arrived.
     pub(crate) fn arrived(&mut self) {
-        self.is_on_its_way = false;
+        self.is_pending = false;
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,9 @@
-//! The control role: operator's API, discovery of workers, calls to workers, hosting of consensus and scheduler.
+//! The control role: the operator's API, discovery of workers, calls to workers, and the host of consensus
+//! and the scheduler.
 //!
-//! This crate is the I/O around two state machines. All decisions are made in `consensus` (who leads, what is
-//! committed) and in `scheduler` (what to do for jobs and workers); this crate gives them a clock, a disk and
-//! connections, and runs the event loop that joins them (`driver`).
+//! This crate does the input and output for two state machines. `consensus` decides who leads and what is
+//! committed; `scheduler` decides what happens to jobs and workers. This crate gives them a clock, a disk and
+//! network connections, and runs the event loop that connects them (`driver`).
 
 #![warn(missing_docs)]
 
--- a/crates/control/src/limited_stream.rs
+++ b/crates/control/src/limited_stream.rs
@@ -1,7 +1,7 @@
-//! A stream whose writes stop at a time limit.
+//! A stream whose writes fail after a deadline.
 //!
-//! A request is handed to the task of its connection, which writes it when its turn comes. Whether the request may still
-//! leave is therefore decided here, where bytes are written.
+//! A request is handed to the task of its connection, which writes the request when that task runs. The
+//! deadline is therefore checked here, at the time at which bytes are written.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The time limit of the request that is being written, shared by the stream and the owner of the connection.
+/// The deadline of the request being written, shared by the stream and the owner of the connection.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WriteLimit {
     state: Rc<Cell<LimitState>>,
@@ -26,13 +26,13 @@
 }
 
 impl WriteLimit {
-    /// A request begins of which no byte may be written from `expires_at` on.
-    pub(crate) fn begin(&self, expires_at: Option<Instant>) {
+    /// Starts a request of which no byte may be written at or after `expires_at`.
+    pub(crate) fn begin_request(&self, expires_at: Option<Instant>) {
         self.state.set(LimitState { expires_at, has_written: false, has_expired: false });
     }
 
     /// Whether the request expired before any byte of it was written.
-    pub(crate) fn has_held_back_all(&self) -> bool {
+    pub(crate) fn has_expired_unsent(&self) -> bool {
         let state = self.state.get();
         state.has_expired && !state.has_written
     }
@@ -46,14 +46,14 @@
         Ok(())
     }
 
-    fn wrote(&self, outcome: &Poll<io::Result<usize>>) {
+    fn record_write(&self, outcome: &Poll<io::Result<usize>>) {
         if matches!(outcome, Poll::Ready(Ok(1..))) {
             self.state.set(LimitState { has_written: true, ..self.state.get() });
         }
     }
 }
 
-/// A connection whose writes fail once the limit has passed.
+/// A connection whose writes fail once the deadline has passed.
 #[derive(Debug)]
 pub(crate) struct LimitedStream {
     stream: TcpStream,
@@ -85,7 +85,7 @@
     ) -> Poll<io::Result<usize>> {
         self.limit.check()?;
         let outcome = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.limit.wrote(&outcome);
+        self.limit.record_write(&outcome);
         outcome
     }
 
@@ -96,7 +96,7 @@
     ) -> Poll<io::Result<usize>> {
         self.limit.check()?;
         let outcome = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.limit.wrote(&outcome);
+        self.limit.record_write(&outcome);
         outcome
     }
 
--- a/crates/control/src/metrics/histogram.rs
+++ b/crates/control/src/metrics/histogram.rs
@@ -1,10 +1,10 @@
 //! Histogram of durations with fixed buckets.
 
 const NANOS_PER_MS: u64 = 1_000_000;
-/// Upper bounds of the buckets in milliseconds; one more bucket holds what is above them all.
+/// Upper bounds of the buckets in milliseconds. One more bucket holds all longer durations.
 pub const BOUNDS_MS: [u64; 14] = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 60_000];
 
-/// Counts of durations by bucket.
+/// Numbers of durations by bucket.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Histogram {
     buckets: [u64; BOUNDS_MS.len() + 1],
@@ -19,7 +19,7 @@
         self.sum = self.sum.saturating_add(nanos);
     }
 
-    /// For each bound in milliseconds, the number of durations not above it.
+    /// For each bound in milliseconds, the number of durations up to and including the bound.
     pub fn cumulative(&self) -> impl Iterator<Item = (u64, u64)> + '_ {
         let counts = self.buckets.iter().scan(0, |total, count| {
             *total += count;
--- a/crates/control/src/metrics/mod.rs
+++ b/crates/control/src/metrics/mod.rs
@@ -1,6 +1,6 @@
-//! Counters of what this process has seen since its start, and their text.
+//! Counters of this process since its start, and their text format.
 //!
-//! Counting is a few additions for each applied command; the text is written on request.
+//! Counting costs a few additions per applied command; the text is written on request.
 
 pub mod histogram;
 pub mod text;
@@ -14,7 +14,7 @@
 use text::MetricsText;
 use turns::Turns;
 
-/// How attempts end, as values of the label.
+/// Outcomes of attempts, as values of the metric's label.
 const OUTCOMES: [&str; 12] = [
     "unknown",
     "done",
@@ -39,7 +39,8 @@
     Lost,
 }
 
-/// Counters since the start of the process. Those of jobs and attempts are of the log as this process applied it.
+/// Counters since the start of the process. The counters of jobs and attempts cover the log as applied by
+/// this process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     leader_changes: u64,
@@ -58,48 +59,50 @@
     workers_lost: u64,
     commit_latency: Histogram,
     start_latency: Histogram,
-    /// When this leader proposed the batches that are not applied yet.
+    /// Proposal times of this leader's batches that are not applied yet.
     proposed_at: VecDeque<u64>,
-    /// When jobs that have not started were accepted, by this leader.
+    /// Acceptance times by job, for jobs that this leader accepted and that have not started.
     accepted_at: HashMap<u64, u64>,
     /// Turns of the driver.
     pub turns: Turns,
 }
 
 impl Metrics {
-    /// Another leader is known, or none.
+    /// Counts a change of the known leader, possibly to none.
     pub fn leader_changed(&mut self) {
         self.leader_changes += 1;
     }
 
-    /// Another membership is in force.
+    /// Counts a change of the membership.
     pub fn membership_changed(&mut self) {
         self.membership_changes += 1;
     }
 
-    /// A snapshot is durable.
+    /// Counts a durable snapshot.
     pub fn snapshot_taken(&mut self) {
         self.snapshots += 1;
     }
 
-    /// This process became the leader, or stepped down: what was in flight is not measured.
+    /// Records that this process became the leader or stepped down. Latencies of batches and jobs in flight
+    /// are not measured.
     pub fn leadership_changed(&mut self, role: Leadership) {
         self.terms_led += u64::from(role == Leadership::Gained);
         self.proposed_at.clear();
         self.accepted_at.clear();
     }
 
-    /// The local leader proposed a batch.
+    /// Records that the local leader proposed a batch.
     pub fn proposed(&mut self, now: u64) {
         self.proposed_at.push_back(now);
     }
 
-    /// The batch was not accepted into the log.
+    /// Records that the last proposed batch was not accepted into the log.
     pub fn proposal_dropped(&mut self) {
         self.proposed_at.pop_back();
     }
 
-    /// A batch was applied. `is_leader`: this process leads. `starts_at_once`: whether a job is not scheduled for later.
+    /// Counts the changes made by an applied batch. `is_leader`: whether this process leads.
+    /// `starts_at_once`: whether a job is not scheduled for a later time.
     pub fn applied(
         &mut self,
         now: u64,
@@ -147,7 +150,7 @@
         }
     }
 
-    /// The local leader decided or found something about a worker.
+    /// Counts a decision or observation of the local leader about a worker.
     pub fn worker_event(&mut self, event: &WorkerEvent) {
         match event {
             WorkerEvent::Ejected { .. } => self.workers_ejected += 1,
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Appends all counters to a text.
+    /// Appends all counters to `text`.
     pub fn write(&self, text: &mut MetricsText) {
         text.counter("leader_changes", "Changes of the known leader, to none included.", self.leader_changes);
         text.counter("membership_changes", "Changes of the members.", self.membership_changes);
--- a/crates/control/src/metrics/text.rs
+++ b/crates/control/src/metrics/text.rs
@@ -8,7 +8,7 @@
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const PREFIX: &str = "sprucehatch_";
 
-/// A text to which families of metrics are appended.
+/// A text in the OpenMetrics format, to which metric families are appended.
 #[derive(Debug, Default)]
 pub struct MetricsText {
     text: String,
@@ -24,13 +24,13 @@
         let _ = self.text.write_fmt(arguments);
     }
 
-    /// A gauge.
+    /// Appends a gauge.
     pub fn gauge(&mut self, name: &str, help: &str, value: impl Display) {
         self.family(name, "gauge", help);
         self.push(format_args!("{PREFIX}{name} {value}\n"));
     }
 
-    /// A gauge with one value for each set of labels (name and value).
+    /// Appends a gauge with one value for each set of labels (name and value).
     pub fn gauges<const N: usize>(
         &mut self,
         name: &str,
@@ -44,13 +44,13 @@
         }
     }
 
-    /// A counter.
+    /// Appends a counter.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         self.family(name, "counter", help);
         self.push(format_args!("{PREFIX}{name}_total {value}\n"));
     }
 
-    /// A counter with one value for each value of a label.
+    /// Appends a counter with one value for each value of a label.
     pub fn counters<'a>(
         &mut self,
         name: &str,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A histogram; `name` ends with `_seconds`.
+    /// Appends a histogram; `name` ends with `_seconds`.
     pub fn histogram(&mut self, name: &str, help: &str, histogram: &Histogram) {
         self.family(name, "histogram", help);
         for (bound_ms, count) in histogram.cumulative() {
@@ -77,14 +77,14 @@
         self.push(format_args!("{PREFIX}{name}_sum {sum}\n{PREFIX}{name}_count {count}\n"));
     }
 
-    /// The complete text.
+    /// Returns the complete text.
     pub fn finish(mut self) -> String {
         self.text.push_str("# EOF\n");
         self.text
     }
 }
 
-/// Labels in braces. Backslashes, quotes and line ends in values are escaped.
+/// Formats labels in braces. Backslashes, quotes and newlines in values are escaped.
 fn labels_text(labels: &[(&'static str, String)]) -> String {
     let escape = |value: &str| value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
     let texts: Vec<String> =
--- a/crates/control/src/metrics/turns.rs
+++ b/crates/control/src/metrics/turns.rs
@@ -1,4 +1,5 @@
-//! What the turns of the driver cost: time by part, and the longest turn.
+//! The cost of the driver's turns: time by part, and the longest turn. A turn is one iteration of the
+//! driver's event loop.
 
 use super::histogram::Histogram;
 use super::text::MetricsText;
@@ -6,17 +7,17 @@
 /// A part of a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnPart {
-    /// Requests of clients.
+    /// Client requests.
     Requests,
     /// Outcomes of calls to workers.
     WorkerCalls,
     /// The platform's list of instances.
     Instances,
-    /// All other events: frames of peers, connections, the operator, writes to disk.
+    /// All other events: frames from peers, connections, operator calls, completed disk writes.
     OtherEvents,
     /// Timers of consensus and of the leader.
     Timers,
-    /// Outputs: entries applied, commands proposed, calls started.
+    /// Outputs: applying entries, proposing commands, starting calls.
     Outputs,
 }
 
@@ -30,29 +31,29 @@
     (TurnPart::Outputs, "outputs"),
 ];
 
-/// Time and number of events by part.
+/// The cost of one part: number of events and time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PartCost {
-    /// Events that were handled.
+    /// Number of events handled.
     pub events: u64,
-    /// Time that they took, in nanoseconds.
+    /// Time spent on the events, in nanoseconds.
     pub nanos: u64,
 }
 
-/// What turns cost since the last record in the log.
+/// The cost of turns since the last load log line.
 #[derive(Debug, Clone, Default)]
 pub struct TurnSpan {
-    /// Turns.
+    /// Number of turns.
     pub turns: u64,
-    /// Time that they took together, in nanoseconds.
-    pub busy: u64,
-    /// The longest of them, in nanoseconds.
-    pub longest: u64,
+    /// Total time of the turns, in nanoseconds.
+    pub busy_ns: u64,
+    /// Duration of the longest turn, in nanoseconds.
+    pub longest_ns: u64,
     parts: [PartCost; PARTS.len()],
 }
 
 impl TurnSpan {
-    /// What a part cost.
+    /// The cost of a part.
     pub fn part(&self, part: TurnPart) -> PartCost {
         self.parts[part as usize]
     }
@@ -64,7 +65,7 @@
     }
 }
 
-/// Turns since the start of the process, and since the last record.
+/// The cost of turns since the start of the process, and since the last load log line.
 #[derive(Debug, Default)]
 pub struct Turns {
     durations: Histogram,
@@ -73,28 +74,28 @@
 }
 
 impl Turns {
-    /// A part of the current turn handled so many events in so many nanoseconds.
-    pub fn part(&mut self, part: TurnPart, events: u64, nanos: u64) {
+    /// Records that a part of the current turn handled `events` events in `nanos` nanoseconds.
+    pub fn record_part(&mut self, part: TurnPart, events: u64, nanos: u64) {
         self.total.add_part(part, events, nanos);
         self.span.add_part(part, events, nanos);
     }
 
-    /// A turn ended that took so many nanoseconds.
-    pub fn ended(&mut self, nanos: u64) {
+    /// Records the end of a turn that took `nanos` nanoseconds.
+    pub fn record_turn(&mut self, nanos: u64) {
         self.durations.observe(nanos);
         for span in [&mut self.total, &mut self.span] {
             span.turns += 1;
-            span.busy += nanos;
-            span.longest = span.longest.max(nanos);
+            span.busy_ns += nanos;
+            span.longest_ns = span.longest_ns.max(nanos);
         }
     }
 
-    /// What turns cost since the last call.
+    /// Takes the cost of turns since the last call.
     pub fn take_span(&mut self) -> TurnSpan {
         std::mem::take(&mut self.span)
     }
 
-    /// Appends all figures to a text.
+    /// Appends the metrics of turns to `text`.
     pub fn write(&self, text: &mut MetricsText) {
         let events = PARTS.map(|(part, label)| (label, self.total.part(part).events));
         text.counters("turn_events", "Events handled, by part of a turn.", "part", events);
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -1,6 +1,6 @@
 //! The operator's API, served by `dropshot`.
 //!
-//! Bodies are read untyped, so that the leader validates and stores them byte for byte as they were sent.
+//! Bodies are read as untyped bytes, so that the leader validates and stores them exactly as they were sent.
 
 use crate::event_queue::EventSender;
 use crate::events::{DriverEvent, OperatorCall, OperatorReply, OperatorRequest};
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// The longest body that is read: hundreds of routes fit into a small part of it.
+/// Maximum size of a request body. Hundreds of routes need only a small part of it.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const CONFIG_PATH: &str = "/v1/config";
 
@@ -28,20 +28,20 @@
         /// A route cannot be registered.
         Route(error: ApiDescriptionRegisterError) {
             from()
-            display("the operator's API cannot be described ({error}): this is a fault of the program")
+            display("the operator's API cannot be described ({error}): this is a bug in the program")
         }
         /// The server cannot start.
         Start(error: Box<BuildError>) {
-            display("the operator's API cannot be served ({error}): see whether the Control address is free and is this machine's")
+            display("the operator's API cannot be served ({error}): check that the Control address is free and belongs to this machine")
         }
     }
 }
 
-/// Serves the API at `address`; calls are sent to the driver as `events`.
+/// Serves the API at `address`; calls are sent to the driver through `events`.
 ///
 /// # Errors
 ///
-/// Fails if a route cannot be registered, which is a fault of the program, or if the address cannot be bound.
+/// Fails if a route cannot be registered, which is a bug in this program, or if the address cannot be bound.
 pub fn serve(address: SocketAddr, events: EventSender) -> Result<HttpServer<ApiContext>, ApiError> {
     let mut api = ApiDescription::new();
     api.register(put_configuration)?;
@@ -78,7 +78,7 @@
     call_driver(context.context(), OperatorRequest::Get).await
 }
 
-/// The version in an `If-Match` header, if there is one.
+/// The version in the `If-Match` header; `None` without that header.
 fn read_if_match(context: &RequestContext<ApiContext>) -> Result<Option<u64>, VersionError> {
     let Some(value) = context.request.headers().get(IF_MATCH) else {
         return Ok(None);
@@ -87,6 +87,7 @@
     configuration::parse_if_match(&text).map(Some)
 }
 
+/// Sends a request to the driver and waits for the reply, for at most `REPLY_TIMEOUT`.
 async fn call_driver(context: &ApiContext, request: OperatorRequest) -> Result<Response<Body>, HttpError> {
     let (sender, receiver) = oneshot::channel();
     let call = OperatorCall { request, reply: sender };
@@ -113,11 +114,10 @@
             json(builder.header(LOCATION, location), "{}".into())
         }
         OperatorReply::Unavailable => {
-            json_error(StatusCode::SERVICE_UNAVAILABLE, "no leader is known: send the call again in a second")
+            json_error(StatusCode::SERVICE_UNAVAILABLE, "no leader is known: repeat the call in a second")
+        }
+        OperatorReply::OutcomeUnknown => {
+            json_error(StatusCode::SERVICE_UNAVAILABLE, "the outcome is not known yet: repeat the same call")
         }
-        OperatorReply::OutcomeUnknown => json_error(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "the outcome is not known yet: send the same call again",
-        ),
     }
 }
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -1,23 +1,23 @@
-//! Calls of the operator that wait for the leader.
+//! Calls to the operator's API that wait for the leader.
 
 use crate::events::{OperatorCall, OperatorReply, OperatorRequest};
 use scheduler::leader::{ConfigurationReply, Input};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Names a pending call.
-pub type Token = u64;
+/// Identifies a pending call.
+pub type CallToken = u64;
 
 struct PendingCall {
     reply: oneshot::Sender<OperatorReply>,
     is_change: bool,
 }
 
-/// Pending calls. The API answers each of them by its own timeout at the latest; a later answer is dropped.
+/// Pending calls. The API's own timeout ends each of them at the latest; an answer after that is dropped.
 #[derive(Default)]
 pub struct OperatorCalls {
-    pending: BTreeMap<Token, PendingCall>,
-    next_token: Token,
+    pending: BTreeMap<CallToken, PendingCall>,
+    next_token: CallToken,
 }
 
 impl OperatorCalls {
@@ -35,14 +35,14 @@
     }
 
     /// Answers a pending call.
-    pub fn answer(&mut self, token: Token, reply: OperatorReply) {
+    pub fn answer(&mut self, token: CallToken, reply: OperatorReply) {
         if let Some(pending) = self.pending.remove(&token) {
-            // The caller may have disconnected; it sends the call again.
+            // Sending fails if the caller has disconnected; the caller then repeats the call.
             let _ = pending.reply.send(reply);
         }
     }
 
-    /// Answers all pending calls, since this process stepped down.
+    /// Answers all pending calls because this process has stepped down.
     pub fn fail_pending(&mut self) {
         for (_, pending) in std::mem::take(&mut self.pending) {
             let reply =
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Whether all calls have been answered.
+    /// Whether no call is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// The leader's reply as the API gives it.
+/// Converts the leader's reply to the reply of the API.
 pub fn reply_of(reply: ConfigurationReply) -> OperatorReply {
     match reply {
         ConfigurationReply::Accepted => OperatorReply::Accepted,
--- a/crates/control/src/peer_connections.rs
+++ b/crates/control/src/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that this process keeps to the other core processes.
+//! Connections that this process opens to the other core processes.
 
 use crate::event_queue::EventSender;
 use crate::events::ConnectionId;
@@ -16,8 +16,8 @@
 
 /// One connection to each other core process.
 ///
-/// Connections are keyed by address and not by identity, since a machine that lost its disk has a new identity at the
-/// same address; `addresses` maps identities to connections.
+/// Connections are keyed by address and not by identity, because a machine that lost its disk has a new
+/// identity at the same address. `addresses` maps identities to addresses, and so to connections.
 pub struct PeerConnections {
     own: Member,
     hello: Hello,
@@ -28,7 +28,7 @@
 }
 
 impl PeerConnections {
-    /// No connections yet.
+    /// Creates the set without any connections.
     pub fn new(node_name: &str, own: Member, events: EventSender) -> Self {
         let hello = Hello {
             node_name: node_name.to_owned(),
@@ -53,11 +53,11 @@
                 self.addresses.insert(id, address);
             }
             Ok(_) => {}
-            Err(_) => log::warn!("{address:?} of a core process is no address: see its settings"),
+            Err(_) => log::warn!("{address:?} of a core process is not a valid address: check its settings"),
         }
     }
 
-    /// Connects to all members and to the `contacts`, and closes all other connections.
+    /// Connects to all members and all `contacts`, and closes all other connections.
     pub fn set_members(&mut self, membership: &Membership, contacts: &[SocketAddr]) {
         for member in &membership.members {
             self.set_address(member.id, &member.address);
@@ -72,21 +72,21 @@
         }
     }
 
-    /// Sends a message of consensus; it is dropped if the address of the identity is not known.
+    /// Sends a consensus message. The message is dropped if the address of the identity is unknown.
     pub fn send(&mut self, to: NodeId, message: ConsensusMessage) {
         self.send_frame(to, OneOfbody::consensus(message));
     }
 
-    /// Sends a frame; it is dropped if the address of the identity is not known.
+    /// Sends a frame. The frame is dropped if the address of the identity is unknown.
     pub fn send_frame(&mut self, to: NodeId, body: OneOfbody) {
         let Some(address) = self.addresses.get(&to).copied() else {
-            log::debug!("the address of core process {to:#x} is not known");
+            log::debug!("the address of core process {to:#x} is unknown");
             return;
         };
         self.open(address).link.push(body);
     }
 
-    /// Requests membership from the processes at these addresses.
+    /// Sends a request to join to the processes at these addresses.
     pub fn request_join(&mut self, contacts: &[SocketAddr]) {
         let join = Join { member: Some(member_to_wire(&self.own)) };
         self.send_to_addresses(contacts, &OneOfbody::join(join));
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Connects at once to the process at this address, which has just connected to this one: it can be reached.
+    /// Connects at once to the process at this address, without waiting for a backoff: that process has just
+    /// connected to this one and therefore runs.
     pub fn peer_started(&self, address: &str) {
         let connection = address.parse().ok().and_then(|address: SocketAddr| self.connections.get(&address));
         if let Some(connection) = connection {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The identities known at the other end of a connection.
+    /// The known identities at the other end of a connection.
     pub fn ids_of(&self, connection: ConnectionId) -> Vec<NodeId> {
         let found = self.connections.iter().find(|(_, open)| open.id == connection);
         let Some((address, _)) = found else {
@@ -117,11 +118,12 @@
         at_address.map(|(id, _)| *id).collect()
     }
 
-    /// Whether all frames were written to sockets.
+    /// Whether all queued frames were written to sockets.
     pub fn is_flushed(&self) -> bool {
         self.connections.values().all(|connection| connection.link.is_flushed())
     }
 
+    /// The connection to an address; opened if there is none.
     fn open(&mut self, address: SocketAddr) -> &PeerConnection {
         let (hello, events, next) = (&self.hello, &self.events, &mut self.next_connection);
         self.connections.entry(address).or_insert_with(|| {
--- a/crates/control/src/platform/mod.rs
+++ b/crates/control/src/platform/mod.rs
@@ -16,25 +16,25 @@
 use std::net::SocketAddrV4;
 use tokio::sync::mpsc::{unbounded_channel, Sender, UnboundedSender};
 
-/// Reads the list on request, one read at a time.
+/// Reads the list of instances on request, one read at a time.
 ///
-/// A read sends one event for each page, when it arrives, and ends with the last page or an error; it is ended early by
-/// the next read, by `stop` and by dropping the client. Events of a read that was ended early may still follow:
-/// `is_current` tells them apart.
+/// A read sends one event per page, as soon as the page arrives, and ends with the last page or an error. A
+/// read is cancelled by the next read, by `stop`, and by dropping the client. Events of a cancelled read may
+/// still arrive; `is_current` identifies them.
 pub struct PlatformClient {
     address: Option<SocketAddrV4>,
     discovery: String,
     rate_limiter: PageRateLimiter,
     newest_read: ReadId,
     is_reading: bool,
-    /// The reading thread, once the first read has started it.
+    /// Command channel of the reader thread; the first read starts that thread.
     commands: Option<UnboundedSender<Command>>,
     events: Sender<DriverEvent>,
     clock: Clock,
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn new(
         discovery: &str,
         address: Option<SocketAddrV4>,
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Sets where the list is read, as the settings say.
+    /// Sets the source of the list, as given in the settings.
     pub fn set_source(&mut self, discovery: &str, address: Option<SocketAddrV4>) {
         discovery.clone_into(&mut self.discovery);
         self.address = address;
     }
 
-    /// Sets how many calls a second the platform accepts from all callers together; 0 for no limit.
+    /// Sets the platform's rate limit in calls per second, for all callers together; 0 for no limit.
     pub fn set_rate(&mut self, rate_per_s: f64) {
         self.rate_limiter = PageRateLimiter::new(rate_per_s);
     }
 
-    /// Starts to read the complete list; its pages are sent as events. A read under way is ended.
+    /// Starts to read the complete list, whose pages are sent as events. Cancels a read in progress.
     pub fn read(&mut self) {
         self.newest_read += 1;
         self.is_reading = true;
@@ -77,7 +77,8 @@
         self.command(Command::Read(request));
     }
 
-    /// Ends the read under way and forgets the last list, so that the next one is sent as changed even if it is the same.
+    /// Cancels a read in progress and discards the last list, so that the next list is reported as changed
+    /// even if it is the same.
     pub fn stop(&mut self) {
         self.is_reading = false;
         if self.commands.is_some() {
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Whether events of this read are still wanted.
+    /// Whether events of this read are still needed.
     pub fn is_current(&self, read: ReadId) -> bool {
         self.is_reading && read == self.newest_read
     }
 
-    /// Sends a command to the reading thread, and starts one if there is none.
+    /// Sends a command to the reader thread; starts the thread if there is none.
     fn command(&mut self, command: Command) {
         let Err(command) = self.send(command) else { return };
         let (commands, received) = unbounded_channel();
@@ -101,13 +102,14 @@
             }
             Err(error) => {
                 let result = Err(PlatformError::Thread(error));
-                // If the driver's queue is full, the leader asks for the list again after a while.
+                // If the driver's queue is full, this event is lost; the leader requests the list again after
+                // a while.
                 let _ = self.events.try_send(DriverEvent::Instances { read: self.newest_read, result });
             }
         }
     }
 
-    /// Sends a command to the reading thread; gives it back if there is none.
+    /// Sends a command to the reader thread; returns the command if there is none.
     fn send(&self, command: Command) -> Result<(), Command> {
         match &self.commands {
             Some(commands) => commands.send(command).map_err(|unsent| unsent.0),
--- a/crates/control/src/platform/pages.rs
+++ b/crates/control/src/platform/pages.rs
@@ -1,6 +1,6 @@
-//! Pages of the platform's list: a page whose bytes have not changed is not parsed again.
+//! Pages of the platform's list. A page whose bytes have not changed is not parsed again.
 //!
-//! A list of a thousand workers is read every second and changes a few times an hour.
+//! A list of a thousand workers is read every second but changes only a few times an hour.
 
 use super::error::PlatformError;
 use bytes::Bytes;
@@ -10,16 +10,17 @@
 /// Identifies a read of the list.
 pub type ReadId = u64;
 
-/// A page of the list, handed to the driver when it arrives.
+/// A page of the list, which the driver gets as soon as it arrives.
 #[derive(Clone, Debug)]
 pub struct ListedPage {
-    /// Its instances, in the platform's order.
+    /// The instances of the page, in the platform's order.
     pub instances: Arc<[Instance]>,
-    /// When it was asked for, in nanoseconds of the process's clock: it shows the list as of then or later.
-    pub asked_at: u64,
-    /// Whether it differs from the page that the last complete read found in its place.
+    /// When the page was requested, in nanoseconds of the process's clock. The page shows the list as of this
+    /// time or later.
+    pub requested_at: u64,
+    /// Whether the page differs from the page at the same position in the last complete read.
     pub has_changed: bool,
-    /// On the last page of a list: all pages of the list, this one included.
+    /// Only on the last page: all pages of the list, including this one.
     pub complete_list: Option<Vec<Arc<[Instance]>>>,
 }
 
@@ -44,19 +45,19 @@
 }
 
 impl ListPages {
-    /// Starts to read the list once more.
+    /// Starts another read of the list.
     pub fn start_read(&self) -> ListRead {
         ListRead { previous: self.clone(), pages: Vec::with_capacity(self.pages.len()) }
     }
 }
 
 impl ListRead {
-    /// Adds the next page, which was asked for at `asked_at`.
+    /// Adds the next page, which was requested at `requested_at`.
     ///
     /// # Errors
     ///
-    /// Fails if the page or one of its entries cannot be read.
-    pub fn add_page(&mut self, body: Bytes, asked_at: u64) -> Result<ListedPage, PlatformError> {
+    /// Fails if the page or one of its entries cannot be parsed.
+    pub fn add_page(&mut self, body: Bytes, requested_at: u64) -> Result<ListedPage, PlatformError> {
         let earlier = self.previous.pages.get(self.pages.len()).filter(|earlier| earlier.body == body);
         let has_changed = earlier.is_none();
         let page = match earlier {
@@ -66,15 +67,15 @@
         let (instances, is_last) = (page.instances.clone(), page.next_token.is_none());
         self.pages.push(page);
         let complete_list = is_last.then(|| self.pages.iter().map(|page| page.instances.clone()).collect());
-        Ok(ListedPage { instances, asked_at, has_changed, complete_list })
+        Ok(ListedPage { instances, requested_at, has_changed, complete_list })
     }
 
-    /// The token of the page that follows the pages so far; `None` if there is none.
+    /// The token of the page after those read so far; `None` if there is no further page.
     pub fn next_token(&self) -> Option<&str> {
         self.pages.last()?.next_token.as_deref()
     }
 
-    /// The pages, to compare the next list with.
+    /// Returns the pages, for comparison with the next read.
     pub fn into_pages(self) -> ListPages {
         ListPages { pages: self.pages }
     }
--- a/crates/control/src/platform/reader.rs
+++ b/crates/control/src/platform/reader.rs
@@ -1,7 +1,8 @@
-//! The thread that reads the platform's list.
+//! The thread that reads the platform's list of instances.
 //!
-//! The list tells within `DrainMs` on which workers nothing more may be started, so that its calls may not wait among
-//! those to thousands of workers: they have a thread, a runtime and a connection of their own.
+//! Within `DrainMs`, the list tells on which workers nothing more may be started. Calls for the list must
+//! therefore not queue behind calls to thousands of workers; they have their own thread, runtime and
+//! connection.
 
 use super::error::{PlatformError, MAX_PAGES, PAGE_TIMEOUT};
 use super::pages::{ListPages, ListRead, ReadId};
@@ -25,25 +26,25 @@
 /// The only supported kind of discovery.
 pub const CLOUD_API: &str = "cloud_api";
 
-/// What the thread is to do. Each command ends the read before it.
+/// A command to the thread. Each command cancels the read before it.
 #[derive(Debug)]
 pub(super) enum Command {
     /// Read the complete list.
     Read(ReadRequest),
-    /// Read nothing, and forget the last list.
+    /// Stop reading and discard the last list.
     Stop,
 }
 
 /// A read of the complete list.
 #[derive(Debug)]
 pub(super) struct ReadRequest {
-    /// Identifies its events.
+    /// Identifies the events of this read.
     pub(super) id: ReadId,
-    /// What the settings name as the source of the list.
+    /// The source of the list, as named in the settings.
     pub(super) discovery: String,
-    /// Where the platform is.
+    /// The platform's address.
     pub(super) address: Option<SocketAddrV4>,
-    /// How fast pages may follow each other.
+    /// Limits the rate of page requests.
     pub(super) rate_limiter: PageRateLimiter,
 }
 
@@ -55,14 +56,14 @@
     connection: Option<(SocketAddrV4, HttpConnection)>,
 }
 
-/// The driver is gone.
+/// The driver has ended.
 struct Disconnected;
 
-/// Starts the thread, which ends once `commands` has no sender.
+/// Starts the thread, which ends once all senders of `commands` are dropped.
 ///
 /// # Errors
 ///
-/// Fails if the operating system cannot start a thread or lacks what the runtime needs.
+/// Fails if the operating system cannot start a thread or the runtime cannot be created.
 pub(super) fn start(
     commands: UnboundedReceiver<Command>,
     events: Sender<DriverEvent>,
@@ -71,13 +72,14 @@
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let run = move || {
         let reader = Reader { clock, events, last_list: ListPages::default(), connection: None };
-        LocalSet::new().block_on(&runtime, carry_out(commands, reader));
+        LocalSet::new().block_on(&runtime, run_commands(commands, reader));
     };
     thread::Builder::new().name("platform-reader".to_owned()).spawn(run)?;
     Ok(())
 }
 
-async fn carry_out(mut commands: UnboundedReceiver<Command>, mut reader: Reader) {
+/// Executes commands; a new command interrupts the read in progress.
+async fn run_commands(mut commands: UnboundedReceiver<Command>, mut reader: Reader) {
     let mut next = commands.recv().await;
     while let Some(command) = next {
         next = match command {
@@ -95,7 +97,7 @@
 }
 
 impl Reader {
-    /// Reads the list and sends each page when it arrives, or the error that ends the read.
+    /// Reads the list and sends each page as it arrives, or the error that ends the read.
     async fn read(&mut self, request: ReadRequest) {
         let mut list_read = self.last_list.start_read();
         match self.read_pages(&request, &mut list_read).await {
@@ -121,10 +123,10 @@
             if !delay.is_zero() {
                 sleep(delay).await;
             }
-            let asked_at = self.clock.now();
+            let requested_at = self.clock.now();
             let body = self.read_page(address, list_read.next_token());
             let body = timeout(PAGE_TIMEOUT, body).await.map_err(|_| PlatformError::Timeout)??;
-            let page = list_read.add_page(body, asked_at)?;
+            let page = list_read.add_page(body, requested_at)?;
             let is_last = page.complete_list.is_some();
             let event = DriverEvent::Instances { read: request.id, result: Ok(page) };
             if self.events.send(event).await.is_err() {
@@ -175,7 +177,7 @@
     Ok(request.body(Full::new(Bytes::new()))?)
 }
 
-/// Appends a value of a query, with all but unreserved characters percent-encoded (RFC 3986, section 2.3).
+/// Appends a query value. All bytes except unreserved characters are percent-encoded (RFC 3986, section 2.3).
 fn push_query_value(path: &mut String, value: &str) {
     for byte in value.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
--- a/crates/control/src/process.rs
+++ b/crates/control/src/process.rs
@@ -1,4 +1,5 @@
-//! Runs the control role as a process: its runtime, its listeners, and one driver after the other.
+//! Runs the control role as a process: its runtime, its listeners, and one driver after the other for its
+//! successive identities.
 
 use crate::clients::Clients;
 use crate::clock::Clock;
@@ -19,15 +20,15 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::timeout;
 
-/// How long callers of the operator's API may take to read their responses at shutdown.
+/// How long the shutdown waits for callers of the operator's API to read their responses.
 const API_CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs the control role in this process until the platform asks it to stop.
 ///
 /// # Errors
 ///
-/// Fails if the settings lack what the role needs, if an address cannot be bound, or if the store fails in a way that a
-/// retry does not repair. The platform is expected to start the process again.
+/// Fails if a required setting is missing, if an address cannot be bound, or if the store fails in a way that
+/// a retry does not fix. The platform is expected to start the process again.
 pub fn run(
     process: ProcessRuntime,
     settings: ProcessSettings,
@@ -38,11 +39,11 @@
     run_in(runtime, settings, settings_path, mechanisms, SignalSource::Process(signals))
 }
 
-/// As `run`, but with signals from a channel in place of the process's own.
+/// Like `run`, but receives signals from a channel instead of the operating system.
 ///
 /// # Errors
 ///
-/// As `run`.
+/// As for `run`.
 pub fn run_with_signals(
     settings: ProcessSettings,
     settings_path: PathBuf,
@@ -83,14 +84,14 @@
     let api = operator_api::serve(control.into(), sender.clone())?;
     tokio::spawn(transport::listener::accept(listener, sender.clone()));
     run_drivers(settings, &mut context).await?;
-    // The last replies may not have been written yet.
+    // The last replies may not have been written to their sockets yet.
     if timeout(API_CLOSE_TIMEOUT, api.close()).await.is_err() {
-        log::info!("callers of the operator's API were still connected at the end");
+        log::info!("callers of the operator's API were still connected at shutdown");
     }
     Ok(())
 }
 
-/// Runs a driver for each identity that this process has, until the process is to stop.
+/// Runs a driver for each successive identity of this process, until the process must stop.
 async fn run_drivers(
     mut settings: ProcessSettings,
     context: &mut ProcessContext,
@@ -105,21 +106,21 @@
             DriverExit::Stopped => return Ok(()),
             DriverExit::Failed(error) => return Err(error),
             DriverExit::Removed => {
-                log::warn!("the group has removed this process: it clears its disk and joins again");
+                log::warn!("the group has removed this process: clearing its disk and joining again");
                 DiskPreparation::Clear
             }
-            DriverExit::Founds { id, membership } => {
-                log::warn!("founds a group as {id:#x} by agreement of the seeds: none has found one");
-                DiskPreparation::Found { id, membership }
+            DriverExit::FoundGroup { id, membership } => {
+                log::warn!("founding a group as {id:#x} by agreement of the seeds: no seed has found an existing one");
+                DiskPreparation::WriteFirstLog { id, membership }
             }
         };
         (settings, clients) = driver.into_parts();
-        // The group exists: a process that starts with an empty disk now joins it.
+        // The group exists now: a process that starts with an empty disk from here on joins it.
         settings.bootstrap = false;
     }
 }
 
-/// Sends signals to the driver until there are no more, or until the driver is gone.
+/// Forwards signals to the driver until no more can arrive or the driver has ended.
 async fn forward_signals(mut signals: SignalSource, events: mpsc::Sender<DriverEvent>) {
     while let Some(signal) = signals.recv().await {
         if events.send(DriverEvent::Signal(signal)).await.is_err() {
--- a/crates/control/src/punctual_timeout.rs
+++ b/crates/control/src/punctual_timeout.rs
@@ -1,4 +1,4 @@
-//! Time limits that pass only while this process is in time.
+//! Timeouts that start again if this process was stalled while they ran.
 
 use std::future::Future;
 use std::pin::pin;
@@ -6,18 +6,19 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{timeout, Instant};
 
-/// A timer that fires later than this after it is due shows that this process was late.
+/// If a timer fires more than this after it was due, the process was stalled.
 const LATENESS_TOLERANCE: Duration = Duration::from_millis(10);
-/// How often a limit begins anew at most: a process that is always late still comes to an end.
+/// Maximum number of times that a timeout starts again, so that it ends even in a process that is always
+/// stalled.
 const MAX_RESTARTS: usize = 4;
 
-/// Waits for `future` for at most `limit`. A limit that passed while this process was late begins anew: what the future
-/// waits for may have arrived meanwhile without being read.
+/// Waits for `future` for at most `limit`. If the process was stalled when the limit passed, the limit starts
+/// again, because the awaited event may have arrived without being read.
 ///
 /// # Errors
 ///
-/// Fails if the limit passed before the future was ready.
-pub async fn punctual_timeout<F: Future>(limit: Duration, future: F) -> Result<F::Output, Elapsed> {
+/// Fails if the limit passed before the future completed.
+pub async fn stall_tolerant_timeout<F: Future>(limit: Duration, future: F) -> Result<F::Output, Elapsed> {
     let mut future = pin!(future);
     for _ in 0..MAX_RESTARTS {
         let began = Instant::now();
--- a/crates/control/src/relay/agent.rs
+++ b/crates/control/src/relay/agent.rs
@@ -1,4 +1,4 @@
-//! The relay's side: takes batches of calls from a leader and reports their outcomes.
+//! The relay's side: receives batches of calls from a leader and reports their outcomes.
 
 use super::wire::{call_from_wire, call_id_from_wire, outcome_to_wire};
 use crate::worker_calls::WorkerCall;
@@ -7,10 +7,10 @@
 use scheduler::leader::CallId;
 use scheduler::worker::CallOutcome;
 
-/// What the driver is to do with its connections to workers.
+/// An action of the driver on its connections to workers.
 #[derive(Debug)]
 pub enum AgentAction {
-    /// All calls made so far belong to a session that has ended.
+    /// Abandon all calls made so far: their session has ended.
     AbandonCalls,
     /// Make this call.
     Start(WorkerCall),
@@ -18,16 +18,20 @@
     Cancel(CallId),
 }
 
-/// The session with the leader whose calls are made.
+/// The session with the leader that this process makes calls for.
 #[derive(Debug)]
 struct Session {
     leader: NodeId,
     term: u64,
     number: u64,
+    /// Number of the newest received batch.
     last_batch: u64,
+    /// Number of the last sent report.
     last_report: u64,
+    /// Whether a batch of this session was missed; no further call is then accepted.
     has_lost_batches: bool,
     is_report_due: bool,
+    /// Outcomes for the next report.
     outcomes: Vec<RelayedOutcome>,
 }
 
@@ -39,13 +43,14 @@
 }
 
 impl RelayAgent {
-    /// No session yet.
+    /// Creates an agent without a session.
     pub fn new(own_id: NodeId) -> Self {
         RelayAgent { own_id, session: None }
     }
 
-    /// Takes a batch at a process that knows of `own_term`.
-    pub fn take_batch(&mut self, own_term: u64, batch: WorkerCallBatch) -> Vec<AgentAction> {
+    /// Accepts a batch. `own_term` is the newest term that this process knows; batches of an older term or
+    /// session are ignored.
+    pub fn receive_batch(&mut self, own_term: u64, batch: WorkerCallBatch) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         let offered = (batch.term, batch.session);
         let current = self.session.as_ref().map(|session| (session.term, session.number));
@@ -56,7 +61,7 @@
             if self.session.is_some() {
                 actions.push(AgentAction::AbandonCalls);
             }
-            self.session = Some(Session::of(&batch));
+            self.session = Some(Session::from_first_batch(&batch));
         }
         let Some(session) = &mut self.session else { return actions };
         session.is_report_due = true;
@@ -70,7 +75,8 @@
         actions
     }
 
-    /// Ends the session if its leader has been replaced, or leads here. True if calls have to be abandoned.
+    /// Ends the session if a term newer than the session's is known (`own_term`): its leader was replaced,
+    /// possibly by this process. Returns true if the session's calls must be abandoned.
     pub fn end_session_before(&mut self, own_term: u64) -> bool {
         let is_old = self.session.as_ref().is_some_and(|session| session.term < own_term);
         if is_old {
@@ -79,7 +85,7 @@
         is_old
     }
 
-    /// A call has ended.
+    /// Adds the outcome of a finished call to the next report.
     pub fn call_finished(&mut self, call: CallId, outcome: CallOutcome) {
         if let Some(session) = &mut self.session {
             session.outcomes.push(outcome_to_wire(call, outcome));
@@ -87,12 +93,13 @@
         }
     }
 
-    /// Whether a report is to be sent.
+    /// Whether a report must be sent.
     pub fn is_report_due(&self) -> bool {
         self.session.as_ref().is_some_and(|session| session.is_report_due)
     }
 
-    /// The report that is due, and the leader that gets it. `clock` is the steady clock now.
+    /// Takes the due report, together with the leader that receives it. `clock` is the current reading of the
+    /// steady clock.
     pub fn take_report(&mut self, clock: u64) -> Option<(NodeId, RelayReport)> {
         let own_id = self.own_id;
         let session = self.session.as_mut().filter(|session| session.is_report_due)?;
@@ -113,7 +120,7 @@
 }
 
 impl Session {
-    fn of(batch: &WorkerCallBatch) -> Self {
+    fn from_first_batch(batch: &WorkerCallBatch) -> Self {
         Session {
             leader: batch.from,
             term: batch.term,
--- a/crates/control/src/relay/mod.rs
+++ b/crates/control/src/relay/mod.rs
@@ -1,19 +1,24 @@
-//! Relays: core processes that make calls to workers for the leader, which decides on them.
+//! Relays: core processes that make calls to workers on behalf of the leader, which decides on the calls.
 //!
-//! A leader of many workers would spend a third of its processor time on connections, requests and answers, while the
-//! processors of the other core machines are idle. It therefore sends calls to them in batches and gets outcomes back.
+//! A leader of many workers would spend a third of its CPU time on connections, requests and answers, while
+//! the CPUs of the other core machines are idle. The leader therefore sends calls to these machines in
+//! batches and receives outcomes.
 //!
-//! `CallRouter` is the leader's side, `RelayAgent` the other one. Neither does input or output or reads a clock.
+//! `CallRouter` is the leader's side, `RelayAgent` the relay's side. Neither does input or output or reads a
+//! clock.
 //!
-//! What keeps it safe:
+//! Safety rules:
 //!
-//! - A worker is called by one machine at a time. When that machine changes, the fencing token of its calls rises
-//!   (`FencingTokens`), so that the worker rejects what the former one still has under way.
-//! - A call does not leave a relay after the leader's lease has ended, nor a start after the knowledge it rests on is too
-//!   old. Both limits are given by the relay's steady clock as its last report showed it, hence never too late.
-//! - Batches and reports are numbered within a session. What is lost ends the session, and then the outcomes of its calls
-//!   are unknown (`CallOutcome::Interrupted`).
-//! - A relay drops the calls of a session when a newer one begins, and takes no batch of an older session or term.
+//! - Only one machine at a time calls a worker. When that machine changes, the fencing token of the worker's
+//!   calls rises (`fencing_token`), so that the worker rejects calls of the previous machine that are still
+//!   in flight.
+//! - A relay sends no call after the leader's lease has ended, and no start after the information behind the
+//!   start is too old. Both deadlines are given in the relay's steady clock as its last report showed it, so
+//!   that they are never too late.
+//! - Batches and reports are numbered within a session. A lost batch or report ends the session; the outcomes
+//!   of its calls are then unknown (`CallOutcome::Interrupted`).
+//! - A relay abandons the calls of a session when a newer one begins, and ignores batches of an older session
+//!   or term.
 
 mod agent;
 mod fencing_token;
@@ -24,4 +29,4 @@
 pub use agent::{AgentAction, RelayAgent};
 pub use fencing_token::fencing_token;
 pub use router::{CallRouter, Cancellation, MIN_RELAYED_WORKERS};
-pub use session::RELAY_TIMEOUT;
+pub use session::RELAY_TIMEOUT_NS;
--- a/crates/control/src/relay/router.rs
+++ b/crates/control/src/relay/router.rs
@@ -1,4 +1,4 @@
-//! The leader's choice of the machine that calls a worker, and the calls that relays make for it.
+//! The leader's side: chooses the machine that calls each worker, and tracks the calls in flight.
 
 use super::fencing_token::{fencing_token, MAX_ROUTE_CHANGES};
 use super::session::{RelaySession, ReportCheck};
@@ -11,88 +11,90 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A leader calls as many workers itself: for so few, the way over a relay costs more than it saves.
+/// A leader with fewer workers than this calls them itself: relaying would cost more than it saves.
 pub const MIN_RELAYED_WORKERS: usize = 500;
 
-/// An outcome for the leader.
+/// A finished call and its outcome, for the leader.
 pub type FinishedCall = (CallId, CallOutcome);
 
-/// Who makes the calls to a worker.
+/// The process that makes the calls to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Carrier {
+enum Caller {
     /// This process.
     Leader,
     /// Another core process.
     Relay(NodeId),
 }
 
-/// The way to one worker.
+/// The route to one worker.
 #[derive(Debug, Clone, Copy)]
 struct Route {
-    carrier: Carrier,
-    /// How often the carrier has changed in this term.
+    caller: Caller,
+    /// Number of changes of the caller in this term.
     changes: u64,
-    /// Starts and stops in flight.
+    /// Number of orders (starts and stops) in flight.
     orders: usize,
 }
 
-/// A call without an outcome.
+/// A call whose outcome is not known yet.
 #[derive(Debug, Clone, Copy)]
 struct InFlightCall {
-    carrier: Carrier,
+    caller: Caller,
     fencing_token: u64,
+    /// Whether the call is a start or a stop.
     is_order: bool,
 }
 
-/// Whom a cancellation concerns.
+/// Where a cancelled call is being made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cancellation {
     /// This process makes the call and must cancel it.
-    Here,
-    /// A relay is told with the next batch, or nobody has the call any more.
-    Elsewhere,
+    Local,
+    /// The next batch tells the relay that makes the call, or no process has the call any more.
+    Remote,
 }
 
-/// Routes of a leader's calls. Without a term it routes nothing. Times are nanoseconds of the steady clock.
+/// Routes a leader's calls. Used only after `begin_term`. Times are nanoseconds of the steady clock.
 #[derive(Debug, Default)]
 pub struct CallRouter {
     own_id: NodeId,
     term: u64,
     min_relayed_workers: usize,
-    /// Workers that the leader knew when its term began.
+    /// Number of workers that the leader knew when its term began.
     initial_workers: usize,
     relays: BTreeMap<NodeId, RelaySession>,
-    /// By the leader's number of the worker.
+    /// Routes by the leader's number of the worker.
     routes: HashMap<u64, Route>,
     in_flight: HashMap<CallId, InFlightCall>,
 }
 
 impl CallRouter {
-    /// The router of this process, which calls `min_relayed_workers` itself.
+    /// Creates the router of process `own_id`, which uses relays from `min_relayed_workers` workers on.
     pub fn new(own_id: NodeId, min_relayed_workers: usize) -> Self {
         CallRouter { own_id, min_relayed_workers, ..CallRouter::default() }
     }
 
-    /// This process leads `term` and knows so many workers.
+    /// Starts `term`, which this process leads with `workers` known workers.
     pub fn begin_term(&mut self, term: u64, workers: usize) {
         self.end_term();
         self.term = term;
         self.initial_workers = workers;
     }
 
-    /// This process leads no longer: the outcomes of all calls are ignored.
+    /// Ends the term: this process no longer leads, and the outcomes of all calls are ignored.
     pub fn end_term(&mut self) {
         self.relays.clear();
         self.routes.clear();
         self.in_flight.clear();
     }
 
-    /// The members of the group: all but this one are relays. Gives the calls of those that are gone.
+    /// Sets the members of the group; all except this process are relays. Returns the interrupted calls of
+    /// removed relays.
     pub fn set_members(&mut self, now: u64, members: &[NodeId]) -> Vec<FinishedCall> {
-        let gone: Vec<NodeId> = self.relays.keys().filter(|id| !members.contains(id)).copied().collect();
+        let removed: Vec<NodeId> = self.relays.keys().filter(|id| !members.contains(id)).copied().collect();
         let mut interrupted = Vec::new();
-        for id in gone {
-            interrupted.extend(self.relay_lost(now, id));
+        for id in removed {
+            interrupted.extend(self.handle_relay_loss(now, id));
             self.relays.remove(&id);
         }
         for id in members.iter().filter(|id| **id != self.own_id) {
@@ -101,85 +103,88 @@
         interrupted
     }
 
-    /// Relays that take calls.
+    /// Number of relays that accept calls.
     pub fn ready_relays(&self) -> usize {
         self.relays.values().filter(|relay| relay.is_ready()).count()
     }
 
-    /// Calls that relays make.
+    /// Number of calls in flight at relays.
     pub fn relayed_calls(&self) -> usize {
-        self.in_flight.values().filter(|call| call.carrier != Carrier::Leader).count()
+        self.in_flight.values().filter(|call| call.caller != Caller::Leader).count()
     }
 
-    /// Routes a call, which may leave until `lease_until`. Gives it back, with its fencing token, if this process has to
-    /// make it; otherwise it goes with the next batch to its relay.
+    /// Routes a call, which may be sent until `lease_until`. Returns the call with its fencing token if this
+    /// process must make it. Otherwise the next batch carries the call to its relay, and the result is
+    /// `None`.
     pub fn route(&mut self, mut call: WorkerCall, lease_until: u64) -> Option<WorkerCall> {
-        let (carrier, changes) = self.carrier_for(&call);
+        let (caller, changes) = self.caller_for(&call);
         let token = fencing_token(self.term, changes);
         call.request.set_fencing_token(token);
         let is_order = !matches!(call.request, WorkerRequest::RenewLease { .. });
         if let Some(route) = self.routes.get_mut(&call.call.worker).filter(|_| is_order) {
             route.orders += 1;
         }
-        self.in_flight.insert(call.call, InFlightCall { carrier, fencing_token: token, is_order });
-        let Carrier::Relay(relay) = carrier else { return Some(call) };
+        self.in_flight.insert(call.call, InFlightCall { caller, fencing_token: token, is_order });
+        let Caller::Relay(relay) = caller else { return Some(call) };
         if let Some(session) = self.relays.get_mut(&relay) {
-            let limit = call.leave_by.map_or(lease_until, |expiry| expiry.min(lease_until));
-            call.leave_by = Some(session.leave_by(limit));
+            let limit = call.send_deadline.map_or(lease_until, |expiry| expiry.min(lease_until));
+            call.send_deadline = Some(session.send_deadline(limit));
             session.push(call);
         }
         None
     }
 
-    /// The machine that is to make a call now, and how often it has changed. It stays the same while orders are in
-    /// flight, unless it is lost.
-    fn carrier_for(&mut self, call: &WorkerCall) -> (Carrier, u64) {
-        let wanted = self.wanted_carrier(&call.address);
+    /// The process that makes a call now, and how often that process has changed. The process stays the same
+    /// while orders are in flight, unless it is a lost relay.
+    fn caller_for(&mut self, call: &WorkerCall) -> (Caller, u64) {
+        let wanted = self.preferred_caller(&call.address);
         let route =
-            self.routes.entry(call.call.worker).or_insert(Route { carrier: wanted, changes: 0, orders: 0 });
-        let is_lost = match route.carrier {
-            Carrier::Leader => false,
-            Carrier::Relay(id) => !self.relays.get(&id).is_some_and(RelaySession::is_ready),
+            self.routes.entry(call.call.worker).or_insert(Route { caller: wanted, changes: 0, orders: 0 });
+        let is_lost = match route.caller {
+            Caller::Leader => false,
+            Caller::Relay(id) => !self.relays.get(&id).is_some_and(RelaySession::is_ready),
         };
         let may_change = (is_lost || route.orders == 0) && route.changes < MAX_ROUTE_CHANGES;
-        if route.carrier != wanted && may_change {
-            route.carrier = wanted;
+        if route.caller != wanted && may_change {
+            route.caller = wanted;
             route.changes += 1;
         }
-        (route.carrier, route.changes)
+        (route.caller, route.changes)
     }
 
-    /// The relay with the highest weight for this worker: the loss of one moves the routes over it alone.
-    fn wanted_carrier(&self, address: &str) -> Carrier {
+    /// The relay with the highest weight for this worker. The loss of a relay therefore moves only the routes
+    /// over that relay.
+    fn preferred_caller(&self, address: &str) -> Caller {
         if !self.uses_relays() {
-            return Carrier::Leader;
+            return Caller::Leader;
         }
         let ready = self.relays.iter().filter(|(_, relay)| relay.is_ready()).map(|(id, _)| *id);
-        ready.max_by_key(|id| (weight(address, *id), *id)).map_or(Carrier::Leader, Carrier::Relay)
+        ready.max_by_key(|id| (weight(address, *id), *id)).map_or(Caller::Leader, Caller::Relay)
     }
 
-    /// Whether there are so many workers that relays call them.
+    /// Whether there are enough workers to use relays.
     fn uses_relays(&self) -> bool {
         self.routes.len().max(self.initial_workers) >= self.min_relayed_workers
     }
 
-    /// A call is no longer needed.
+    /// Cancels a call that is no longer needed.
     pub fn cancel(&mut self, call: CallId) -> Cancellation {
-        match self.remove(call).map(|in_flight| in_flight.carrier) {
-            Some(Carrier::Leader) => Cancellation::Here,
-            Some(Carrier::Relay(id)) => {
+        match self.remove(call).map(|in_flight| in_flight.caller) {
+            Some(Caller::Leader) => Cancellation::Local,
+            Some(Caller::Relay(id)) => {
                 if let Some(relay) = self.relays.get_mut(&id) {
                     relay.cancel(call);
                 }
-                Cancellation::Elsewhere
+                Cancellation::Remote
             }
-            None => Cancellation::Elsewhere,
+            None => Cancellation::Remote,
         }
     }
 
-    /// What the outcome of a call that this process made means for the leader; `None` if the call is no longer known.
-    pub fn finished_here(&mut self, call: CallId, outcome: CallOutcome) -> Option<CallOutcome> {
-        let known = self.in_flight.get(&call).is_some_and(|in_flight| in_flight.carrier == Carrier::Leader);
+    /// Handles the end of a call that this process made. Returns the outcome for the leader; `None` if the
+    /// call is unknown.
+    pub fn finish_local_call(&mut self, call: CallId, outcome: CallOutcome) -> Option<CallOutcome> {
+        let known = self.in_flight.get(&call).is_some_and(|in_flight| in_flight.caller == Caller::Leader);
         if !known {
             return None;
         }
@@ -191,7 +196,7 @@
         let current =
             self.routes.get(&call.worker).map_or(0, |route| fencing_token(self.term, route.changes));
         let is_stale = matches!(outcome, CallOutcome::Refused { reason: Refusal::StaleFencingToken, .. });
-        // The worker has seen the token of its new route, which is this leader's own.
+        // The worker has seen the token of its newer route, which belongs to this same leader.
         Some(if is_stale && in_flight.fencing_token < current { CallOutcome::Interrupted } else { outcome })
     }
 
@@ -203,7 +208,7 @@
         Some(in_flight)
     }
 
-    /// The batches that are due, with their relays.
+    /// Takes the due batches, each with its relay.
     pub fn take_batches(&mut self, now: u64) -> Vec<(NodeId, WorkerCallBatch)> {
         if !self.uses_relays() {
             return Vec::new();
@@ -215,22 +220,22 @@
             .collect()
     }
 
-    /// Takes a relay's report. Gives the outcomes for the leader.
-    pub fn take_report(&mut self, now: u64, report: RelayReport) -> Vec<FinishedCall> {
+    /// Handles a relay's report. Returns the finished calls for the leader.
+    pub fn receive_report(&mut self, now: u64, report: RelayReport) -> Vec<FinishedCall> {
         if report.term != self.term {
             return Vec::new();
         }
         let Some(relay) = self.relays.get_mut(&report.from) else { return Vec::new() };
-        match relay.take_report(now, &report) {
-            ReportCheck::Foreign => return Vec::new(),
-            ReportCheck::Gap => return self.relay_lost(now, report.from),
+        match relay.receive_report(now, &report) {
+            ReportCheck::OtherSession => return Vec::new(),
+            ReportCheck::Gap => return self.handle_relay_loss(now, report.from),
             ReportCheck::Expected => {}
         }
-        let carrier = Carrier::Relay(report.from);
+        let caller = Caller::Relay(report.from);
         let mut finished = Vec::with_capacity(report.outcomes.len());
         for outcome in report.outcomes {
             let Some((call, outcome)) = outcome_from_wire(outcome) else { continue };
-            if self.in_flight.get(&call).is_none_or(|in_flight| in_flight.carrier != carrier) {
+            if self.in_flight.get(&call).is_none_or(|in_flight| in_flight.caller != caller) {
                 continue;
             }
             finished.extend(self.finish(call, outcome).map(|outcome| (call, outcome)));
@@ -238,12 +243,13 @@
         finished
     }
 
-    /// A relay is lost, or cannot be reached. Gives the calls whose outcomes are unknown now.
-    pub fn relay_lost(&mut self, now: u64, id: NodeId) -> Vec<FinishedCall> {
+    /// Ends the session with a relay that is lost or unreachable. Returns its calls, whose outcomes are now
+    /// unknown.
+    pub fn handle_relay_loss(&mut self, now: u64, id: NodeId) -> Vec<FinishedCall> {
         let Some(relay) = self.relays.get_mut(&id).filter(|relay| relay.is_open()) else { return Vec::new() };
         let was_ready = relay.is_ready();
-        relay.lose(now);
-        let calls = self.in_flight.iter().filter(|(_, in_flight)| in_flight.carrier == Carrier::Relay(id));
+        relay.end(now);
+        let calls = self.in_flight.iter().filter(|(_, in_flight)| in_flight.caller == Caller::Relay(id));
         let mut calls: Vec<CallId> = calls.map(|(call, _)| *call).collect();
         calls.sort_unstable();
         for call in &calls {
@@ -255,21 +261,23 @@
         calls.into_iter().map(|call| (call, CallOutcome::Interrupted)).collect()
     }
 
-    /// Everything that arrived before `read_until` was handed in: relays whose report should have come by then are lost.
-    pub fn judge_relays(&mut self, now: u64, read_until: u64) -> Vec<FinishedCall> {
+    /// Ends the sessions of relays whose reports are overdue. Everything that arrived before `read_until` has
+    /// been handled, so a report due by then is missing. Returns the interrupted calls.
+    pub fn expire_overdue_relays(&mut self, now: u64, read_until: u64) -> Vec<FinishedCall> {
         let is_overdue = |relay: &RelaySession| relay.overdue_at().is_some_and(|at| at <= read_until);
         let overdue = self.relays.iter().filter(|(_, relay)| is_overdue(relay)).map(|(id, _)| *id);
         let overdue: Vec<NodeId> = overdue.collect();
-        overdue.into_iter().flat_map(|id| self.relay_lost(now, id)).collect()
+        overdue.into_iter().flat_map(|id| self.handle_relay_loss(now, id)).collect()
     }
 
-    /// Whether a report is overdue but may have arrived: `judge_relays` is to be called once input has been read.
+    /// Whether a report is overdue but may have arrived unread: `expire_overdue_relays` must be called once
+    /// the input has been read.
     pub fn awaits_input(&self, now: u64) -> bool {
         self.relays.values().filter_map(RelaySession::overdue_at).any(|at| at <= now)
     }
 
-    /// When `take_batches` or `judge_relays` has something to do, if nothing else happens before. What waits for input to be
-    /// read has no time.
+    /// When `take_batches` or `expire_overdue_relays` is next due, if nothing else happens before. Relays
+    /// that are overdue already are left out, because they wait for input to be read.
     pub fn next_timer(&self, now: u64) -> u64 {
         if !self.uses_relays() {
             return u64::MAX;
@@ -281,7 +289,8 @@
     }
 }
 
-/// The weight of a relay for a worker, the same at every leader, so that connections stay of use.
+/// The weight of a relay for a worker. Every leader computes the same weight, so that a relay's connections
+/// stay useful after a change of leaders.
 fn weight(address: &str, relay: NodeId) -> u64 {
     let mut hasher = DefaultHasher::new();
     (address, relay).hash(&mut hasher);
--- a/crates/control/src/relay/session.rs
+++ b/crates/control/src/relay/session.rs
@@ -8,48 +8,51 @@
 use scheduler::leader::CallId;
 use std::collections::VecDeque;
 
-/// A relay that has not reported a batch for this long, of input that the leader has read, is taken for lost.
-pub const RELAY_TIMEOUT: u64 = 400 * MILLISECOND;
-/// While calls are in flight, a relay gets a batch at least this often, in nanoseconds.
-const KEEPALIVE_INTERVAL: u64 = 100 * MILLISECOND;
-/// The same while no calls are in flight, so that the relay's clock stays known.
-const IDLE_KEEPALIVE_INTERVAL: u64 = 1_000 * MILLISECOND;
-/// Time until the next session after one that was lost, in nanoseconds; it doubles with each one that was never used.
-const MIN_BACKOFF: u64 = 250 * MILLISECOND;
-/// The longest such time, in nanoseconds.
-const MAX_BACKOFF: u64 = 4_000 * MILLISECOND;
-/// The rates of two steady clocks differ by this part at most.
+/// A relay is lost if it has not reported a batch for this long, counting only input that the leader has
+/// read.
+pub const RELAY_TIMEOUT_NS: u64 = 400 * MILLISECOND;
+/// Maximum time between two batches to a relay while calls are in flight.
+const KEEPALIVE_INTERVAL_NS: u64 = 100 * MILLISECOND;
+/// Maximum time between two batches while no calls are in flight, so that the reading of the relay's clock
+/// stays recent.
+const IDLE_KEEPALIVE_INTERVAL_NS: u64 = 1_000 * MILLISECOND;
+/// Delay before the next session after a lost one. The delay doubles with each session that got no report.
+const MIN_BACKOFF_NS: u64 = 250 * MILLISECOND;
+/// Maximum delay before the next session.
+const MAX_BACKOFF_NS: u64 = 4_000 * MILLISECOND;
+/// The rates of two steady clocks differ by at most one part in this number.
 const DRIFT_DIVISOR: u64 = 50;
 
-/// Whether the relay takes calls.
+/// State of the session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Status {
-    /// The session begins at this time.
-    Waiting { until: u64 },
-    /// The first batch was sent and is not answered yet.
+    /// No session; the next one begins at `until`.
+    Backoff { until: u64 },
+    /// The first batch was sent and has not been answered.
     Opening,
-    /// The relay has answered.
+    /// The relay has answered and accepts calls.
     Ready,
 }
 
-/// What a report showed of the relay's steady clock.
+/// A reading of the relay's steady clock, taken from a report.
 #[derive(Debug, Clone, Copy)]
 struct ClockReading {
-    /// The relay's clock.
+    /// Value of the relay's clock.
     relay: u64,
-    /// When the report was read, by the leader's clock: not before the relay's clock showed that.
+    /// When the leader read the report, by the leader's clock. The relay's clock showed that value at this
+    /// time or earlier.
     read_at: u64,
 }
 
-/// A batch that no report has answered.
+/// A batch that no report has acknowledged.
 #[derive(Debug, Clone, Copy)]
 struct PendingBatch {
     number: u64,
     sent_at: u64,
 }
 
-/// The leader's session with one relay, and the calls for its next batch. Times are nanoseconds of the leader's steady
-/// clock.
+/// The leader's session with one relay, and the calls for the next batch. Times are nanoseconds of the
+/// leader's steady clock.
 #[derive(Debug)]
 pub(super) struct RelaySession {
     number: u64,
@@ -65,12 +68,12 @@
 }
 
 impl RelaySession {
-    /// The first session begins at once.
+    /// Creates the state for a relay whose first session begins at once.
     pub(super) fn new(now: u64) -> Self {
         RelaySession {
             number: 0,
-            status: Status::Waiting { until: now },
-            backoff: MIN_BACKOFF,
+            status: Status::Backoff { until: now },
+            backoff: MIN_BACKOFF_NS,
             last_batch: 0,
             last_report: 0,
             pending: VecDeque::new(),
@@ -81,13 +84,14 @@
         }
     }
 
-    /// Whether the relay takes calls.
+    /// Whether the relay accepts calls.
     pub(super) fn is_ready(&self) -> bool {
         self.status == Status::Ready
     }
 
-    /// The moment of the relay's clock that is not after `limit` of this machine's clock, whatever either clock's rate.
-    pub(super) fn leave_by(&self, limit: u64) -> u64 {
+    /// Converts `limit` of this machine's clock to a time of the relay's clock that is never later, whatever
+    /// the rates of the two clocks within `DRIFT_DIVISOR`. Returns 0 if the relay's clock is unknown.
+    pub(super) fn send_deadline(&self, limit: u64) -> u64 {
         let Some(reading) = self.clock else { return 0 };
         let left = limit.saturating_sub(reading.read_at);
         reading.relay.saturating_add(left - left / DRIFT_DIVISOR)
@@ -98,7 +102,8 @@
         self.calls.push(call);
     }
 
-    /// Adds a cancellation to the next batch; a call that has not left yet never does.
+    /// Cancels a call: removes it if it still waits for the next batch, otherwise adds a cancellation to that
+    /// batch.
     pub(super) fn cancel(&mut self, call: CallId) {
         match self.calls.iter().position(|waiting| waiting.call == call) {
             Some(position) => drop(self.calls.remove(position)),
@@ -106,7 +111,8 @@
         }
     }
 
-    /// The batch that is due: the first one of a session, one with calls, or one that asks whether the relay is there.
+    /// Takes the due batch: the first batch of a session, a batch with calls or cancellations, or an empty
+    /// keepalive batch.
     pub(super) fn take_batch(
         &mut self,
         now: u64,
@@ -115,8 +121,8 @@
         has_calls: bool,
     ) -> Option<WorkerCallBatch> {
         match self.status {
-            Status::Waiting { until } if until <= now => self.open(),
-            Status::Waiting { .. } | Status::Opening => return None,
+            Status::Backoff { until } if until <= now => self.open(),
+            Status::Backoff { .. } | Status::Opening => return None,
             Status::Ready => {
                 let is_empty = self.calls.is_empty() && self.cancelled.is_empty();
                 if is_empty && !(self.pending.is_empty() && now >= self.keepalive_at(has_calls)) {
@@ -146,18 +152,18 @@
         self.clock = None;
     }
 
-    /// Takes the head of a report. False if it is of another session, or if one before it was lost.
-    pub(super) fn take_report(&mut self, now: u64, report: &RelayReport) -> ReportCheck {
-        let is_open = !matches!(self.status, Status::Waiting { .. });
+    /// Checks a report's session and number, and updates the session if the report is the expected one.
+    pub(super) fn receive_report(&mut self, now: u64, report: &RelayReport) -> ReportCheck {
+        let is_open = !matches!(self.status, Status::Backoff { .. });
         if !is_open || report.session != self.number {
-            return ReportCheck::Foreign;
+            return ReportCheck::OtherSession;
         }
         if report.lost_batches || report.number != self.last_report + 1 {
             return ReportCheck::Gap;
         }
         self.last_report = report.number;
         self.status = Status::Ready;
-        self.backoff = MIN_BACKOFF;
+        self.backoff = MIN_BACKOFF_NS;
         self.clock = Some(ClockReading { relay: report.clock, read_at: now });
         while self.pending.front().is_some_and(|batch| batch.number <= report.received) {
             self.pending.pop_front();
@@ -165,46 +171,46 @@
         ReportCheck::Expected
     }
 
-    /// Ends the session. The next one begins after a while.
-    pub(super) fn lose(&mut self, now: u64) {
-        self.status = Status::Waiting { until: now + self.backoff };
-        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+    /// Ends the session. The next one begins after the backoff.
+    pub(super) fn end(&mut self, now: u64) {
+        self.status = Status::Backoff { until: now + self.backoff };
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF_NS);
         self.calls.clear();
         self.cancelled.clear();
         self.pending.clear();
     }
 
-    /// Whether a session is under way.
+    /// Whether a session is open.
     pub(super) fn is_open(&self) -> bool {
-        !matches!(self.status, Status::Waiting { .. })
+        !matches!(self.status, Status::Backoff { .. })
     }
 
-    /// When the oldest batch without a report is overdue.
+    /// When the report for the oldest pending batch becomes overdue.
     pub(super) fn overdue_at(&self) -> Option<u64> {
-        self.pending.front().map(|batch| batch.sent_at + RELAY_TIMEOUT)
+        self.pending.front().map(|batch| batch.sent_at + RELAY_TIMEOUT_NS)
     }
 
-    /// When a batch is due if no call comes.
+    /// When the next batch is due if no call arrives before.
     pub(super) fn next_batch_at(&self, has_calls: bool) -> Option<u64> {
         match self.status {
-            Status::Waiting { until } => Some(until),
+            Status::Backoff { until } => Some(until),
             Status::Ready if self.pending.is_empty() => Some(self.keepalive_at(has_calls)),
             Status::Opening | Status::Ready => None,
         }
     }
 
     fn keepalive_at(&self, has_calls: bool) -> u64 {
-        self.sent_at + if has_calls { KEEPALIVE_INTERVAL } else { IDLE_KEEPALIVE_INTERVAL }
+        self.sent_at + if has_calls { KEEPALIVE_INTERVAL_NS } else { IDLE_KEEPALIVE_INTERVAL_NS }
     }
 }
 
 /// How a report relates to the session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportCheck {
-    /// It is the next one.
+    /// The report is the next one of this session.
     Expected,
-    /// It is of another session.
-    Foreign,
+    /// The report belongs to another session.
+    OtherSession,
     /// A report or a batch of this session was lost.
     Gap,
 }
--- a/crates/control/src/relay/wire.rs
+++ b/crates/control/src/relay/wire.rs
@@ -1,4 +1,4 @@
-//! Conversion of relayed calls and their outcomes to messages and back.
+//! Conversion of relayed calls and their outcomes to and from wire messages.
 
 use crate::worker_calls::WorkerCall;
 use messages::peer;
@@ -13,17 +13,17 @@
 use scheduler::leader::CallId;
 use scheduler::worker::{CallOutcome, Refusal, RunningEntry, WorkerRequest};
 
-/// A call's number as a message.
+/// Converts a call's identifier to its wire message.
 pub fn call_id_to_wire(call: CallId) -> RelayedCallId {
     RelayedCallId { worker: call.worker, call: call.call }
 }
 
-/// A call's number as it arrived.
+/// Converts a received call identifier.
 pub fn call_id_from_wire(id: &RelayedCallId) -> CallId {
     CallId { worker: id.worker, call: id.call }
 }
 
-/// A call on its way to a relay.
+/// Converts a call to the wire message for a relay.
 pub fn call_to_wire(call: WorkerCall) -> RelayedCall {
     let fencing_token = call.request.fencing_token();
     let request = match call.request {
@@ -52,21 +52,21 @@
         id: Some(call_id_to_wire(call.call)),
         address: call.address,
         instance: call.instance,
-        leave_by: call.leave_by.unwrap_or(0),
+        leave_by: call.send_deadline.unwrap_or(0),
         fencing_token,
         request,
     }
 }
 
-/// A call as it arrived at its relay; `None` if it is not complete.
+/// Converts a call that a relay received; `None` if the message is incomplete.
 pub fn call_from_wire(call: RelayedCall) -> Option<WorkerCall> {
     let id = call_id_from_wire(&call.id?);
     let request = request_from_wire(call.request, call.fencing_token, call.leave_by)?;
-    let (address, instance, leave_by) = (call.address, call.instance, Some(call.leave_by));
-    Some(WorkerCall { call: id, address, instance, request, leave_by })
+    let (address, instance, send_deadline) = (call.address, call.instance, Some(call.leave_by));
+    Some(WorkerCall { call: id, address, instance, request, send_deadline })
 }
 
-fn request_from_wire(request: OneOfrequest, fencing_token: u64, leave_by: u64) -> Option<WorkerRequest> {
+fn request_from_wire(request: OneOfrequest, fencing_token: u64, send_deadline: u64) -> Option<WorkerRequest> {
     Some(match request {
         OneOfrequest::start(start) => WorkerRequest::Start {
             key: attempt_key(start.task, start.attempt)?,
@@ -74,7 +74,7 @@
             checkpoint: start.checkpoint,
             deadline_ms: start.deadline_ms,
             fencing_token,
-            expires_at: leave_by,
+            expires_at: send_deadline,
         },
         OneOfrequest::stop(stop) => {
             WorkerRequest::Stop { key: attempt_key(stop.task, stop.attempt)?, fencing_token }
@@ -93,7 +93,7 @@
     Some(AttemptKey { task: TaskKey::from(&task?), attempt })
 }
 
-/// An outcome on its way to the leader.
+/// Converts an outcome to the wire message for the leader.
 pub fn outcome_to_wire(call: CallId, outcome: CallOutcome) -> RelayedOutcome {
     let failure = |kind| OneOfkind::failed(RelayedFailure { kind });
     let kind = match outcome {
@@ -107,7 +107,8 @@
             now_ms: now_ms.unwrap_or(0),
             reason: reason_to_wire(reason),
         }),
-        // A relay has no relay of its own; were it otherwise, the call may have been carried out.
+        // A relay does not use relays itself, so its calls are never `Interrupted`. Should one be, it may
+        // have been executed.
         CallOutcome::NoResponse | CallOutcome::Interrupted => failure(FailureKind::NO_RESPONSE),
         CallOutcome::NotSent => failure(FailureKind::NOT_SENT),
         CallOutcome::Withheld => failure(FailureKind::WITHHELD),
@@ -115,7 +116,7 @@
     RelayedOutcome { id: Some(call_id_to_wire(call)), kind }
 }
 
-/// An outcome as it arrived at the leader; `None` if it names no call.
+/// Converts an outcome that the leader received; `None` if the message has no call identifier.
 pub fn outcome_from_wire(outcome: RelayedOutcome) -> Option<(CallId, CallOutcome)> {
     let call = call_id_from_wire(&outcome.id?);
     let outcome = match outcome.kind {
--- a/crates/control/src/replica.rs
+++ b/crates/control/src/replica.rs
@@ -13,30 +13,30 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A snapshot is taken once the log has grown by this much since the last one.
+/// A snapshot is taken once the log has grown by this many bytes since the last one.
 const SNAPSHOT_LOG_BYTES: usize = 4 * 1024 * 1024;
-/// Or by this many entries.
+/// A snapshot is also taken once the log has grown by this many entries since the last one.
 const SNAPSHOT_LOG_ENTRIES: usize = 20_000;
 
-/// What the driver has to do or to know, in the order in which it was decided.
+/// An action or a notification for the driver. Effects are queued in the order in which they were decided.
 #[derive(Debug)]
 pub enum Effect {
-    /// An entry is committed: apply it.
+    /// An entry is committed and must be applied.
     Committed(Entry),
-    /// Replace the state by that of a snapshot.
+    /// The state must be replaced by that of a snapshot.
     Restore(Snapshot),
     /// A proposal was not accepted into the log.
     ProposalDropped,
     /// This process leads, and its state is complete.
     BecameLeader {
-        /// Its term.
+        /// The term that this process leads.
         term: Term,
     },
     /// This process stepped down.
     SteppedDown,
-    /// Another leader or none is known.
+    /// The known leader has changed, possibly to none.
     LeaderChanged,
-    /// Another membership is in force.
+    /// The current membership has changed.
     MembershipChanged,
     /// The group has removed this identity.
     Removed,
@@ -44,15 +44,17 @@
 
 /// Consensus, the state machine and the writer.
 ///
-/// The replica executes what consensus outputs, but does not apply entries by itself: it queues effects, and the driver
-/// applies them one by one (`apply`), so that it can process what follows from each before the next. `state` is the
-/// state after entry `applied_index`. A snapshot is taken of exactly that state, by one writer at a time.
+/// The replica executes the outputs of consensus but does not apply entries by itself. It queues effects, and
+/// the driver applies entries one at a time (`apply`), so that the driver can process the consequences of
+/// each entry before the next one. `state` is the state after entry `applied_index`. A snapshot contains
+/// exactly that state; only one snapshot is written at a time.
 pub struct Replica {
     node: Node,
     state: State,
     writer: Writer,
     outputs: Vec<Output>,
-    /// Messages to send, apart from the effects: heartbeats must not queue behind entries that are being applied.
+    /// Messages to be sent. They are kept apart from the effects, because heartbeats must not queue behind
+    /// entries that are being applied.
     messages: Vec<(NodeId, Message)>,
     applied_index: Index,
     snapshot_index: Index,
@@ -61,7 +63,7 @@
     entries_since_snapshot: usize,
 }
 
-/// Settings of consensus for this deployment.
+/// Consensus options from the settings of this deployment.
 pub fn options(settings: &ProcessSettings, id: NodeId) -> Options {
     let tolerated_failures = settings.fault_tolerance.machines as usize;
     let founders = settings.seed_nodes.len();
@@ -71,7 +73,7 @@
 }
 
 impl Replica {
-    /// Starts from what the disk held.
+    /// Starts from the recovered contents of the disk.
     ///
     /// # Errors
     ///
@@ -95,7 +97,7 @@
         Ok(replica)
     }
 
-    /// The node of the consensus group, for queries.
+    /// The consensus node, for queries.
     pub fn node(&self) -> &Node {
         &self.node
     }
@@ -105,17 +107,18 @@
         &self.state
     }
 
-    /// The member that leads, as far as this process knows.
+    /// The leader, if this process knows one that is a member.
     pub fn leader(&self) -> Option<&Member> {
         self.node.membership().member(self.node.leader()?)
     }
 
-    /// Whether this process leads and holds the lease at `now`, so that it may answer from its state.
+    /// Whether this process leads and holds the lease at `now`; only then may it answer from its state.
     pub fn has_lease(&self, now: u64) -> bool {
         self.node.lease_until() > now
     }
 
-    /// Passes an event to consensus and executes its outputs; what the driver has to do is appended to `effects`.
+    /// Passes an event to consensus and executes its outputs. Effects for the driver are appended to
+    /// `effects`.
     pub fn handle(&mut self, now: u64, event: Event, effects: &mut VecDeque<Effect>) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.node.handle(now, event, &mut outputs);
@@ -125,7 +128,7 @@
         self.outputs = outputs;
     }
 
-    /// Messages to other processes since the last call, in order.
+    /// Takes the messages to other processes that were queued since the last call, in order.
     pub fn take_messages(&mut self) -> Vec<(NodeId, Message)> {
         std::mem::take(&mut self.messages)
     }
@@ -135,7 +138,7 @@
         self.handle(now, Event::Propose { payload: encode(batch) }, effects);
     }
 
-    /// Notes that a snapshot of this process is durable, so that consensus can compact its log.
+    /// Records that a snapshot of this process is durable, so that consensus can compact its log.
     pub fn snapshot_taken(&mut self, now: u64, snapshot: Snapshot, effects: &mut VecDeque<Effect>) {
         self.is_taking_snapshot = false;
         self.snapshot_index = self.snapshot_index.max(snapshot.meta.index);
@@ -156,17 +159,17 @@
         self.is_taking_snapshot
     }
 
-    /// The last entry that the newest durable snapshot covers.
+    /// Index of the last entry covered by the newest durable snapshot.
     pub fn snapshot_index(&self) -> Index {
         self.snapshot_index
     }
 
-    /// The last entry that was applied.
+    /// Index of the last applied entry.
     pub fn applied_index(&self) -> Index {
         self.applied_index
     }
 
-    /// Takes a snapshot as of the last entry that was applied, unless one is being written.
+    /// Takes a snapshot as of the last applied entry, unless one is being written.
     pub fn take_snapshot(&mut self) {
         if self.is_taking_snapshot {
             return;
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Applies a committed entry. Returns the batch that it holds, if any, and what that changed.
+    /// Applies a committed entry. Returns the batch in the entry, if any, and the changes that it made.
     pub fn apply(&mut self, entry: Entry) -> Option<(CommandBatch, Vec<StateChange>)> {
         self.applied_index = entry.index;
         self.bytes_since_snapshot += entry.size();
@@ -215,19 +218,19 @@
                 Some((batch, changes))
             }
             Err(error) => {
-                // Every replica skips the same bytes, so that their states stay the same.
+                // Every replica skips the same bytes, so that all replicas keep the same state.
                 log::error!("entry {} of the log: {error}", entry.index);
                 None
             }
         }
     }
 
-    /// Replaces the state by that of a snapshot, completely or not at all.
+    /// Replaces the state by that of a snapshot; on an error the state is unchanged.
     ///
     /// # Errors
     ///
-    /// Fails if the snapshot cannot be decoded or restored. The process must end then: its state is not that of the
-    /// group.
+    /// Fails if the snapshot cannot be decoded or restored. The process must then end, because its state is
+    /// not that of the group.
     pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), ControlError> {
         let index = snapshot.meta.index;
         self.state = if snapshot.data.is_empty() {
--- a/crates/control/src/settings_file.rs
+++ b/crates/control/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads the process's settings file.
+//! Reads the settings file of the process.
 
 use configuration::{ProcessSettings, SettingsError};
 use quick_error::quick_error;
@@ -13,7 +13,7 @@
         Io(path: PathBuf, error: std::io::Error) {
             display("the settings file {} cannot be read ({error}): see that it exists; the former settings stay in use", path.display())
         }
-        /// Its content is wrong.
+        /// The content of the file is invalid.
         Content(error: SettingsError) {
             from()
             display("{error}; the former settings stay in use")
--- a/crates/control/src/signals.rs
+++ b/crates/control/src/signals.rs
@@ -1,19 +1,19 @@
-//! Where the signals of the platform come from.
+//! The source of the platform's signals.
 
 use process_signals::{ProcessSignals, Signal};
 use tokio::sync::mpsc;
 
-/// Where signals come from.
+/// The source of signals.
 #[derive(Debug)]
 pub enum SignalSource {
-    /// The signals of this process.
+    /// Signals that the operating system sends to this process.
     Process(ProcessSignals),
-    /// A channel.
+    /// Signals from a channel.
     Channel(mpsc::Receiver<Signal>),
 }
 
 impl SignalSource {
-    /// The next signal; `None` once no more can arrive.
+    /// Waits for the next signal; `None` once no more can arrive.
     pub async fn recv(&mut self) -> Option<Signal> {
         match self {
             SignalSource::Process(signals) => signals.recv().await,
