--- a/crates/control/src/transport/connection.rs
+++ b/crates/control/src/transport/connection.rs
@@ -14,11 +14,11 @@
 use tokio::select;
 use tokio::time::{timeout_at, Instant};
 
-/// A peer that reads no byte for this long is stalled: the connection is dropped.
+/// A connection is closed as stalled once the peer has accepted no byte for this long.
 const STALL_LIMIT: Duration = Duration::from_secs(1);
-/// Space offered to each read.
+/// Buffer space reserved for each read.
 const READ_BYTES: usize = 16 * 1024;
-/// A write buffer over this size is shrunk after use.
+/// A write buffer larger than this is shrunk after use.
 const MAX_IDLE_BUFFER_BYTES: usize = 256 * 1024;
 
 quick_error! {
@@ -28,24 +28,24 @@
         /// The transport failed.
         Io(error: io::Error) {
             from()
-            display("the connection failed ({error}): it is opened again by the side that opened it")
+            display("the connection failed ({error}): the side that opened it will open it again")
         }
-        /// The peer sent what is no frame.
+        /// The peer sent an invalid frame.
         Frame(error: FrameError) {
             from()
             display("{error}")
         }
-        /// The peer closed.
+        /// The peer closed the connection.
         Closed {
             display("the peer closed the connection")
         }
         /// The peer accepts no bytes.
         Stalled {
-            display("the peer took no byte for {} ms: see whether its machine is overloaded or cut off", STALL_LIMIT.as_millis())
+            display("the peer accepted no byte for {} ms: check whether its machine is overloaded or unreachable", STALL_LIMIT.as_millis())
         }
-        /// More was queued than a reading peer would leave.
+        /// More bytes were queued than a peer that reads would leave unread.
         Overflow {
-            display("the peer left too many replies unread: see whether its machine is overloaded or cut off")
+            display("the peer left too many replies unread: check whether its machine is overloaded or unreachable")
         }
         /// The driver is gone.
         Stopped {
@@ -54,20 +54,20 @@
     }
 }
 
-/// Bytes that are being written, and since when the socket has accepted none.
+/// The bytes being written, and the time since which the socket has accepted none.
 #[derive(Default)]
-struct Sending {
+struct WriteBuffer {
     bytes: Vec<u8>,
     written: usize,
     stalled_at: Option<Instant>,
 }
 
-impl Sending {
+impl WriteBuffer {
     fn is_done(&self) -> bool {
         self.written == self.bytes.len()
     }
 
-    /// Writes until all is taken, here and in the outbox, or the socket's buffer is full.
+    /// Writes until this buffer and the outbox are empty, or until the socket's buffer is full.
     fn advance(&mut self, socket: &WriteHalf<'_>, outbox: &Outbox) -> Result<(), ConnectionError> {
         loop {
             if self.is_done() && !self.refill(outbox)? {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes what is queued in the outbox. False if that is nothing.
+    /// Takes the bytes queued in the outbox. Returns false if there are none.
     fn refill(&mut self, outbox: &Outbox) -> Result<bool, ConnectionError> {
         self.written = 0;
         self.bytes.clear();
@@ -98,6 +98,7 @@
         Ok(!self.bytes.is_empty())
     }
 
+    /// Waits until the socket accepts bytes; fails once it has accepted none for `STALL_LIMIT`.
     async fn writable(&self, socket: &WriteHalf<'_>) -> Result<(), ConnectionError> {
         let since = self.stalled_at.unwrap_or_else(Instant::now);
         match timeout_at(since + STALL_LIMIT, socket.writable()).await {
@@ -107,9 +108,9 @@
     }
 }
 
-/// Carries frames in both directions until the connection ends, and returns why it ended. `first` is sent before all
-/// queued frames.
-pub async fn carry(
+/// Transfers frames in both directions until the connection ends, and returns why it ended. `first` is sent
+/// before all queued frames.
+pub async fn run_connection(
     stream: &mut TcpStream,
     first: Vec<u8>,
     outbox: &Outbox,
@@ -117,15 +118,15 @@
     events: &EventSender,
 ) -> ConnectionError {
     outbox.set_connected(true);
-    let error = match carry_frames(stream, first, outbox, connection, events).await {
-        Ok(never) => match never {},
+    let error = match transfer_frames(stream, first, outbox, connection, events).await {
+        Ok(infallible) => match infallible {},
         Err(error) => error,
     };
     outbox.set_connected(false);
     error
 }
 
-async fn carry_frames(
+async fn transfer_frames(
     stream: &mut TcpStream,
     first: Vec<u8>,
     outbox: &Outbox,
@@ -134,9 +135,9 @@
 ) -> Result<std::convert::Infallible, ConnectionError> {
     let (mut read, write) = stream.split();
     let mut frames = FrameReader::new();
-    let mut sending = Sending { bytes: first, ..Sending::default() };
+    let mut write_buffer = WriteBuffer { bytes: first, ..WriteBuffer::default() };
     loop {
-        sending.advance(&write, outbox)?;
+        write_buffer.advance(&write, outbox)?;
         frames.buffer().reserve(READ_BYTES);
         select! {
             biased;
@@ -146,13 +147,13 @@
                 }
                 deliver(&mut frames, connection, events).await?;
             }
-            () = outbox.wait(), if sending.is_done() => {}
-            ready = sending.writable(&write), if !sending.is_done() => ready?,
+            () = outbox.wait(), if write_buffer.is_done() => {}
+            ready = write_buffer.writable(&write), if !write_buffer.is_done() => ready?,
         }
     }
 }
 
-/// Sends every complete frame to the driver.
+/// Sends every complete received frame to the driver.
 async fn deliver(
     frames: &mut FrameReader,
     connection: ConnectionId,
--- a/crates/control/src/transport/link.rs
+++ b/crates/control/src/transport/link.rs
@@ -1,7 +1,7 @@
-//! A persistent connection to one address, opened again whenever it ends.
+//! A persistent connection to one address, which is opened again whenever it ends.
 
-use super::connection::{carry, ConnectionError};
-use super::outbox::{Outbox, Overflow};
+use super::connection::{run_connection, ConnectionError};
+use super::outbox::{Outbox, OverflowPolicy};
 use super::socket::connect;
 use crate::event_queue::EventSender;
 use crate::events::{ConnectionId, DriverEvent};
@@ -19,10 +19,11 @@
 
 /// Backoff after the first failed connection.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Keeps a connection to one address and writes what is pushed. Dropped, it ends its task and closes the connection.
+/// Handle of a persistent connection to one address. Dropping the handle ends the task and closes the
+/// connection.
 #[derive(Debug)]
 pub struct Link {
     outbox: Arc<Outbox>,
@@ -33,13 +34,13 @@
 impl Link {
     /// Starts to connect to `address`; `hello` is the first frame on each connection.
     pub fn open(address: SocketAddr, hello: &Hello, connection: ConnectionId, events: EventSender) -> Self {
-        let outbox = Arc::new(Outbox::new(Overflow::Drop));
-        let mut greeting = Vec::new();
-        encode_frame(&PeerFrame { body: OneOfbody::hello(hello.clone()) }, &mut greeting);
+        let outbox = Arc::new(Outbox::new(OverflowPolicy::Drop));
+        let mut hello_frame = Vec::new();
+        encode_frame(&PeerFrame { body: OneOfbody::hello(hello.clone()) }, &mut hello_frame);
         let peer_seen = Arc::new(Notify::new());
         let task = LinkTask {
             address,
-            greeting,
+            hello_frame,
             outbox: outbox.clone(),
             peer_seen: peer_seen.clone(),
             connection,
@@ -49,20 +50,20 @@
         Link { outbox, peer_seen, task }
     }
 
-    /// Connects at once, since the process there is known to run: neither the backoff nor an attempt whose opening packet
-    /// was sent before it ran is waited for.
+    /// Connects at once, because the process at the address is known to run. Ends a backoff, and restarts a
+    /// connection attempt whose first packet may have been sent before that process listened.
     pub fn connect_now(&self) {
         if !self.outbox.is_connected() {
             self.peer_seen.notify_one();
         }
     }
 
-    /// Queues one frame. It is lost if the connection ends before it is written.
+    /// Queues one frame. The frame is lost if the connection ends before it is written.
     pub fn push(&self, body: OneOfbody) {
         self.outbox.push(body);
     }
 
-    /// Whether nothing waits to be written.
+    /// Whether all queued frames have been written.
     pub fn is_flushed(&self) -> bool {
         self.outbox.is_flushed()
     }
@@ -74,10 +75,10 @@
     }
 }
 
-/// The task of a link.
+/// The task that opens and runs the connections of a link.
 struct LinkTask {
     address: SocketAddr,
-    greeting: Vec<u8>,
+    hello_frame: Vec<u8>,
     outbox: Arc<Outbox>,
     peer_seen: Arc<Notify>,
     connection: ConnectionId,
@@ -90,7 +91,7 @@
         let mut was_connected = false;
         loop {
             let started = Instant::now();
-            match self.connect_and_carry().await {
+            match self.connect_and_run().await {
                 Err(ConnectionError::Stopped) => return,
                 Err(ConnectionError::Io(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                     let refused = DriverEvent::Refused { connection: self.connection };
@@ -102,7 +103,8 @@
                 _ => {}
             }
             if started.elapsed() > MAX_BACKOFF * 4 {
-                // No backoff: whether the process still listens shows whether a leader is lost.
+                // No backoff: a refused connection shows at once that the process, possibly the leader, is
+                // gone.
                 was_connected = true;
                 backoff = MIN_BACKOFF;
                 continue;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Waits for the backoff to pass, or until the peer is known to run.
+    /// Waits until the backoff has passed or the peer is known to run.
     async fn wait_before_retry(&self, backoff: Duration) {
         select! {
             () = sleep(backoff) => {}
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Opens a connection; starts again if the peer is found to run meanwhile.
+    /// Opens a connection. Starts the attempt again if the peer is found to run meanwhile.
     async fn connect(&self) -> io::Result<TcpStream> {
         loop {
             select! {
@@ -131,11 +133,17 @@
         }
     }
 
-    /// One connection, from its opening to its end.
-    async fn connect_and_carry(&self) -> Result<(), ConnectionError> {
+    /// Opens one connection and runs it until it ends.
+    async fn connect_and_run(&self) -> Result<(), ConnectionError> {
         let mut stream = self.connect().await?;
-        let error =
-            carry(&mut stream, self.greeting.clone(), &self.outbox, self.connection, &self.events).await;
+        let error = run_connection(
+            &mut stream,
+            self.hello_frame.clone(),
+            &self.outbox,
+            self.connection,
+            &self.events,
+        )
+        .await;
         log::debug!("connection to {}: {error}", self.address);
         let closed = DriverEvent::Closed { connection: self.connection };
         self.events.send(closed).await.map_err(|_| ConnectionError::Stopped)?;
--- a/crates/control/src/transport/listener.rs
+++ b/crates/control/src/transport/listener.rs
@@ -1,8 +1,8 @@
-//! Accepts connections of other processes.
+//! Accepts connections from other processes.
 
-use super::connection::carry;
-use super::outbox::{Outbox, Overflow};
-use super::socket::tune;
+use super::connection::run_connection;
+use super::outbox::{Outbox, OverflowPolicy};
+use super::socket::set_options;
 use crate::event_queue::EventSender;
 use crate::events::{ConnectionId, DriverEvent, FIRST_ACCEPTED};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -13,9 +13,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Connections that may wait to be accepted: a full queue drops opening packets, which come again only after seconds.
+/// Length of the queue of connections to be accepted. A full queue drops SYN packets, which are sent again
+/// only after seconds.
 const BACKLOG: i32 = 1_024;
-/// Backoff after a failed accept, such as for lack of descriptors.
+/// Backoff after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Binds a listener to `address`.
@@ -32,7 +33,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Accepts connections until the driver is gone.
+/// Accepts connections until the driver has ended.
 pub async fn accept(listener: TcpListener, events: EventSender) {
     let mut next = FIRST_ACCEPTED;
     while !events.is_closed() {
@@ -42,23 +43,26 @@
                 next += 1;
             }
             Err(error) => {
-                log::warn!("cannot accept a connection ({error}): see whether descriptors run out");
+                log::warn!(
+                    "cannot accept a connection ({error}): check whether file descriptors are exhausted"
+                );
                 sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
+/// Runs one accepted connection until it ends.
 async fn serve(mut stream: TcpStream, connection: ConnectionId, events: EventSender) {
-    if let Err(error) = tune(SockRef::from(&stream)) {
-        log::debug!("options of an accepted connection: {error}");
+    if let Err(error) = set_options(SockRef::from(&stream)) {
+        log::debug!("cannot set the options of an accepted connection: {error}");
     }
-    let outbox = Arc::new(Outbox::new(Overflow::Close));
+    let outbox = Arc::new(Outbox::new(OverflowPolicy::Close));
     let accepted = DriverEvent::Accepted { connection, outbox: outbox.clone() };
     if events.send(accepted).await.is_err() {
         return;
     }
-    let error = carry(&mut stream, Vec::new(), &outbox, connection, &events).await;
+    let error = run_connection(&mut stream, Vec::new(), &outbox, connection, &events).await;
     log::debug!("accepted connection {connection}: {error}");
     let _ = events.send(DriverEvent::Closed { connection }).await;
 }
--- a/crates/control/src/transport/mod.rs
+++ b/crates/control/src/transport/mod.rs
@@ -1,7 +1,8 @@
-//! Transport between processes of the system: frames over TCP, one persistent connection for each direction.
+//! Transport between processes of the system: frames over TCP, with one persistent connection per direction.
 //!
-//! The tasks of these connections are spawned on the runtime and not on the driver's `LocalSet`: calls to workers are
-//! tasks there by the thousand, run in turn, and a frame must not wait for all of them to be read.
+//! The tasks of these connections are spawned on the runtime and not on the driver's `LocalSet`. The
+//! `LocalSet` runs thousands of tasks for calls to workers one after the other, and reading a frame must not
+//! wait for all of them.
 
 pub mod connection;
 pub mod link;
--- a/crates/control/src/transport/socket.rs
+++ b/crates/control/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets between processes, and connecting with a time limit.
+//! Options of sockets between processes, and connecting with a timeout.
 
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use std::io;
@@ -7,13 +7,13 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// Longest time for a connection to be set up.
+/// Maximum time to establish a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Sent bytes that stay unacknowledged for longer end the connection.
+/// The connection ends if sent bytes stay unacknowledged for this long.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// An idle connection is probed after this time.
+/// Idle time after which a connection is probed.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(8);
-/// Time between probes of an idle connection.
+/// Interval of the probes of an idle connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Sets the options of a persistent connection.
@@ -21,21 +21,21 @@
 /// # Errors
 ///
 /// Fails if the operating system refuses an option.
-pub fn tune(socket: SockRef<'_>) -> io::Result<()> {
+pub fn set_options(socket: SockRef<'_>) -> io::Result<()> {
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_TIME).with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Connects to `address`.
+/// Connects to `address` and sets the options of a persistent connection.
 ///
 /// # Errors
 ///
-/// Fails if the connection is refused, or not established within `CONNECT_TIMEOUT`.
+/// Fails if the connection is refused or not established within `CONNECT_TIMEOUT`.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    tune(SockRef::from(&socket))?;
+    set_options(SockRef::from(&socket))?;
     socket.set_nonblocking(true)?;
     let socket = TcpSocket::from_std_stream(socket.into());
     match timeout(CONNECT_TIMEOUT, socket.connect(address)).await {
--- a/crates/control/src/wire.rs
+++ b/crates/control/src/wire.rs
@@ -1,7 +1,7 @@
-//! Conversion between messages of consensus and messages on the wire.
+//! Conversion between consensus messages and wire messages.
 //!
-//! Most fields have the same name and type on both sides. Each conversion still names all of them, so that the compiler
-//! reports a field that one side lacks.
+//! Most fields have the same name and type on both sides. Each conversion still names all fields, so that the
+//! compiler reports a field that one side lacks.
 
 use consensus::{
     AppendReply, AppendRequest, Entry, Message, NodeId, SnapshotChunk, SnapshotReply, TimeoutNow, VoteReply,
@@ -12,14 +12,15 @@
 use messages::peer::mod_ConsensusMessage::OneOfkind;
 use messages::FrameError;
 
-/// Builds a struct from the fields of the same name of a value of another type; `=` gives fields that differ.
+/// Builds a struct by copying the fields of the same name from a value of another type. Fields after `;` are
+/// set as `name = value`.
 macro_rules! copy_fields {
     ($from:ident => $($to:ident)::+ { $($same:ident),+ $(; $($other:ident = $value:expr),+)? }) => {
         $($to)::+ { $($same: $from.$same,)+ $($($other: $value,)+)? }
     };
 }
 
-/// A message of consensus on its way from `from` to `to`.
+/// Converts a consensus message from `from` to `to` to its wire message.
 pub fn message_to_wire(from: NodeId, to: NodeId, message: Message) -> peer::ConsensusMessage {
     let kind = match message {
         Message::VoteRequest(vote) => OneOfkind::vote_request(copy_fields!(
@@ -43,11 +44,11 @@
     peer::ConsensusMessage { from, to, kind }
 }
 
-/// A message of consensus as it arrived; `None` for a kind that this version does not know.
+/// Converts a received consensus message; `None` if this version does not know its kind.
 ///
 /// # Errors
 ///
-/// Fails if the payload of an entry is not a complete message.
+/// Fails if the payload of an entry cannot be decoded.
 pub fn message_from_wire(kind: OneOfkind) -> Result<Option<Message>, FrameError> {
     Ok(Some(match kind {
         OneOfkind::vote_request(vote) => Message::VoteRequest(copy_fields!(
--- a/crates/control/src/worker_calls.rs
+++ b/crates/control/src/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Conversion of calls to workers into HTTP requests, and of their answers into outcomes.
+//! Conversion of calls to workers into HTTP requests, and of the answers into call outcomes.
 
 use crate::http::{Answer, CallError};
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 const START_PATH: &str = "/v1/run-start";
 const STOP_PATH: &str = "/v1/run-stop";
 const LEASE_RENEWAL_PATH: &str = "/v1/hold";
-/// Names the incarnation that a call is meant for; any other answers 421.
+/// Header with the incarnation that a call is meant for; any other incarnation answers 421.
 const EXPECT_INSTANCE: &str = "X-Expect-Instance";
 const JSON: &str = "application/json";
 
@@ -32,26 +32,27 @@
     pub instance: String,
     /// The request.
     pub request: WorkerRequest,
-    /// From then on no byte of the call may leave, in nanoseconds of this process's steady clock; `None`: any time.
-    pub leave_by: Option<u64>,
+    /// No byte of the call may be sent at or after this time, in nanoseconds of this process's steady clock;
+    /// `None`: no deadline.
+    pub send_deadline: Option<u64>,
 }
 
 impl WorkerCall {
-    /// A call as the leader asks for it: only starts expire.
+    /// Creates a call for the leader. Only starts have a deadline.
     pub fn new(call: CallId, address: String, instance: String, request: WorkerRequest) -> Self {
-        let leave_by = match &request {
+        let send_deadline = match &request {
             WorkerRequest::Start { expires_at, .. } => Some(*expires_at),
             WorkerRequest::Stop { .. } | WorkerRequest::RenewLease { .. } => None,
         };
-        WorkerCall { call, address, instance, request, leave_by }
+        WorkerCall { call, address, instance, request, send_deadline }
     }
 }
 
-/// The HTTP request of a call.
+/// Builds the HTTP request of a call.
 ///
 /// # Errors
 ///
-/// Fails if the address or the instance holds bytes that HTTP does not allow in a header.
+/// Fails if the address or the instance contains bytes that HTTP does not allow in a header.
 pub fn request_for(call: &WorkerCall) -> Result<Request<Full<Bytes>>, CallError> {
     let (path, body) = path_and_body(&call.request);
     let request = Request::post(path)
@@ -88,7 +89,7 @@
     }
 }
 
-/// The outcome that an answer means. An answer that cannot be read counts as no response.
+/// Converts an answer to the outcome of the call. An answer that cannot be parsed counts as no response.
 pub fn outcome_of(request: &WorkerRequest, answer: &Answer) -> CallOutcome {
     let is_lease_renewal = matches!(request, WorkerRequest::RenewLease { .. });
     match answer.status {
@@ -112,7 +113,7 @@
     }
 }
 
-/// A rejection, for the `known` reason or for the one that the body names.
+/// A rejection for the `known` reason, or else for the reason given in the body.
 fn rejected(body: &[u8], known: Option<Refusal>) -> CallOutcome {
     let answer = OrderAnswer::read(body).unwrap_or_default();
     let named = match answer.reason {
@@ -138,7 +139,7 @@
     CallOutcome::Lists { now_ms: answer.now_ms, running, finished }
 }
 
-/// A task's key; `None` for a task that this system did not name, which is ignored.
+/// Parses a task's key; `None` for a task that this system did not name. Such a task is ignored.
 fn task_key(text: &str) -> Option<TaskKey> {
     let key = text.parse();
     if key.is_err() {
--- a/crates/control/src/worker_client.rs
+++ b/crates/control/src/worker_client.rs
@@ -1,14 +1,15 @@
-//! Client of the workers: makes the leader's calls over persistent connections.
+//! Client of the workers: makes calls to workers over persistent connections.
 //!
-//! A worker has two lanes of connections: one for lease renewals, which wait at the worker for attempts to end, and one
-//! for orders (start and stop), so that orders do not queue behind renewals.
+//! Each worker has two connection pools. One is for lease renewals, which the worker answers only once an
+//! attempt ends or the requested wait is over. The other one is for orders (start and stop), so that orders
+//! do not queue behind renewals.
 
 use crate::clock::Clock;
 use crate::connection_budget::ConnectionBudget;
 use crate::events::DriverEvent;
 use crate::http::{parse_address, CallError};
 use crate::worker_calls::{outcome_of, request_for, WorkerCall};
-use crate::worker_lane::{close_excess, Budget, Lane};
+use crate::worker_lane::{close_excess, Budget, ConnectionPool};
 use hyper::Request;
 use scheduler::leader::CallId;
 use scheduler::worker::{CallOutcome, WorkerRequest};
@@ -20,38 +21,42 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 
-/// Connections in a worker's lane of orders.
+/// Maximum number of connections in a worker's pool for orders.
 const MAX_ORDER_CONNECTIONS: usize = 4;
-/// Connections in a worker's lane of lease renewals: one waits for ends, another may be needed while that call is
-/// cancelled.
+/// Maximum number of connections in a worker's pool for lease renewals. One connection waits for attempts to
+/// end; another may be needed while that call is being cancelled.
 const MAX_LEASE_RENEWAL_CONNECTIONS: usize = 2;
 
-/// How long a call that was sent may still take after the end of its leadership: the longest wait for ends, and some
-/// time for the answer. Beyond that its connection closes.
+/// How long a call that was sent may still run after the end of its leadership: the longest wait of a lease
+/// renewal, plus time for the answer. The connection of a longer call is closed.
 const ABANDONED_CALL_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// A start that waits longer for its connection does not leave: its task may be cancelled by now.
+/// A start that waits longer than this for a connection is not sent, because its task may have been
+/// cancelled.
 const MAX_START_WAIT: Duration = Duration::from_millis(500);
 
 /// All connections to workers, and the calls in flight.
 ///
-/// A call sends exactly one `CallFinished` event, unless it is cancelled or abandoned first. `generation` keeps outcomes of
-/// an earlier leadership from being taken for outcomes of this one, whose calls have the same numbers.
+/// Each call sends exactly one `CallFinished` event, unless it is cancelled or abandoned first. `generation`
+/// distinguishes outcomes of an earlier leadership from outcomes of the current one, because both number
+/// their calls from the start.
 pub struct WorkerClient {
     workers: HashMap<String, Worker>,
     budget: Budget,
     calls: HashMap<CallId, InFlightCall>,
-    /// Ends the calls of the last leadership that were sent and have no answer yet.
+    /// Calls of the last leadership that were sent and have no answer yet.
     abandoned: Option<AbandonedCalls>,
-    /// Incremented at the end of each leadership, since the numbers of calls start again with the next.
+    /// Incremented at the end of each leadership, because the next one numbers its calls from the start
+    /// again.
     generation: u64,
     events: mpsc::Sender<DriverEvent>,
-    /// The clock by which orders expire.
+    /// The clock of the calls' deadlines.
     clock: Clock,
 }
 
 impl WorkerClient {
-    /// No connections and no calls; connections are not limited until `set_max_connections`.
+    /// Creates a client without connections or calls. The number of connections is unlimited until
+    /// `set_max_connections`.
     pub fn new(events: mpsc::Sender<DriverEvent>, clock: Clock) -> Self {
         let budget = Rc::new(RefCell::new(ConnectionBudget::new(usize::MAX)));
         WorkerClient {
@@ -65,50 +70,53 @@
         }
     }
 
-    /// Open connections to workers.
+    /// Number of open connections to workers.
     pub fn open_connections(&self) -> usize {
         self.budget.borrow().open()
     }
 
-    /// Sets the number of connections beyond which idle ones are closed.
+    /// Sets the number of connections above which idle ones are closed.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.budget.borrow_mut().set_limit(max_connections);
         close_excess(&self.budget);
     }
 
-    /// Starts a call; its outcome is sent as an event.
+    /// Starts a call, whose outcome is sent as an event.
     pub fn start(&mut self, call: WorkerCall) {
         let budget = &self.budget;
         let worker = self.workers.entry(call.address.clone()).or_insert_with(|| Worker::new(budget));
-        let lane = worker.lane_for(&call.request).clone();
+        let pool = worker.pool_for(&call.request).clone();
         let id = call.call;
         let (events, generation) = (self.events.clone(), self.generation);
-        let leave_by = call.leave_by.map(|limit| self.clock.instant(limit));
+        let send_deadline = call.send_deadline.map(|limit| self.clock.instant(limit));
         let phase = Rc::new(Cell::new(CallPhase::Waiting));
         let phase_of_task = phase.clone();
         let task = spawn_local(async move {
-            let outcome = run_call(&lane, &call, leave_by, &phase_of_task).await;
+            let outcome = run_call(&pool, &call, send_deadline, &phase_of_task).await;
             let _ = events.send(DriverEvent::CallFinished { generation, call: call.call, outcome }).await;
         });
         self.calls.insert(id, InFlightCall { task: task.abort_handle(), phase });
     }
 
-    /// Cancels a call: its connection closes, and no outcome is sent.
+    /// Cancels a call: its connection is closed and no outcome is sent.
     pub fn cancel(&mut self, call: CallId) {
         if let Some(call) = self.calls.remove(&call) {
             call.task.abort();
         }
     }
 
-    /// Removes a call that has an outcome. False if it had been cancelled before: its outcome must be ignored.
+    /// Removes a finished call. Returns false if the call was cancelled or abandoned before; its outcome must
+    /// then be ignored.
     pub fn finished(&mut self, generation: u64, call: CallId) -> bool {
         generation == self.generation && self.calls.remove(&call).is_some()
     }
 
-    /// Ends a leadership: calls that have not left are cancelled, and the answers to all others are ignored.
+    /// Ends a leadership: calls that have not been sent are cancelled, and the answers to all others are
+    /// ignored.
     ///
-    /// Connections stay open for the next leadership of this process, which often follows within seconds. A call that was
-    /// sent keeps its connection until its answer is read, so that no later call gets that answer.
+    /// Connections stay open for the next leadership of this process, which often follows within seconds. A
+    /// call that was sent keeps its connection until its answer is read, so that no later call gets that
+    /// answer.
     pub fn abandon_calls(&mut self) {
         self.generation += 1;
         let mut sent = Vec::new();
@@ -131,7 +139,7 @@
         self.workers.clear();
     }
 
-    /// Closes connections to workers whose addresses are not listed, once they have no calls in flight.
+    /// Closes the connections to workers for which `is_listed` is false, once these have no calls in flight.
     pub fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.workers.retain(|address, worker| is_listed(address) || worker.is_busy());
     }
@@ -143,24 +151,25 @@
     }
 }
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallPhase {
-    /// It waits for a connection: no byte of it has left.
+    /// The call waits for a connection: no byte of it has been sent.
     Waiting,
-    /// It was handed to an open connection.
+    /// The call was handed to an open connection.
     Sent,
-    /// Its leadership has ended: it is not sent again.
+    /// The leadership of the call has ended: the call is not sent again.
     Abandoned,
 }
 
-/// A call whose outcome is awaited.
+/// A call that has not finished.
 struct InFlightCall {
     task: AbortHandle,
     phase: Rc<Cell<CallPhase>>,
 }
 
-/// Calls of an earlier leadership that end by themselves, or at a time limit, or when this is dropped.
+/// Calls of an earlier leadership. Each ends by itself, or is aborted when a time limit passes or this value
+/// is dropped.
 struct AbandonedCalls {
     calls: Rc<[AbortHandle]>,
     limit: AbortHandle,
@@ -186,19 +195,19 @@
 
 /// The connections to one worker.
 struct Worker {
-    lease_renewals: Rc<Lane>,
-    orders: Rc<Lane>,
+    lease_renewals: Rc<ConnectionPool>,
+    orders: Rc<ConnectionPool>,
 }
 
 impl Worker {
     fn new(budget: &Budget) -> Self {
         Worker {
-            lease_renewals: Rc::new(Lane::new(MAX_LEASE_RENEWAL_CONNECTIONS, budget)),
-            orders: Rc::new(Lane::new(MAX_ORDER_CONNECTIONS, budget)),
+            lease_renewals: Rc::new(ConnectionPool::new(MAX_LEASE_RENEWAL_CONNECTIONS, budget)),
+            orders: Rc::new(ConnectionPool::new(MAX_ORDER_CONNECTIONS, budget)),
         }
     }
 
-    fn lane_for(&self, request: &WorkerRequest) -> &Rc<Lane> {
+    fn pool_for(&self, request: &WorkerRequest) -> &Rc<ConnectionPool> {
         match request {
             WorkerRequest::RenewLease { .. } => &self.lease_renewals,
             WorkerRequest::Start { .. } | WorkerRequest::Stop { .. } => &self.orders,
@@ -211,12 +220,12 @@
 }
 
 async fn run_call(
-    lane: &Rc<Lane>,
+    pool: &Rc<ConnectionPool>,
     call: &WorkerCall,
-    leave_by: Option<Instant>,
+    send_deadline: Option<Instant>,
     phase: &Cell<CallPhase>,
 ) -> CallOutcome {
-    match send_call(lane, call, leave_by, phase).await {
+    match send_call(pool, call, send_deadline, phase).await {
         Ok(outcome) => outcome,
         Err(CallError::Expired) => CallOutcome::Withheld,
         Err(CallError::ConnectionLost(reason)) => {
@@ -230,18 +239,19 @@
     }
 }
 
-/// Sends the call, and retries it if an idle connection turns out to have been closed: then no byte of it has left.
+/// Sends the call. Retries it if a reused connection turns out to have been closed; no byte of the call was
+/// sent then.
 async fn send_call(
-    lane: &Rc<Lane>,
+    pool: &Rc<ConnectionPool>,
     call: &WorkerCall,
-    leave_by: Option<Instant>,
+    send_deadline: Option<Instant>,
     phase: &Cell<CallPhase>,
 ) -> Result<CallOutcome, CallError> {
     let address = parse_address(&call.address)?;
     let (parts, body) = request_for(call)?.into_parts();
-    let connected_by = connection_limit(call, leave_by);
+    let connected_by = connection_limit(call, send_deadline);
     loop {
-        let mut connection = lane.acquire().await;
+        let mut connection = pool.acquire().await;
         let is_reused = connection.is_open();
         let request = Request::from_parts(parts.clone(), body.clone());
         let result = match connection.prepare(address).await {
@@ -251,7 +261,7 @@
             }
             Ok(()) => {
                 phase.set(CallPhase::Sent);
-                connection.call(request, leave_by).await
+                connection.call(request, send_deadline).await
             }
             Err(error) => Err(error),
         };
@@ -268,13 +278,13 @@
     }
 }
 
-/// Until when a call may wait for its connection.
-fn connection_limit(call: &WorkerCall, leave_by: Option<Instant>) -> Option<Instant> {
+/// Latest time until which a call may wait for its connection.
+fn connection_limit(call: &WorkerCall, send_deadline: Option<Instant>) -> Option<Instant> {
     match call.request {
         WorkerRequest::Start { .. } => {
             let longest = Instant::now() + MAX_START_WAIT;
-            Some(leave_by.map_or(longest, |limit| limit.min(longest)))
+            Some(send_deadline.map_or(longest, |limit| limit.min(longest)))
         }
-        WorkerRequest::Stop { .. } | WorkerRequest::RenewLease { .. } => leave_by,
+        WorkerRequest::Stop { .. } | WorkerRequest::RenewLease { .. } => send_deadline,
     }
 }
--- a/crates/control/src/writer.rs
+++ b/crates/control/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the log and syncs it, so that a slow disk delays no message.
+//! The thread that writes and syncs the log, so that a slow disk delays no message.
 
 use crate::error::ControlError;
 use consensus::Snapshot;
@@ -12,24 +12,24 @@
 /// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What the thread has done.
+/// A result of the writer thread.
 #[derive(Debug)]
 pub enum Written {
     /// All changes of the log up to this ticket are durable.
     Log {
-        /// Ticket of the newest of them.
+        /// Ticket of the newest durable change.
         ticket: u64,
     },
     /// A snapshot of this process's own state is durable.
     Snapshot(Snapshot),
-    /// The store failed in a way that a retry does not repair.
+    /// The store failed in a way that a retry does not fix.
     Failed(StorageError),
 }
 
-/// Handle of the thread.
+/// Handle of the writer thread.
 ///
-/// Writes are carried out in order, and `Written` reports them in order. Dropping the handle waits until all queued
-/// writes are done, or until the one that fails would be retried.
+/// Writes are executed and reported (`Written`) in order. Dropping the handle waits until all queued writes
+/// are done, or until a failed write would be retried.
 pub struct Writer {
     writes: Option<Sender<LogWrite>>,
     thread: Option<JoinHandle<()>>,
@@ -46,7 +46,7 @@
         written: UnboundedSender<Written>,
     ) -> Result<Self, ControlError> {
         let (writes, queue) = mpsc::channel();
-        let worker = Worker { store, queue, written, next: None };
+        let worker = WriterThread { store, queue, written, next: None };
         let thread = thread::Builder::new().name("log-writer".to_owned()).spawn(move || worker.run());
         let thread = thread.map_err(ControlError::Runtime)?;
         Ok(Writer { writes: Some(writes), thread: Some(thread) })
@@ -56,7 +56,7 @@
     pub fn push(&self, write: LogWrite) {
         let sent = self.writes.as_ref().map(|writes| writes.send(write));
         if !matches!(sent, Some(Ok(()))) {
-            log::error!("the thread that writes the log has ended: restart the process");
+            log::error!("the log writer thread has ended: restart the process");
         }
     }
 }
@@ -66,7 +66,7 @@
         drop(self.writes.take());
         if let Some(thread) = self.thread.take() {
             if thread.join().is_err() {
-                log::error!("the thread that writes the log has panicked");
+                log::error!("the log writer thread has panicked");
             }
         }
     }
@@ -75,15 +75,15 @@
 /// The driver or the process is stopping.
 struct Stopped;
 
-struct Worker {
+struct WriterThread {
     store: Store<FileDirectory>,
     queue: Receiver<LogWrite>,
     written: UnboundedSender<Written>,
-    /// Received, but not fit to be merged with the write before it.
+    /// A received write that could not be merged with the write before it.
     next: Option<LogWrite>,
 }
 
-impl Worker {
+impl WriterThread {
     fn run(mut self) {
         while let Some(write) = self.receive() {
             let result = match write {
@@ -100,8 +100,8 @@
         self.next.take().or_else(|| self.queue.recv().ok())
     }
 
-    /// Writes a change, and those queued behind it, with one sync. The leader's snapshot goes first: what is queued
-    /// while it is being saved is merged too.
+    /// Writes a change together with those queued behind it, with a single sync. A snapshot from the leader
+    /// is saved first, so that changes queued meanwhile are merged too.
     fn write_change(&mut self, mut change: LogChange) -> Result<(), Stopped> {
         if let Some(snapshot) = &change.snapshot {
             self.persist(|store| store.save_snapshot(snapshot))?;
@@ -122,7 +122,8 @@
         self.report(Written::Snapshot(snapshot))
     }
 
-    /// Retries until it succeeds: until then nothing counts as durable, and the group continues without this disk.
+    /// Executes a write, and retries until it succeeds. Until then nothing is reported as durable, and the
+    /// group continues without this disk.
     fn persist(
         &mut self,
         mut write: impl FnMut(&mut Store<FileDirectory>) -> Result<(), StorageError>,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Waits for the retry delay, unless the process is stopping.
+    /// Waits for the retry delay. Fails if the process is stopping.
     fn wait_before_retry(&self) -> Result<(), Stopped> {
         if self.written.is_closed() {
             return Err(Stopped);
--- a/crates/control/tests/event_queue.rs
+++ b/crates/control/tests/event_queue.rs
@@ -76,7 +76,7 @@
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
         flood(&sender);
-        queue.move_waiting();
+        queue.fetch_ordinary();
         let ping = DriverEvent::Frame { connection: 9, body: OneOfbody::ping(Ping { number: 4 }) };
         let failed = DriverEvent::Instances { read: 1, result: Err(PlatformError::Timeout) };
         let (reply, _answer) = oneshot::channel();
@@ -147,12 +147,12 @@
         sender.send(heartbeat(1)).await.expect("room for consensus");
         let first = queue.wait().await;
         assert_eq!(take_heartbeats(first, &mut queue), [1]);
-        queue.move_waiting();
+        queue.fetch_ordinary();
         let event =
             queue.next_ordinary().expect("the turn that begins with a heartbeat takes the worker event, too");
         assert!(matches!(event, DriverEvent::CallFinished { call: CallId { call: 7, .. }, .. }));
         flood(&sender);
-        queue.move_waiting();
+        queue.fetch_ordinary();
         let moved = std::iter::from_fn(|| queue.next_ordinary()).count();
         assert!((1..=256).contains(&moved), "{moved} at one time");
     });
--- a/crates/control/tests/expired_calls.rs
+++ b/crates/control/tests/expired_calls.rs
@@ -52,7 +52,7 @@
         let (listener, address) = listener().await;
         let mut connection = HttpConnection::open(address).await.expect("a connection");
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        let outcome = connection.call_before(request(), Some(Instant::now())).await;
+        let outcome = connection.call_with_deadline(request(), Some(Instant::now())).await;
         assert!(matches!(outcome, Err(CallError::Expired)), "{outcome:?}");
         drop(connection);
         let mut bytes = Vec::new();
@@ -74,7 +74,7 @@
         });
         let mut connection = HttpConnection::open(address).await.expect("a connection");
         let in_time = Some(Instant::now() + TEST_TIMEOUT);
-        connection.call_before(request(), in_time).await.expect("an answer");
+        connection.call_with_deadline(request(), in_time).await.expect("an answer");
         connection.call(request()).await.expect("an answer to a request without a limit");
         server.await.expect("both requests came");
     });
--- a/crates/control/tests/metrics.rs
+++ b/crates/control/tests/metrics.rs
@@ -119,9 +119,9 @@
 #[test]
 fn the_time_of_turns_is_written_by_part() {
     let mut metrics = Metrics::default();
-    metrics.turns.part(TurnPart::WorkerCalls, 3, 6 * MS);
-    metrics.turns.part(TurnPart::Timers, 1, MS);
-    metrics.turns.ended(7 * MS);
+    metrics.turns.record_part(TurnPart::WorkerCalls, 3, 6 * MS);
+    metrics.turns.record_part(TurnPart::Timers, 1, MS);
+    metrics.turns.record_turn(7 * MS);
     let text = text_of(&metrics);
     for line in [
         r#"sprucehatch_turn_events_total{part="worker_calls"} 3"#,
@@ -132,6 +132,6 @@
         assert!(has_line(&text, line), "{line}\n{text}");
     }
     let span = metrics.turns.take_span();
-    assert_eq!((span.turns, span.busy, span.longest), (1, 7 * MS, 7 * MS));
+    assert_eq!((span.turns, span.busy_ns, span.longest_ns), (1, 7 * MS, 7 * MS));
     assert_eq!(metrics.turns.take_span().turns, 0);
 }
--- a/crates/control/tests/own_lateness.rs
+++ b/crates/control/tests/own_lateness.rs
@@ -1,10 +1,10 @@
 //! A process that is late: what it has not read yet is not missing.
 
-use control::absence::AbsenceMeter;
+use control::absence::StallMeter;
 use control::clock::Clock;
 use control::events::DriverEvent;
-use control::input_marker::mark_input;
-use control::punctual_timeout::punctual_timeout;
+use control::input_marker::send_input_marker;
+use control::punctual_timeout::stall_tolerant_timeout;
 use control::worker_calls::WorkerCall;
 use control::worker_client::WorkerClient;
 use scheduler::leader::CallId;
@@ -90,7 +90,7 @@
         workers.answer.send(()).expect("the workers wait");
         // This process stands still while the answers arrive.
         workers.answered.recv().expect("the workers have answered");
-        spawn_local(mark_input(5, sender));
+        spawn_local(send_input_marker(5, sender));
         let mut answers = 0;
         loop {
             match events.recv().await {
@@ -108,7 +108,7 @@
 fn a_limit_that_passes_while_the_process_is_late_begins_anew() {
     on_one_thread(async {
         pause();
-        let mut waiting = pin!(punctual_timeout(LIMIT, pending::<()>()));
+        let mut waiting = pin!(stall_tolerant_timeout(LIMIT, pending::<()>()));
         let mut is_over =
             async || poll_fn(|context| Poll::Ready(waiting.as_mut().poll(context).is_ready())).await;
         assert!(!is_over().await);
@@ -123,7 +123,7 @@
 fn a_process_that_is_always_late_still_reaches_its_limits() {
     on_one_thread(async {
         pause();
-        let mut waiting = pin!(punctual_timeout(LIMIT, pending::<()>()));
+        let mut waiting = pin!(stall_tolerant_timeout(LIMIT, pending::<()>()));
         let mut is_over =
             async || poll_fn(|context| Poll::Ready(waiting.as_mut().poll(context).is_ready())).await;
         let mut rounds = 0;
@@ -137,7 +137,7 @@
 
 #[test]
 fn long_turns_and_late_timers_are_absence_and_idle_time_is_not() {
-    let mut meter = AbsenceMeter::default();
+    let mut meter = StallMeter::default();
     assert_eq!(meter.turn_began(1_000 * MS, 1_000 * MS), 0);
     meter.turn_ended(1_002 * MS);
     assert_eq!(meter.turn_began(1_500 * MS, 1_500 * MS), 0, "nothing was due before");
--- a/crates/control/tests/platform.rs
+++ b/crates/control/tests/platform.rs
@@ -104,14 +104,14 @@
         let first = page(&mut events).await.1.expect("a page");
         assert_eq!(ids([&first.instances]), ["i-1"]);
         assert!(first.complete_list.is_none());
-        assert!((begun_at..=connected_at).contains(&first.asked_at), "as of when the page was asked for");
+        assert!((begun_at..=connected_at).contains(&first.requested_at), "as of when the page was asked for");
 
         answer(&mut stream, "200 OK", LAST_PAGE).await;
         let answered_at = clock.now();
         let second = page(&mut events).await.1.expect("a page");
         assert!(second.complete_list.is_some());
-        assert!(second.asked_at > first.asked_at, "each page has its own time");
-        assert!(second.asked_at <= answered_at, "before its answer");
+        assert!(second.requested_at > first.requested_at, "each page has its own time");
+        assert!(second.requested_at <= answered_at, "before its answer");
     });
 }
 
--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -2,7 +2,7 @@
 //! fails. The two sides are joined by hand: what passes between them is lost, late or foreign as a test wants it.
 
 use control::clock::{MILLISECOND, SECOND};
-use control::relay::{fencing_token, AgentAction, CallRouter, Cancellation, RelayAgent, RELAY_TIMEOUT};
+use control::relay::{fencing_token, AgentAction, CallRouter, Cancellation, RelayAgent, RELAY_TIMEOUT_NS};
 use control::worker_calls::WorkerCall;
 use messages::peer::{RelayReport, WorkerCallBatch};
 use scheduler::ids::{AttemptKey, TaskKey};
@@ -94,7 +94,7 @@
     }
 
     fn deliver(&mut self, relay: u64, batch: WorkerCallBatch) -> Vec<AgentAction> {
-        self.agent(relay).take_batch(TERM, batch)
+        self.agent(relay).receive_batch(TERM, batch)
     }
 
     fn report_of(&mut self, relay: u64) -> Option<RelayReport> {
@@ -114,7 +114,7 @@
         let mut outcomes = Vec::new();
         for relay in RELAYS {
             if let Some(report) = self.report_of(relay) {
-                outcomes.extend(self.router.take_report(self.now, report));
+                outcomes.extend(self.router.receive_report(self.now, report));
             }
         }
         (actions, outcomes)
@@ -131,7 +131,7 @@
     }
 
     fn lose(&mut self, relay: u64) -> Vec<FinishedCall> {
-        self.router.relay_lost(self.now, relay)
+        self.router.handle_relay_loss(self.now, relay)
     }
 }
 
@@ -147,10 +147,10 @@
         assert!(token_of(&arrived) > TERM);
         arrived.request.set_fencing_token(TERM);
         if let WorkerRequest::Start { expires_at, .. } = &mut arrived.request {
-            assert_eq!(Some(*expires_at), arrived.leave_by);
+            assert_eq!(Some(*expires_at), arrived.send_deadline);
             *expires_at = LEASE_UNTIL;
         }
-        arrived.leave_by = call.leave_by;
+        arrived.send_deadline = call.send_deadline;
         assert_eq!(arrived, call, "call {number}");
     }
     let running = vec![RunningEntry { key: attempt(), checkpoint: "c".to_owned(), percent: 40 }];
@@ -185,7 +185,7 @@
     assert!(alone.route(renewal(4, 1), LEASE_UNTIL).is_some());
     let outcome = CallOutcome::Answer { now_ms: 1 };
     let id = CallId { worker: 4, call: 1 };
-    assert_eq!(alone.finished_here(id, outcome.clone()), Some(outcome));
+    assert_eq!(alone.finish_local_call(id, outcome.clone()), Some(outcome));
 }
 
 #[test]
@@ -195,7 +195,7 @@
     group.exchange();
     let renewed = group.router.route(renewal(4, 2), LEASE_UNTIL).expect("an order is in flight here");
     assert_eq!(token_of(&renewed), token_of(&order));
-    group.router.finished_here(CallId { worker: 4, call: 1 }, CallOutcome::Answer { now_ms: 1 });
+    group.router.finish_local_call(CallId { worker: 4, call: 1 }, CallOutcome::Answer { now_ms: 1 });
     let (_, relayed) = group.relay(renewal(4, 3));
     assert_eq!(token_of(&relayed), fencing_token(TERM, 1));
     assert!(fencing_token(TERM, 1) > token_of(&order));
@@ -210,7 +210,7 @@
     group.exchange();
     let (relay, _) = group.relay(renewal(4, 2));
     let stale = CallOutcome::Refused { now_ms: Some(1), reason: Refusal::StaleFencingToken };
-    assert_eq!(group.router.finished_here(id, stale.clone()), Some(CallOutcome::Interrupted));
+    assert_eq!(group.router.finish_local_call(id, stale.clone()), Some(CallOutcome::Interrupted));
     // The call with the newest token was refused: another leader has been there.
     group.agent(relay).call_finished(CallId { worker: 4, call: 2 }, stale.clone());
     assert_eq!(group.exchange().1, [(CallId { worker: 4, call: 2 }, stale)]);
@@ -253,12 +253,12 @@
     assert!(group.router.route(renewal(4, 2), LEASE_UNTIL).is_none());
     let sent_at = group.now;
     group.batches();
-    let overdue_at = sent_at + RELAY_TIMEOUT;
+    let overdue_at = sent_at + RELAY_TIMEOUT_NS;
     // The leader itself was late: its report may have arrived.
     group.now = overdue_at + 5 * SECOND;
     assert!(group.router.awaits_input(group.now));
-    assert!(group.router.judge_relays(group.now, overdue_at - 1).is_empty());
-    let interrupted = group.router.judge_relays(group.now, overdue_at);
+    assert!(group.router.expire_overdue_relays(group.now, overdue_at - 1).is_empty());
+    let interrupted = group.router.expire_overdue_relays(group.now, overdue_at);
     let calls: Vec<u64> = interrupted.iter().map(|(call, _)| call.call).collect();
     assert_eq!(calls, [1, 2]);
     assert!(interrupted.iter().all(|(_, outcome)| *outcome == CallOutcome::Interrupted));
@@ -359,11 +359,11 @@
     assert!(group.router.route(start(4, 2, LEASE_UNTIL), LEASE_UNTIL).is_none());
     let held_up = group.batches().into_iter().find(|(id, _)| *id == relay).expect("a batch").1;
     let first = WorkerCallBatch { from: 3, term: TERM + 1, session: 1, number: 1, ..Default::default() };
-    let actions = group.agent(relay).take_batch(TERM + 1, first);
+    let actions = group.agent(relay).receive_batch(TERM + 1, first);
     assert!(matches!(actions[..], [AgentAction::AbandonCalls]), "{actions:?}");
-    assert!(group.agent(relay).take_batch(TERM + 1, held_up.clone()).is_empty());
+    assert!(group.agent(relay).receive_batch(TERM + 1, held_up.clone()).is_empty());
     let mut knows_of_newer_term = RelayAgent::new(relay);
-    assert!(knows_of_newer_term.take_batch(TERM + 1, held_up).is_empty());
+    assert!(knows_of_newer_term.receive_batch(TERM + 1, held_up).is_empty());
     assert!(!knows_of_newer_term.is_report_due());
 }
 
@@ -383,18 +383,18 @@
     let mut group = Group::ready();
     let id = |call| CallId { worker: 4, call };
     group.relay(renewal(4, 1));
-    assert_eq!(group.router.cancel(id(1)), Cancellation::Elsewhere);
+    assert_eq!(group.router.cancel(id(1)), Cancellation::Remote);
     let (actions, _) = group.exchange();
     assert!(matches!(actions[..], [(_, AgentAction::Cancel(call))] if call == id(1)), "{actions:?}");
     assert!(group.router.route(renewal(4, 2), LEASE_UNTIL).is_none());
-    assert_eq!(group.router.cancel(id(2)), Cancellation::Elsewhere);
+    assert_eq!(group.router.cancel(id(2)), Cancellation::Remote);
     assert!(group.exchange().0.is_empty());
     for relay in RELAYS {
         group.lose(relay);
     }
     group.router.route(renewal(4, 3), LEASE_UNTIL).expect("no relay is left");
-    assert_eq!(group.router.cancel(id(3)), Cancellation::Here);
-    assert_eq!(group.router.finished_here(id(3), CallOutcome::NoResponse), None);
+    assert_eq!(group.router.cancel(id(3)), Cancellation::Local);
+    assert_eq!(group.router.finish_local_call(id(3), CallOutcome::NoResponse), None);
 }
 
 #[test]
@@ -414,8 +414,8 @@
     group.agent(relay).call_finished(CallId { worker: 4, call: 1 }, CallOutcome::Answer { now_ms: 1 });
     let late = group.report_of(relay).expect("a report");
     group.router.end_term();
-    assert!(group.router.take_report(group.now, late.clone()).is_empty());
+    assert!(group.router.receive_report(group.now, late.clone()).is_empty());
     group.router.begin_term(TERM + 1, 0);
     assert!(group.router.set_members(group.now, &[LEADER, RELAYS[0], RELAYS[1]]).is_empty());
-    assert!(group.router.take_report(group.now, late).is_empty());
+    assert!(group.router.receive_report(group.now, late).is_empty());
 }
--- a/crates/mutants/src/list/listings.rs
+++ b/crates/mutants/src/list/listings.rs
@@ -41,12 +41,12 @@
             name: "listing-as-of-its-arrival",
             point: 6,
             file: "crates/control/src/platform/reader.rs",
-            find: r#"            let asked_at = self.clock.now();
+            find: r#"            let requested_at = self.clock.now();
             let body = self.read_page(address, list_read.next_token());
             let body = timeout(PAGE_TIMEOUT, body).await.map_err(|_| PlatformError::Timeout)??;"#,
             replace: r#"            let body = self.read_page(address, list_read.next_token());
             let body = timeout(PAGE_TIMEOUT, body).await.map_err(|_| PlatformError::Timeout)??;
-            let asked_at = self.clock.now();"#,
+            let requested_at = self.clock.now();"#,
             test: "-p control --test platform a_page_is_handed_on_before_the_next_one_comes_with_the_time_at_which_it_was_asked_for",
         },
 ];
