--- a/crates/control/tests/connection_budget.rs
+++ b/crates/control/tests/connection_budget.rs
@@ -1,10 +1,10 @@
-//! Idle connections are closed over the limit only, the longest idle first.
+//! Idle connections are closed only above the limit, the longest idle first.
 
 use control::connection_budget::{max_worker_connections, ConnectionBudget, IdleTicket};
 use quickcheck::quickcheck;
 
-/// Closes what is over the limit, and gives the owners in order.
-fn shed(budget: &mut ConnectionBudget<u32>) -> Vec<u32> {
+/// Closes idle connections until the limit holds, and returns their owners in the order of closing.
+fn close_excess(budget: &mut ConnectionBudget<u32>) -> Vec<u32> {
     let mut owners = Vec::new();
     while let Some((_, owner)) = budget.take_excess() {
         budget.closed();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn files_and_other_connections_are_left_out() {
+fn reserves_descriptors_for_files_and_other_connections() {
     assert_eq!(max_worker_connections(4_096), 2_567);
     assert_eq!(max_worker_connections(6_124), 3_986);
     assert_eq!(max_worker_connections(1_000), 500);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn connections_of_a_process_stay_under_seven_tenths_of_its_descriptors() {
+fn all_connections_stay_under_70_percent_of_descriptors() {
     for descriptors in [2_000, 4_096, 4_324, 6_124, 20_000] {
         let other = 300;
         let most = max_worker_connections(descriptors) + other;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn there_is_room_below_the_limit_or_in_place_of_an_idle_connection() {
+fn has_room_below_limit_or_with_an_idle_connection() {
     let mut budget = ConnectionBudget::new(1);
     assert!(budget.has_room());
     budget.opened();
@@ -44,18 +44,18 @@
 }
 
 #[test]
-fn at_the_limit_nothing_is_closed() {
+fn closes_nothing_at_the_limit() {
     let mut budget = ConnectionBudget::new(3);
     for owner in 0..3 {
         budget.opened();
         budget.became_idle(owner);
     }
-    assert!(shed(&mut budget).is_empty());
+    assert!(close_excess(&mut budget).is_empty());
     assert_eq!(budget.open(), 3);
 }
 
 #[test]
-fn the_longest_idle_is_closed_first() {
+fn closes_longest_idle_connection_first() {
     let mut budget = ConnectionBudget::new(3);
     (0..3).for_each(|_| budget.opened());
     let first = budget.became_idle(1);
@@ -63,36 +63,36 @@
     budget.no_longer_idle(first);
     budget.became_idle(1);
     (0..2).for_each(|_| budget.opened());
-    assert_eq!(shed(&mut budget), [2, 1]);
+    assert_eq!(close_excess(&mut budget), [2, 1]);
     assert_eq!(budget.open(), 3);
 }
 
 #[test]
-fn connections_in_use_stay_over_the_limit() {
+fn keeps_connections_in_use_above_the_limit() {
     let mut budget = ConnectionBudget::new(1);
     (0..3).for_each(|_| budget.opened());
-    assert!(shed(&mut budget).is_empty());
+    assert!(close_excess(&mut budget).is_empty());
     budget.became_idle(7);
-    assert_eq!(shed(&mut budget), [7]);
+    assert_eq!(close_excess(&mut budget), [7]);
     assert_eq!(budget.open(), 2);
 }
 
 #[test]
-fn nineteen_hundred_workers_with_two_connections_each_fit() {
+fn limit_of_4096_descriptors_is_enough_for_1900_workers() {
     let limit = max_worker_connections(4_096);
     let mut budget = ConnectionBudget::new(limit);
     for worker in 0..1_900 {
         budget.opened();
         budget.opened();
         budget.became_idle(worker);
-        shed(&mut budget);
+        close_excess(&mut budget);
         assert!(budget.open() <= limit);
     }
     assert_eq!(budget.open(), limit);
 }
 
 quickcheck! {
-    fn idle_connections_never_stay_over_the_limit(limit: u8, script: Vec<u8>) -> bool {
+    fn idle_connections_never_exceed_the_limit(limit: u8, script: Vec<u8>) -> bool {
         let limit = usize::from(limit % 16);
         let mut budget = ConnectionBudget::new(limit);
         let (mut busy, mut idle): (usize, Vec<(IdleTicket, u32)>) = (0, Vec::new());
@@ -106,7 +106,7 @@
             }
             let excess = (busy + idle.len()).saturating_sub(limit).min(idle.len());
             let expected: Vec<u32> = idle.drain(..excess).map(|(_, owner)| owner).collect();
-            if shed(&mut budget) != expected || budget.open() != busy + idle.len() {
+            if close_excess(&mut budget) != expected || budget.open() != busy + idle.len() {
                 return false;
             }
         }
--- a/crates/control/tests/event_queue.rs
+++ b/crates/control/tests/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue between tasks and the driver: messages of consensus do not wait behind other events.
+//! The event queue: consensus messages and urgent events do not wait behind other events.
 
 use control::event_queue::{event_queue, EventQueue, EventSender};
 use control::events::{DriverEvent, OperatorCall, OperatorRequest};
@@ -26,56 +26,56 @@
     DriverEvent::Frame { connection: 1, body: OneOfbody::consensus(message) }
 }
 
-/// Fills the ordinary lane: tasks that send more have to wait.
-fn flood(sender: &EventSender) -> u64 {
+/// Fills the ordinary lane, so that tasks that send more have to wait. Returns the number of events sent.
+fn fill_ordinary_lane(sender: &EventSender) -> u64 {
     let mut sent = 0;
     loop {
         match sender.ordinary().try_send(worker_event(sent)) {
             Ok(()) => sent += 1,
             Err(TrySendError::Full(_)) => return sent,
-            Err(TrySendError::Closed(_)) => panic!("the queue is there"),
+            Err(TrySendError::Closed(_)) => panic!("the queue is open"),
         }
     }
 }
 
-/// Who sent the messages of consensus that wait, in order.
+/// Takes the waiting consensus messages and returns their senders, in order.
 fn take_heartbeats(first: Option<DriverEvent>, queue: &mut EventQueue) -> Vec<u64> {
     let mut senders = Vec::new();
     let mut next = first;
     while let Some(event) = next.take().or_else(|| queue.next_consensus()) {
         match event {
             DriverEvent::Frame { body: OneOfbody::consensus(message), .. } => senders.push(message.from),
-            _ => panic!("another event in the lane of consensus"),
+            _ => panic!("another event in the consensus lane"),
         }
     }
     senders
 }
 
 #[test]
-fn a_flood_of_worker_events_does_not_delay_heartbeats() {
+fn many_worker_events_do_not_delay_heartbeats() {
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
-        let flooded = flood(&sender);
-        assert!(flooded > 256);
+        let filled = fill_ordinary_lane(&sender);
+        assert!(filled > 256);
         sender.send(heartbeat(1)).await.expect("room for consensus");
         sender.send(heartbeat(2)).await.expect("room for consensus");
         let first = queue.wait().await;
-        assert_eq!(take_heartbeats(first, &mut queue), [1, 2], "before the events that came first");
+        assert_eq!(take_heartbeats(first, &mut queue), [1, 2], "before the events that arrived first");
 
         let first = queue.wait().await;
         assert!(first.is_none() && queue.has_ordinary());
         queue.next_ordinary().expect("a worker event");
         sender.send(heartbeat(3)).await.expect("room for consensus");
         let first = queue.wait().await;
-        assert_eq!(take_heartbeats(first, &mut queue), [3], "before the events that were moved already");
+        assert_eq!(take_heartbeats(first, &mut queue), [3], "before events that were fetched already");
     });
 }
 
 #[test]
-fn the_platforms_list_an_order_of_the_operator_and_an_edges_ping_do_not_wait_behind_worker_events() {
+fn urgent_events_do_not_wait_behind_worker_events() {
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
-        flood(&sender);
+        fill_ordinary_lane(&sender);
         queue.fetch_ordinary();
         let ping = DriverEvent::Frame { connection: 9, body: OneOfbody::ping(Ping { number: 4 }) };
         let failed = DriverEvent::Instances { read: 1, result: Err(PlatformError::Timeout) };
@@ -92,12 +92,12 @@
 }
 
 #[test]
-fn other_events_keep_their_order_and_none_is_lost() {
+fn ordinary_events_keep_their_order_and_none_is_lost() {
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
-        let flooded = flood(&sender);
+        let filled = fill_ordinary_lane(&sender);
         let mut taken = Vec::new();
-        while taken.len() < usize::try_from(flooded).expect("few events") {
+        while taken.len() < usize::try_from(filled).expect("few events") {
             assert!(queue.wait().await.is_none());
             while let Some(event) = queue.next_ordinary() {
                 match event {
@@ -106,12 +106,12 @@
                 }
             }
         }
-        assert!(taken.into_iter().eq(0..flooded));
+        assert!(taken.into_iter().eq(0..filled));
     });
 }
 
 #[test]
-fn requests_of_clients_and_the_end_of_their_connection_keep_their_order_in_the_ordinary_lane() {
+fn end_of_a_connection_follows_its_client_requests() {
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
         let request = OneOfbody::request(ClientRequest::default());
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_urgent_event_wakes_the_driver() {
+fn urgent_event_wakes_the_driver() {
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
         let ping = OneOfbody::ping(Ping { number: 7 });
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_flood_of_heartbeats_does_not_delay_worker_events() {
+fn many_heartbeats_do_not_delay_worker_events() {
     on_one_thread(async {
         let (sender, mut queue) = event_queue();
         sender.ordinary().send(worker_event(7)).await.expect("room for a worker event");
@@ -149,11 +149,11 @@
         assert_eq!(take_heartbeats(first, &mut queue), [1]);
         queue.fetch_ordinary();
         let event =
-            queue.next_ordinary().expect("the turn that begins with a heartbeat takes the worker event, too");
+            queue.next_ordinary().expect("a turn that begins with a heartbeat also handles the worker event");
         assert!(matches!(event, DriverEvent::CallFinished { call: CallId { call: 7, .. }, .. }));
-        flood(&sender);
+        fill_ordinary_lane(&sender);
         queue.fetch_ordinary();
         let moved = std::iter::from_fn(|| queue.next_ordinary()).count();
-        assert!((1..=256).contains(&moved), "{moved} at one time");
+        assert!((1..=256).contains(&moved), "{moved} at a time");
     });
 }
--- a/crates/control/tests/expired_calls.rs
+++ b/crates/control/tests/expired_calls.rs
@@ -1,4 +1,4 @@
-//! Orders that expire: no byte of them leaves, wherever they wait.
+//! Calls that expire: no byte of them is sent, wherever they wait.
 
 use bytes::Bytes;
 use control::clock::{Clock, SECOND};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_that_expires_before_the_task_of_its_connection_writes_it_does_not_leave() {
+fn request_that_expires_before_the_write_is_not_sent() {
     on_one_thread(async {
         let (listener, address) = listener().await;
         let mut connection = HttpConnection::open(address).await.expect("a connection");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_limit_holds_for_one_request_and_not_for_the_answer_to_it() {
+fn deadline_applies_to_one_request_and_not_to_its_answer() {
     on_one_thread(async {
         let (listener, address) = listener().await;
         let server = spawn_local(async move {
@@ -76,7 +76,7 @@
         let in_time = Some(Instant::now() + TEST_TIMEOUT);
         connection.call_with_deadline(request(), in_time).await.expect("an answer");
         connection.call(request()).await.expect("an answer to a request without a limit");
-        server.await.expect("both requests came");
+        server.await.expect("both requests arrived");
     });
 }
 
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_start_on_knowledge_that_is_too_old_is_withheld_and_the_next_one_is_sent() {
+fn expired_start_is_withheld_and_the_next_one_is_sent() {
     on_one_thread(async {
         let (listener, address) = listener().await;
         let (sender, mut events) = mpsc::channel(4);
--- a/crates/control/tests/golden_folder.rs
+++ b/crates/control/tests/golden_folder.rs
@@ -1,8 +1,10 @@
-//! A data folder that an earlier version wrote is recovered to the same state, gone on with, and written alike today.
+//! A data directory written by an earlier version is recovered to the same state, can be extended, and is
+//! written with the same bytes today.
 //!
-//! `golden/data-folder` holds the folder (an identity, segments, a snapshot), `golden/data-folder.txt` what a start
-//! finds in it. Both must not change. `GOLDEN=write cargo test -p control --test golden_folder -- recovered` writes them anew: only
-//! after a change of the stored format that is meant, and then the old folder stays beside the new one.
+//! `golden/data-folder` holds the directory (an identity, segments, a snapshot); `golden/data-folder.txt`
+//! describes the state recovered at a start. Both must not change. This command writes them again:
+//! `GOLDEN=write cargo test -p control --test golden_folder -- recovered`. Use it only after an intended
+//! change of the stored format, and then keep the old directory beside the new one.
 
 use consensus::Payload;
 use log_records::restored;
@@ -25,22 +27,22 @@
     WriteBatch,
 };
 
-/// Kinds of entries as they stand on the disk.
+/// Kinds of entries as stored on disk.
 const COMMAND: u8 = 0;
 const NOOP: u8 = 1;
 const MEMBERSHIP: u8 = 2;
 const IDENTITY: u64 = 0x0000_0007_0a00_0001;
 const QUEUE: &str = "host.example/queue/";
-/// The entry that the snapshot covers.
+/// Index of the last entry covered by the snapshot.
 const SNAPSHOT_INDEX: u64 = 8;
-/// So small that the log has several segments.
+/// Small enough that the log has several segments.
 const SEGMENT_BYTES: u64 = 500;
 
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// A folder that goes with the test.
+/// A directory that is removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -79,7 +81,7 @@
     entries.map(read).collect()
 }
 
-// ---- What was written
+// ---- Contents of the golden directory
 
 fn batch(commands: Vec<OneOfkind>) -> Vec<u8> {
     let commands = commands.into_iter().map(|kind| Command { kind }).collect();
@@ -170,7 +172,7 @@
     OneOfkind::resolve_attempts(ResolveAttempts { resolved: vec![resolved] })
 }
 
-/// Entries up to and after the snapshot, from index 1 on.
+/// Payloads of the entries before and after the snapshot, starting at index 1.
 fn payloads() -> Vec<(u8, Vec<u8>)> {
     let gang = Stage { gang: true, ..stage(2, &[]) };
     let repeated = JobSpec {
@@ -227,7 +229,7 @@
     payloads
 }
 
-/// Writes the golden folder: two terms, a truncated end, a snapshot in the middle.
+/// Writes the golden directory: two terms, truncated entries at the end of the log, a snapshot in the middle.
 fn write_folder(path: &Path) {
     let directory = FileDirectory::new(path).expect("a folder");
     let options = StoreOptions { segment_bytes: SEGMENT_BYTES };
@@ -242,7 +244,7 @@
         let entry = StoredEntry { index, term, kind, payload };
         let hard_state = (kind == NOOP).then_some(HardState { term, vote: Some(IDENTITY) });
         if hard_state.is_some() {
-            // An entry of another leader, which goes again.
+            // An entry of another leader, which is truncated afterwards.
             let other = StoredEntry { term: term - 1, kind: NOOP, payload: Vec::new(), ..entry.clone() };
             let batch = WriteBatch { entries: vec![other], ..WriteBatch::default() };
             store.write(&batch).expect("written");
@@ -257,9 +259,9 @@
     }
 }
 
-// ---- What is found
+// ---- Recovered state
 
-/// The state after all entries.
+/// Applies all recovered entries and returns the resulting state.
 fn replay(recovered: Recovered, out: &mut String) -> State {
     let restored = restored(recovered).expect("a log of this system");
     let mut state = State::new();
@@ -292,7 +294,7 @@
     state
 }
 
-/// What a start finds, as text.
+/// Describes the state recovered at a start.
 fn dump(recovered: Recovered) -> (String, State) {
     let mut out = String::new();
     let identity = recovered.identity.map(|identity| identity.node_id);
@@ -332,7 +334,7 @@
         }
     }
     for worker in &saved.workers {
-        let incarnation = worker.incarnation.as_ref().expect("a life");
+        let incarnation = worker.incarnation.as_ref().expect("an incarnation");
         writeln!(
             out,
             "worker {} {} {} noted {}",
@@ -346,7 +348,7 @@
 }
 
 #[test]
-fn an_earlier_folder_is_recovered_to_the_same_state_and_gone_on_with() {
+fn stored_folder_is_recovered_and_extended() {
     if std::env::var("GOLDEN").is_ok_and(|what| what == "write") {
         let (path, written) = (golden("data-folder"), Folder::new("golden"));
         write_folder(&written.0);
@@ -369,7 +371,7 @@
     let entry = StoredEntry { index, term: 4, kind: COMMAND, payload };
     let hard_state = Some(HardState { term: 4, vote: None });
     let next = WriteBatch { hard_state, truncate_from: None, entries: vec![entry.clone()] };
-    store.write(&next).expect("the log goes on");
+    store.write(&next).expect("the log accepts another entry");
     drop(store);
     let (_, recovered) = folder.open().expect("a sound folder");
     assert_eq!(recovered.entries.last(), Some(&entry));
@@ -379,24 +381,24 @@
 }
 
 #[test]
-fn the_same_entries_are_written_as_the_same_bytes() {
+fn same_entries_are_written_as_the_same_bytes() {
     let folder = Folder::new("write-again");
     write_folder(&folder.0);
     let (written, expected) = (files(&folder.0), files(&golden("data-folder")));
     assert_eq!(written.keys().collect::<Vec<_>>(), expected.keys().collect::<Vec<_>>());
     for (name, bytes) in &expected {
-        assert!(written[name] == *bytes, "{name} is written otherwise");
+        assert!(written[name] == *bytes, "{name} is written differently");
     }
 }
 
 #[test]
-fn a_folder_of_another_program_is_refused() {
+fn folder_of_another_program_is_rejected() {
     for (name, bytes) in files(&golden("data-folder")) {
         let folder = Folder::golden(&format!("foreign-{name}"));
-        // Another magic in front of the same content.
+        // Another magic number in front of the same content.
         let foreign = [b"FOREIGN1", &bytes[8..]].concat();
         fs::write(folder.0.join(&name), foreign).expect("written");
-        assert!(folder.open().is_err(), "{name} of another program is taken");
+        assert!(folder.open().is_err(), "{name} of another program is accepted");
     }
     let folder = Folder::new("foreign");
     fs::write(folder.0.join("identity"), "not ours").expect("written");
--- a/crates/control/tests/lone_leader.rs
+++ b/crates/control/tests/lone_leader.rs
@@ -1,15 +1,16 @@
-//! A leader that has lost its majority tells nothing of the state, from the moment when another could have been elected.
+//! A leader that has lost its majority discloses no state once another leader could have been elected.
 
 mod support;
 
 use std::time::{Duration, Instant};
-use support::http::{call, call_until_clear};
+use support::http::{call, call_until_final};
 use support::Site;
 
-/// The pause of votes: a lease begun before the others ended is over by then.
+/// Time after which votes are granted again: a lease that began before the other processes stopped has
+/// expired by then.
 const VOTE_DELAY: Duration = Duration::from_millis(150);
-/// How long answers are watched: the leader gives up leading within this time.
-const WATCHED: Duration = Duration::from_millis(1_500);
+/// How long answers are checked: the leader steps down within this time.
+const CHECK_TIME: Duration = Duration::from_millis(1_500);
 
 fn configuration(version: u64) -> Vec<u8> {
     format!(
@@ -24,33 +25,33 @@
         let site = Site::new(&format!("lone-{run}"), 3);
         let mut processes: Vec<_> = site.found().into_iter().map(Some).collect();
         let leader = site.machine_at(&site.watch(0).wait_for_leader().leader_address);
-        let taken = call_until_clear(site.control(leader), "PUT", "If-Match: 0\r\n", &configuration(3));
-        assert_eq!(taken.status, 200);
+        let accepted = call_until_final(site.control(leader), "PUT", "If-Match: 0\r\n", &configuration(3));
+        assert_eq!(accepted.status, 200);
         for other in (0..3).filter(|other| *other != leader) {
             processes[other].take().expect("it runs").stop();
         }
         let stopped = Instant::now();
-        // None of these waits for a commit.
+        // None of these requests waits for a commit.
         let orders: [(&str, &str, Vec<u8>); 3] = [
             ("GET", "", Vec::new()),
             ("PUT", "If-Match: 1\r\n", configuration(9)),
             ("PUT", "If-Match: 3\r\n", configuration(3 - 1)),
         ];
-        let mut judged = 0;
+        let mut checked = 0;
         for (method, header, body) in orders.iter().cycle() {
             let sent = stopped.elapsed();
-            if sent > WATCHED {
+            if sent > CHECK_TIME {
                 break;
             }
             let reply = call(site.control(leader), method, header, body);
             if sent > VOTE_DELAY {
-                judged += 1;
+                checked += 1;
                 assert_eq!(reply.status, 503, "{method} {header:?} sent after {sent:?}: {:?}", reply.body);
             }
         }
-        assert!(judged > 3, "{judged} answers");
+        assert!(checked > 3, "{checked} answers");
         let order = call(site.control(leader), "PUT", "If-Match: 3\r\n", &configuration(9));
-        assert_eq!(order.status, 503, "a proper order is not confirmed either");
+        assert_eq!(order.status, 503, "a valid order is not confirmed either");
         processes.into_iter().flatten().for_each(support::Process::stop);
     }
 }
--- a/crates/control/tests/metrics.rs
+++ b/crates/control/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: what is counted, and the text of the OpenMetrics format.
+//! Metrics: the counters and the OpenMetrics text format.
 
 use control::metrics::histogram::{Histogram, BOUNDS_MS};
 use control::metrics::text::MetricsText;
@@ -26,7 +26,7 @@
 }
 
 quickcheck! {
-    fn every_time_is_in_all_buckets_from_its_bound_on(times: Vec<u32>) -> bool {
+    fn every_duration_is_in_all_buckets_up_from_its_own(times: Vec<u32>) -> bool {
         let mut histogram = Histogram::default();
         times.iter().for_each(|time| histogram.observe(u64::from(*time) * 50));
         let expected = |bound_ms: u64| {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_histogram_is_written_with_bounds_in_seconds() {
+fn histogram_is_written_with_bounds_in_seconds() {
     let mut histogram = Histogram::default();
     histogram.observe(MS);
     histogram.observe(3 * MS);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn values_of_labels_are_escaped() {
+fn label_values_are_escaped() {
     let mut text = MetricsText::default();
     text.gauges("workers", "Help.", [([("service", "a\"b\\c\nd".to_owned())], 2)]);
     let text = text.finish();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn jobs_and_attempts_are_counted_as_they_are_applied() {
+fn jobs_and_attempts_are_counted_when_applied() {
     let mut metrics = Metrics::default();
     metrics.leadership_changed(Leadership::Gained);
     let instance = std::sync::Arc::from("i-1");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_was_under_way_is_not_measured_across_leaders() {
+fn latencies_are_not_measured_across_leaders() {
     let mut metrics = Metrics::default();
     metrics.leadership_changed(Leadership::Gained);
     metrics.proposed(10 * MS);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_time_of_turns_is_written_by_part() {
+fn turn_time_is_written_by_part() {
     let mut metrics = Metrics::default();
     metrics.turns.record_part(TurnPart::WorkerCalls, 3, 6 * MS);
     metrics.turns.record_part(TurnPart::Timers, 1, MS);
--- a/crates/control/tests/own_lateness.rs
+++ b/crates/control/tests/own_lateness.rs
@@ -1,4 +1,4 @@
-//! A process that is late: what it has not read yet is not missing.
+//! A stalled process does not treat input that it has not read yet as missing.
 
 use control::absence::StallMeter;
 use control::clock::Clock;
@@ -32,7 +32,7 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Workers on a thread of their own that answer all at once, when they are told to.
+/// Workers on a thread of their own, which all answer at once on command.
 struct SlowWorkers {
     addresses: Vec<SocketAddr>,
     answer: blocking::Sender<()>,
@@ -45,23 +45,23 @@
         let listeners: Vec<TcpListener> = (0..count).map(bind).collect();
         let address = |listener: &TcpListener| listener.local_addr().expect("an address");
         let addresses = listeners.iter().map(address).collect();
-        let (answer, told) = blocking::channel();
+        let (answer, command) = blocking::channel();
         let (done, answered) = blocking::channel();
         thread::spawn(move || {
             let accept = |listener: &TcpListener| listener.accept().expect("a connection").0;
             let mut streams: Vec<_> = listeners.iter().map(accept).collect();
             for stream in &mut streams {
                 let read = stream.read(&mut [0; 4_096]).expect("a call");
-                assert!(read > 0, "a call has come");
+                assert!(read > 0, "a call has arrived");
             }
             done.send(()).expect("the test goes on");
-            told.recv().expect("the test tells when to answer");
+            command.recv().expect("the test says when to answer");
             for stream in &mut streams {
-                stream.write_all(ANSWER).expect("an answer leaves");
+                stream.write_all(ANSWER).expect("an answer is sent");
             }
             done.send(()).expect("the test goes on");
             // The connections stay open until the test ends.
-            let _ = told.recv();
+            let _ = command.recv();
         });
         SlowWorkers { addresses, answer, answered }
     }
@@ -74,11 +74,11 @@
 }
 
 #[test]
-fn a_marker_arrives_after_all_answers_that_arrived_before_it_set_out() {
+fn marker_arrives_after_all_earlier_answers() {
     const WORKERS: usize = 300;
-    let played = async {
+    let scenario = async {
         let workers = SlowWorkers::start(WORKERS);
-        // As few as the driver's queue holds under load: answers wait for room.
+        // Small capacity, so that answers wait for room as they do under load.
         let (sender, mut events) = mpsc::channel(16);
         let mut client = WorkerClient::new(sender.clone(), Clock::start());
         for (number, address) in workers.addresses.iter().enumerate() {
@@ -88,7 +88,7 @@
             tokio::task::yield_now().await;
         }
         workers.answer.send(()).expect("the workers wait");
-        // This process stands still while the answers arrive.
+        // This process is stalled while the answers arrive.
         workers.answered.recv().expect("the workers have answered");
         spawn_local(send_input_marker(5, sender));
         let mut answers = 0;
@@ -101,11 +101,11 @@
         }
         assert_eq!(answers, WORKERS, "answers before the marker");
     };
-    on_one_thread(async { timeout(TEST_TIMEOUT, played).await.expect("an end in time") });
+    on_one_thread(async { timeout(TEST_TIMEOUT, scenario).await.expect("an end in time") });
 }
 
 #[test]
-fn a_limit_that_passes_while_the_process_is_late_begins_anew() {
+fn timeout_restarts_if_the_process_was_stalled() {
     on_one_thread(async {
         pause();
         let mut waiting = pin!(stall_tolerant_timeout(LIMIT, pending::<()>()));
@@ -113,14 +113,14 @@
             async || poll_fn(|context| Poll::Ready(waiting.as_mut().poll(context).is_ready())).await;
         assert!(!is_over().await);
         advance(LIMIT * 4).await;
-        assert!(!is_over().await, "the process was late");
+        assert!(!is_over().await, "the process was stalled");
         advance(LIMIT + Duration::from_millis(2)).await;
-        assert!(is_over().await, "the process was in time");
+        assert!(is_over().await, "the process was not stalled");
     });
 }
 
 #[test]
-fn a_process_that_is_always_late_still_reaches_its_limits() {
+fn timeout_ends_even_if_the_process_is_always_stalled() {
     on_one_thread(async {
         pause();
         let mut waiting = pin!(stall_tolerant_timeout(LIMIT, pending::<()>()));
@@ -129,14 +129,14 @@
         let mut rounds = 0;
         while !is_over().await {
             rounds += 1;
-            assert!(rounds < 20, "it never ends");
+            assert!(rounds < 20, "the timeout never ends");
             advance(LIMIT * 4).await;
         }
     });
 }
 
 #[test]
-fn long_turns_and_late_timers_are_absence_and_idle_time_is_not() {
+fn long_turns_and_late_timers_count_as_stalls_and_idle_time_does_not() {
     let mut meter = StallMeter::default();
     assert_eq!(meter.turn_began(1_000 * MS, 1_000 * MS), 0);
     meter.turn_ended(1_002 * MS);
--- a/crates/control/tests/platform.rs
+++ b/crates/control/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's list is read page by page; each page is handed on when it arrives, with the time at which it was asked for.
+//! The platform's list is read page by page. Each page is sent to the driver on arrival, with the time at
+//! which it was requested.
 
 use configuration::Instance;
 use control::clock::Clock;
@@ -32,7 +33,7 @@
     (PlatformClient::new(discovery, Some(address), sender, Clock::start()), events, listener)
 }
 
-/// Answers one request; gives its first line.
+/// Answers one request and returns its request line.
 async fn answer(stream: &mut TcpStream, status: &str, body: &str) -> String {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -44,7 +45,7 @@
     text.lines().next().unwrap_or_default().to_owned()
 }
 
-/// The next page, or why the read ended.
+/// The next page, or the error that ended the read.
 async fn page(events: &mut mpsc::Receiver<DriverEvent>) -> (ReadId, Result<ListedPage, PlatformError>) {
     match events.recv().await {
         Some(DriverEvent::Instances { read, result }) => (read, result),
@@ -56,7 +57,7 @@
     pages.into_iter().flat_map(|page| page.iter()).map(|instance| instance.id.clone()).collect()
 }
 
-/// The identities on the complete list, and which of its pages have changed.
+/// The instance ids of the complete list, and for each of its pages whether it has changed.
 async fn list(events: &mut mpsc::Receiver<DriverEvent>) -> Result<(Vec<String>, Vec<bool>), PlatformError> {
     let mut changed = Vec::new();
     let mut listed = Vec::new();
@@ -65,14 +66,14 @@
         changed.push(page.has_changed);
         listed.push(page.instances);
         if let Some(complete) = &page.complete_list {
-            assert_eq!(ids(complete), ids(&listed), "the pages as they were handed on");
+            assert_eq!(ids(complete), ids(&listed), "the pages as they were sent");
             return Ok((ids(complete), changed));
         }
     }
 }
 
 #[test]
-fn all_pages_make_one_list_over_one_connection() {
+fn reads_all_pages_over_one_connection() {
     on_one_thread(async {
         let (mut client, mut events, listener) = platform("cloud_api").await;
         client.read();
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_page_is_handed_on_before_the_next_one_comes_with_the_time_at_which_it_was_asked_for() {
+fn each_page_is_sent_on_arrival_with_its_request_time() {
     on_one_thread(async {
         let (sender, mut events) = mpsc::channel(4);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -104,7 +105,10 @@
         let first = page(&mut events).await.1.expect("a page");
         assert_eq!(ids([&first.instances]), ["i-1"]);
         assert!(first.complete_list.is_none());
-        assert!((begun_at..=connected_at).contains(&first.requested_at), "as of when the page was asked for");
+        assert!(
+            (begun_at..=connected_at).contains(&first.requested_at),
+            "the time at which the page was requested"
+        );
 
         answer(&mut stream, "200 OK", LAST_PAGE).await;
         let answered_at = clock.now();
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn pages_of_a_read_that_was_ended_are_told_apart() {
+fn pages_of_a_cancelled_read_are_not_current() {
     on_one_thread(async {
         let (mut client, mut events, listener) = platform("cloud_api").await;
         client.read();
@@ -136,7 +140,7 @@
 }
 
 #[test]
-fn a_page_that_fails_completes_no_list() {
+fn failed_page_completes_no_list() {
     on_one_thread(async {
         let (mut client, mut events, listener) = platform("cloud_api").await;
         client.read();
@@ -149,7 +153,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_completes_no_list() {
+fn unreadable_entry_completes_no_list() {
     on_one_thread(async {
         let (mut client, mut events, listener) = platform("cloud_api").await;
         client.read();
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn another_kind_of_discovery_is_an_error_that_names_the_remedy() {
+fn unsupported_discovery_is_an_error_with_a_remedy() {
     on_one_thread(async {
         let (mut client, mut events, _listener) = platform("gossip").await;
         client.read();
@@ -170,7 +174,7 @@
 }
 
 #[test]
-fn pages_are_reported_as_unchanged_until_they_change_or_another_leader_reads_them() {
+fn unchanged_pages_are_reported_as_unchanged_until_a_stop() {
     on_one_thread(async {
         let (mut client, mut events, listener) = platform("cloud_api").await;
         client.read();
@@ -201,7 +205,7 @@
 }
 
 #[test]
-fn a_list_that_has_become_shorter_ends_earlier() {
+fn shortened_list_ends_earlier() {
     on_one_thread(async {
         let (mut client, mut events, listener) = platform("cloud_api").await;
         let shorter = FIRST_PAGE.replace("\"p 50&\"", "null");
--- a/crates/control/tests/platform_rate_limiter.rs
+++ b/crates/control/tests/platform_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Requests for pages of the platform's list stay within its rate limit, however many there are.
+//! Requests for pages of the platform's list stay within its rate limit, however many pages there are.
 
 use control::platform::rate_limiter::PageRateLimiter;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 }
 
 #[test]
-fn a_list_of_few_pages_is_read_without_delays() {
+fn short_list_is_read_without_delays() {
     assert_eq!(total_delay(PageRateLimiter::new(30.0), 15), Duration::ZERO);
 }
 
 #[test]
-fn a_long_list_uses_half_of_the_rate_limit() {
+fn long_list_uses_half_of_the_rate_limit() {
     let pages = 200;
     let free = 15;
     let seconds = total_delay(PageRateLimiter::new(30.0), pages).as_secs_f64();
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_platform_without_a_rate_limit_is_read_without_delays() {
+fn platform_without_rate_limit_is_read_without_delays() {
     for rate in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         assert_eq!(total_delay(PageRateLimiter::new(rate), 500), Duration::ZERO);
     }
 }
 
 #[test]
-fn a_tiny_rate_makes_bounded_delays() {
+fn tiny_rate_limit_causes_bounded_delays() {
     assert_eq!(PageRateLimiter::new(1e-9).delay_before(0), Duration::ZERO);
     assert_eq!(PageRateLimiter::new(1e-9).delay_before(1), Duration::from_secs(1));
 }
--- a/crates/control/tests/relay.rs
+++ b/crates/control/tests/relay.rs
@@ -1,5 +1,6 @@
-//! Calls to workers over relays: which machine makes a call, with which token, until when, and what becomes of calls whose relay
-//! fails. The two sides are joined by hand: what passes between them is lost, late or foreign as a test wants it.
+//! Calls to workers over relays: which process makes a call, with which fencing token and deadline, and what
+//! happens to calls whose relay fails. The tests connect the two sides directly, so that messages can be
+//! lost, delayed or come from another session.
 
 use control::clock::{MILLISECOND, SECOND};
 use control::relay::{fencing_token, AgentAction, CallRouter, Cancellation, RelayAgent, RELAY_TIMEOUT_NS};
@@ -12,8 +13,8 @@
 const LEADER: u64 = 1;
 const RELAYS: [u64; 2] = [2, 3];
 const TERM: u64 = 7;
-/// The relays' clocks are this far ahead of the leader's.
-const CLOCK_OFFSET: u64 = 1_000 * SECOND;
+/// How far the relays' clocks are ahead of the leader's clock.
+const CLOCK_OFFSET_NS: u64 = 1_000 * SECOND;
 const LEASE_UNTIL: u64 = 60 * SECOND;
 
 fn address(worker: u64) -> String {
@@ -54,9 +55,9 @@
     call_of(worker, call, WorkerRequest::Stop { key: attempt(), fencing_token: TERM })
 }
 
-/// What a relay does.
+/// An action of a relay.
 type RelayAction = (u64, AgentAction);
-/// An outcome for the leader.
+/// A finished call and its outcome, for the leader.
 type FinishedCall = (CallId, CallOutcome);
 
 /// A leader's router and the agents of its relays.
@@ -67,7 +68,7 @@
 }
 
 impl Group {
-    /// A leader with two relays that have answered, which relays all calls.
+    /// A leader with two relays that have answered; all calls are relayed.
     fn ready() -> Group {
         let mut group = Group::unanswered(0);
         group.exchange();
@@ -98,13 +99,14 @@
     }
 
     fn report_of(&mut self, relay: u64) -> Option<RelayReport> {
-        let clock = self.now + CLOCK_OFFSET;
+        let clock = self.now + CLOCK_OFFSET_NS;
         let (leader, report) = self.agent(relay).take_report(clock)?;
         assert_eq!(leader, LEADER);
         Some(report)
     }
 
-    /// Everything passes between both sides once. Gives what the relays do, and the outcomes for the leader.
+    /// Delivers all due batches and reports once. Returns the relays' actions and the finished calls for the
+    /// leader.
     fn exchange(&mut self) -> (Vec<RelayAction>, Vec<FinishedCall>) {
         let mut actions = Vec::new();
         for (relay, batch) in self.batches() {
@@ -120,7 +122,7 @@
         (actions, outcomes)
     }
 
-    /// Routes a call, which goes to a relay. Gives the relay and the call as it arrives there.
+    /// Routes a call, which must go to a relay. Returns the relay and the call as it arrives there.
     fn relay(&mut self, call: WorkerCall) -> (u64, WorkerCall) {
         assert!(self.router.route(call, LEASE_UNTIL).is_none(), "the call goes to a relay");
         let (mut actions, _) = self.exchange();
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn calls_and_outcomes_of_each_kind_pass_unchanged_but_for_token_and_limit() {
+fn relaying_changes_only_the_token_and_the_deadline_of_calls() {
     let mut group = Group::ready();
     for (number, call) in [start(4, 1, LEASE_UNTIL), renewal(4, 2), stop(4, 3)].into_iter().enumerate() {
         let (_, mut arrived) = group.relay(call.clone());
@@ -165,16 +167,16 @@
             group.agent(relay).call_finished(id, outcome.clone());
         }
         let (_, finished) = group.exchange();
-        assert_eq!(finished, [(id, outcome.clone())], "from the relay that makes it alone");
+        assert_eq!(finished, [(id, outcome.clone())], "only from the relay that makes the call");
     }
 }
 
 #[test]
-fn a_leader_of_few_workers_or_without_relays_calls_them_itself() {
+fn leader_with_few_workers_or_without_relays_makes_calls_itself() {
     let mut few = Group::unanswered(500);
     assert!(few.batches().is_empty(), "relays that are not needed get nothing");
     assert_eq!(few.router.next_timer(few.now), u64::MAX);
-    let call = few.router.route(renewal(4, 1), LEASE_UNTIL).expect("made here");
+    let call = few.router.route(renewal(4, 1), LEASE_UNTIL).expect("made by the leader");
     assert_eq!(token_of(&call), fencing_token(TERM, 0));
     let mut unanswered = Group::unanswered(0);
     assert!(unanswered.router.route(renewal(4, 1), LEASE_UNTIL).is_some(), "no relay has answered");
@@ -189,21 +191,25 @@
 }
 
 #[test]
-fn a_worker_changes_its_carrier_with_a_higher_token_and_not_while_orders_are_in_flight() {
+fn route_changes_with_a_higher_token_and_not_during_orders() {
     let mut group = Group::unanswered(0);
     let order = group.router.route(stop(4, 1), LEASE_UNTIL).expect("no relay has answered");
     group.exchange();
-    let renewed = group.router.route(renewal(4, 2), LEASE_UNTIL).expect("an order is in flight here");
+    let renewed =
+        group.router.route(renewal(4, 2), LEASE_UNTIL).expect("an order of the leader is in flight");
     assert_eq!(token_of(&renewed), token_of(&order));
     group.router.finish_local_call(CallId { worker: 4, call: 1 }, CallOutcome::Answer { now_ms: 1 });
     let (_, relayed) = group.relay(renewal(4, 3));
     assert_eq!(token_of(&relayed), fencing_token(TERM, 1));
     assert!(fencing_token(TERM, 1) > token_of(&order));
-    assert!(fencing_token(TERM + 1, 0) > fencing_token(TERM, u64::MAX), "a later term is above all of them");
+    assert!(
+        fencing_token(TERM + 1, 0) > fencing_token(TERM, u64::MAX),
+        "tokens of a later term are higher than all of them"
+    );
 }
 
 #[test]
-fn a_call_that_the_worker_rejects_for_its_new_carriers_token_does_not_fence_the_leader() {
+fn token_of_a_newer_route_does_not_fence_the_same_leader() {
     let mut group = Group::unanswered(0);
     let id = CallId { worker: 4, call: 1 };
     group.router.route(renewal(4, 1), LEASE_UNTIL).expect("no relay has answered");
@@ -211,13 +217,13 @@
     let (relay, _) = group.relay(renewal(4, 2));
     let stale = CallOutcome::Refused { now_ms: Some(1), reason: Refusal::StaleFencingToken };
     assert_eq!(group.router.finish_local_call(id, stale.clone()), Some(CallOutcome::Interrupted));
-    // The call with the newest token was refused: another leader has been there.
+    // The worker rejected a call with the newest token: it has seen another leader.
     group.agent(relay).call_finished(CallId { worker: 4, call: 2 }, stale.clone());
     assert_eq!(group.exchange().1, [(CallId { worker: 4, call: 2 }, stale)]);
 }
 
 #[test]
-fn the_calls_of_a_lost_relay_are_interrupted_and_its_workers_move_with_higher_tokens() {
+fn calls_of_a_lost_relay_are_interrupted_and_routes_move_with_higher_tokens() {
     let mut group = Group::ready();
     let (relay, ordered) = group.relay(start(4, 1, LEASE_UNTIL));
     assert_eq!(group.lose(relay), [(CallId { worker: 4, call: 1 }, CallOutcome::Interrupted)]);
@@ -231,7 +237,7 @@
 }
 
 #[test]
-fn the_loss_of_a_relay_leaves_the_routes_over_the_other_one() {
+fn loss_of_a_relay_keeps_routes_over_the_other_relay() {
     let mut group = Group::ready();
     let routes: Vec<(u64, u64)> =
         (1..=40).map(|worker| (worker, group.relay(renewal(worker, 1)).0)).collect();
@@ -246,7 +252,7 @@
 }
 
 #[test]
-fn a_relay_that_freezes_is_lost_once_the_input_of_its_time_was_read() {
+fn frozen_relay_is_lost_only_after_input_was_read() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(renewal(4, 1));
     group.now += SECOND;
@@ -254,7 +260,7 @@
     let sent_at = group.now;
     group.batches();
     let overdue_at = sent_at + RELAY_TIMEOUT_NS;
-    // The leader itself was late: its report may have arrived.
+    // The leader itself was stalled: the report may have arrived unread.
     group.now = overdue_at + 5 * SECOND;
     assert!(group.router.awaits_input(group.now));
     assert!(group.router.expire_overdue_relays(group.now, overdue_at - 1).is_empty());
@@ -267,7 +273,7 @@
 }
 
 #[test]
-fn a_quiet_relay_with_calls_in_flight_is_asked_whether_it_is_there() {
+fn relay_with_calls_in_flight_gets_keepalives() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(renewal(4, 1));
     assert!(group.batches().is_empty());
@@ -279,7 +285,7 @@
 }
 
 #[test]
-fn the_first_call_after_an_hour_without_calls_does_not_expire_on_its_way() {
+fn first_call_after_an_idle_hour_does_not_expire_in_transit() {
     let mut group = Group::ready();
     for _ in 0..3_600 {
         group.now = group.router.next_timer(group.now);
@@ -289,11 +295,11 @@
     let lease_until = group.now + 300 * MILLISECOND;
     assert!(group.router.route(renewal(4, 1), lease_until).is_none());
     let batch = group.batches().into_iter().find(|(_, batch)| !batch.calls.is_empty()).expect("a batch").1;
-    assert!(batch.calls[0].leave_by > group.now + 200 * MILLISECOND + CLOCK_OFFSET);
+    assert!(batch.calls[0].leave_by > group.now + 200 * MILLISECOND + CLOCK_OFFSET_NS);
 }
 
 #[test]
-fn a_report_that_was_lost_ends_the_session() {
+fn lost_report_ends_the_session() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(renewal(4, 1));
     group.agent(relay).call_finished(CallId { worker: 4, call: 1 }, CallOutcome::Answer { now_ms: 1 });
@@ -304,7 +310,7 @@
 }
 
 #[test]
-fn a_batch_that_was_lost_ends_the_session_and_no_call_of_a_later_one_is_made() {
+fn lost_batch_ends_the_session_before_later_calls_are_made() {
     let mut group = Group::ready();
     assert!(group.router.route(renewal(4, 1), LEASE_UNTIL).is_none());
     let lost: Vec<u64> = group.batches().into_iter().map(|(relay, _)| relay).collect();
@@ -320,7 +326,7 @@
 }
 
 #[test]
-fn a_relay_that_was_started_again_takes_no_call_with_a_limit_of_its_former_clock() {
+fn restarted_relay_accepts_no_call_with_a_deadline_of_its_previous_clock() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(renewal(4, 1));
     *group.agent(relay) = RelayAgent::new(relay);
@@ -331,11 +337,11 @@
 }
 
 #[test]
-fn a_call_leaves_its_relay_neither_after_the_lease_nor_after_its_knowledge_is_too_old() {
+fn relayed_calls_expire_with_the_lease_or_their_own_expiry() {
     let mut group = Group::ready();
     let read_at = group.now;
-    // The clocks of both sides run at rates that differ by two percent at most.
-    let latest = |limit: u64| limit + CLOCK_OFFSET - (limit - read_at) / 50;
+    // The rates of the two clocks differ by at most two percent.
+    let latest = |limit: u64| limit + CLOCK_OFFSET_NS - (limit - read_at) / 50;
     group.now += 100 * MILLISECOND;
     for (call, limit) in
         [(start(4, 1, 3 * SECOND), 3 * SECOND), (renewal(4, 2), LEASE_UNTIL), (stop(4, 3), LEASE_UNTIL)]
@@ -349,37 +355,37 @@
     }
     assert!(group.router.route(start(4, 4, read_at - 1), LEASE_UNTIL).is_none());
     let batch = group.batches().into_iter().find(|(_, batch)| !batch.calls.is_empty()).expect("a batch").1;
-    assert!(batch.calls[0].leave_by <= read_at + CLOCK_OFFSET, "it has expired when it arrives");
+    assert!(batch.calls[0].leave_by <= read_at + CLOCK_OFFSET_NS, "the call has expired when it arrives");
 }
 
 #[test]
-fn a_relay_drops_the_calls_of_a_leader_that_was_replaced_and_takes_no_more_of_them() {
+fn relay_abandons_and_rejects_calls_of_a_replaced_leader() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(start(4, 1, LEASE_UNTIL));
     assert!(group.router.route(start(4, 2, LEASE_UNTIL), LEASE_UNTIL).is_none());
-    let held_up = group.batches().into_iter().find(|(id, _)| *id == relay).expect("a batch").1;
+    let delayed = group.batches().into_iter().find(|(id, _)| *id == relay).expect("a batch").1;
     let first = WorkerCallBatch { from: 3, term: TERM + 1, session: 1, number: 1, ..Default::default() };
     let actions = group.agent(relay).receive_batch(TERM + 1, first);
     assert!(matches!(actions[..], [AgentAction::AbandonCalls]), "{actions:?}");
-    assert!(group.agent(relay).receive_batch(TERM + 1, held_up.clone()).is_empty());
+    assert!(group.agent(relay).receive_batch(TERM + 1, delayed.clone()).is_empty());
     let mut knows_of_newer_term = RelayAgent::new(relay);
-    assert!(knows_of_newer_term.receive_batch(TERM + 1, held_up).is_empty());
+    assert!(knows_of_newer_term.receive_batch(TERM + 1, delayed).is_empty());
     assert!(!knows_of_newer_term.is_report_due());
 }
 
 #[test]
-fn a_relay_that_learns_of_a_newer_term_ends_the_session() {
+fn newer_term_ends_the_session_of_a_relay() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(start(4, 1, LEASE_UNTIL));
     assert!(!group.agent(relay).end_session_before(TERM));
-    assert!(group.agent(relay).end_session_before(TERM + 1), "its calls are to be abandoned");
+    assert!(group.agent(relay).end_session_before(TERM + 1), "its calls must be abandoned");
     assert!(!group.agent(relay).end_session_before(TERM + 1));
     group.agent(relay).call_finished(CallId { worker: 4, call: 1 }, CallOutcome::NoResponse);
     assert!(group.report_of(relay).is_none());
 }
 
 #[test]
-fn a_cancelled_call_reaches_whoever_makes_it_and_one_that_has_not_left_never_does() {
+fn cancellation_reaches_the_calling_process_and_removes_unsent_calls() {
     let mut group = Group::ready();
     let id = |call| CallId { worker: 4, call };
     group.relay(renewal(4, 1));
@@ -398,7 +404,7 @@
 }
 
 #[test]
-fn a_member_that_is_removed_is_no_relay_any_more() {
+fn removed_member_is_no_longer_a_relay() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(renewal(4, 1));
     let left: Vec<u64> = [LEADER].into_iter().chain(RELAYS).filter(|id| *id != relay).collect();
@@ -408,7 +414,7 @@
 }
 
 #[test]
-fn an_outcome_of_a_term_that_has_ended_is_ignored() {
+fn outcome_of_an_ended_term_is_ignored() {
     let mut group = Group::ready();
     let (relay, _) = group.relay(renewal(4, 1));
     group.agent(relay).call_finished(CallId { worker: 4, call: 1 }, CallOutcome::Answer { now_ms: 1 });
--- a/crates/control/tests/replica.rs
+++ b/crates/control/tests/replica.rs
@@ -1,4 +1,5 @@
-//! A process that leads after a restart has a long log to apply: its heartbeats are not delayed by that.
+//! A process that becomes leader after a restart has a long log to apply. Its heartbeats must not be delayed
+//! by that.
 
 use consensus::{
     AppendReply, Entry, Event, Member, Membership, Message, Node, NodeId, Options, Payload, Snapshot,
@@ -17,10 +18,10 @@
 
 const OWN: NodeId = 1;
 const FOLLOWER: NodeId = 2;
-/// Entries that become committed at once.
+/// Number of entries that become committed at once.
 const ENTRIES: u64 = 1_000;
 
-/// A process that was restarted, whose peers and clock the test plays.
+/// A restarted process. The test simulates its peers and its clock.
 struct Restarted {
     replica: Replica,
     now: u64,
@@ -71,7 +72,7 @@
         }
     }
 
-    fn win(&mut self) {
+    fn win_election(&mut self) {
         self.run_timer();
         let term = self.replica.node().term() + 1;
         self.receive(Message::VoteReply(VoteReply { term, granted: true, pre_vote: true }));
@@ -91,15 +92,15 @@
 
 impl Drop for Restarted {
     fn drop(&mut self) {
-        // Left over at worst.
+        // An error only leaves the directory behind.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 #[test]
-fn heartbeats_do_not_wait_until_a_long_log_is_applied() {
+fn heartbeats_do_not_wait_for_the_application_of_a_long_log() {
     let mut process = Restarted::new("long-log");
-    process.win();
+    process.win_election();
     process.acknowledge_all();
     let committed = process.effects.iter().filter(|effect| matches!(effect, Effect::Committed(_))).count();
     assert_eq!(committed as u64, ENTRIES + 1, "the complete log and the first entry of the term");
@@ -113,16 +114,16 @@
 }
 
 #[test]
-fn a_snapshot_that_cannot_be_restored_is_an_error_and_changes_nothing() {
+fn failed_restore_is_an_error_and_leaves_state_unchanged() {
     let mut process = Restarted::new("snapshot");
-    process.win();
+    process.win_election();
     process.acknowledge_all();
     let before = encode(&process.replica.state().snapshot());
     let later_format = encode(&SchedulerSnapshot { format: u32::MAX, ..SchedulerSnapshot::default() });
     for data in [vec![0xff; 40], later_format] {
         let meta = SnapshotMeta { index: 5, term: 1, membership: Membership::default() };
         let error = process.replica.restore(&Snapshot { meta, data: Arc::new(data) });
-        assert!(error.is_err(), "a process without the group's state must not go on");
+        assert!(error.is_err(), "a process without the group's state must not continue");
         assert_eq!(encode(&process.replica.state().snapshot()), before);
         assert_eq!(process.replica.applied_index(), 0);
     }
--- a/crates/control/tests/support/http.rs
+++ b/crates/control/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator.
+//! A client of the operator's API.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,12 +19,12 @@
     }
 }
 
-/// One call for the configuration on a connection of its own.
+/// Makes one call to `/v1/config` on a connection of its own.
 pub fn call(address: SocketAddr, method: &str, headers: &str, body: &[u8]) -> Reply {
     call_path(address, method, "/v1/config", headers, body)
 }
 
-/// Connects as soon as the operator's API listens, which it does after the address for other processes.
+/// Waits until the operator's API listens, which happens after the process listens for peers.
 pub fn wait_for_api(address: SocketAddr) {
     let deadline = Instant::now() + super::TEST_TIMEOUT;
     while TcpStream::connect(address).is_err() {
@@ -48,15 +48,15 @@
     stream.write_all(head.as_bytes()).expect("the API reads");
     stream.write_all(body).expect("the API reads");
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("a whole answer");
+    stream.read_to_end(&mut bytes).expect("a complete answer");
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n").expect("the end of the head");
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
     Reply { status, head, body: bytes[end + 4..].to_vec() }
 }
 
-/// Calls as the operator does: follows 307, and sends the call again after a 503.
-pub fn call_until_clear(first: SocketAddr, method: &str, headers: &str, body: &[u8]) -> Reply {
+/// Calls as the operator does: follows 307 and repeats the call after a 503.
+pub fn call_until_final(first: SocketAddr, method: &str, headers: &str, body: &[u8]) -> Reply {
     let deadline = Instant::now() + super::TEST_TIMEOUT;
     let mut address = first;
     loop {
@@ -66,11 +66,11 @@
             503 => address = first,
             _ => return reply,
         }
-        assert!(Instant::now() < deadline, "no clear answer in time: {}", reply.head);
+        assert!(Instant::now() < deadline, "no final answer in time: {}", reply.head);
     }
 }
 
-/// The address that a 307 names.
+/// The address in the location of a 307.
 pub fn target(reply: &Reply) -> SocketAddr {
     let location = reply.header("location").expect("a 307 names a location");
     let rest = location.strip_prefix("http://").expect("a location by HTTP");
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Control processes on loopback addresses, as threads of the test.
+//! Control processes on loopback addresses, run as threads of the test.
 
 #![allow(dead_code)]
 
@@ -16,13 +16,13 @@
 use tokio::sync::mpsc;
 use watcher::Watcher;
 
-/// Longest time that a test waits for anything.
+/// Maximum time that a test waits for anything.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 const CONTROL_PORT: u16 = 8_146;
 const PEER_PORT: u16 = 7_660;
 
-/// The machines of one test, each with its own address and folder.
+/// The machines of one test, each with its own address and directory.
 pub struct Site {
     network: [u8; 2],
     folder: PathBuf,
@@ -30,22 +30,22 @@
     platform: Option<SocketAddr>,
 }
 
-/// A control process that runs.
+/// A running control process.
 pub struct Process {
     signals: mpsc::Sender<Signal>,
     thread: JoinHandle<Result<(), ControlError>>,
 }
 
 impl Process {
-    /// Asks it to stop as the platform does, and waits for its end.
+    /// Asks the process to stop, as the platform does, and waits for its end.
     pub fn stop(self) {
         self.signals.blocking_send(Signal::Stop).expect("the process listens to signals");
-        self.thread.join().expect("the process does not panic").expect("the process ends in order");
+        self.thread.join().expect("the process does not panic").expect("the process ends without an error");
     }
 }
 
 impl Site {
-    /// Machines on addresses that no other test uses, with empty disks.
+    /// Creates machines with empty disks, on random loopback addresses that other tests do not use.
     pub fn new(name: &str, machines: usize) -> Self {
         let folder = env::temp_dir().join(format!("control-{name}-{}", process::id()));
         let network = [fastrand::u8(1..=254), fastrand::u8(1..=254)];
@@ -53,13 +53,13 @@
         Site { network, folder, machines, platform: None }
     }
 
-    /// The same machines, which read the platform's list at this address.
+    /// Lets the machines read the platform's list at this address.
     pub fn with_platform(mut self, platform: SocketAddr) -> Self {
         self.platform = Some(platform);
         self
     }
 
-    /// A folder that goes with the site.
+    /// The test's directory, which is removed together with the site.
     pub fn folder(&self) -> &PathBuf {
         &self.folder
     }
@@ -69,17 +69,17 @@
         Ipv4Addr::new(127, second, third, machine as u8 + 1)
     }
 
-    /// Where the operator's API of a machine is.
+    /// Address of a machine's operator API.
     pub fn control(&self, machine: usize) -> SocketAddr {
         (self.ip(machine), CONTROL_PORT).into()
     }
 
-    /// Where a machine listens for other processes.
+    /// Address at which a machine listens for peers.
     pub fn peer(&self, machine: usize) -> SocketAddr {
         (self.ip(machine), PEER_PORT).into()
     }
 
-    /// The machine with this address for peers.
+    /// The machine that has this peer address.
     pub fn machine_at(&self, address: &str) -> usize {
         (0..self.machines)
             .find(|machine| self.peer(*machine).to_string() == address)
@@ -90,7 +90,7 @@
         self.folder.join(format!("disk-{machine}"))
     }
 
-    /// Takes all files off a machine's disk.
+    /// Removes all files from a machine's disk.
     pub fn wipe(&self, machine: usize) {
         fs::remove_dir_all(self.disk(machine)).expect("the disk can be cleared");
     }
@@ -114,7 +114,7 @@
         (0..self.machines).map(|machine| self.start(machine, true)).collect()
     }
 
-    /// Connects to a machine's process and watches what it tells of leaders.
+    /// Connects to a machine's process and watches its leader notices.
     pub fn watch(&self, machine: usize) -> Watcher {
         Watcher::connect(self.peer(machine), Instant::now() + TEST_TIMEOUT)
     }
@@ -140,7 +140,7 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // The folder is of the test alone; one that stays does no harm.
+        // Only this test uses the directory; a leftover does no harm.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/control/tests/support/watcher.rs
+++ b/crates/control/tests/support/watcher.rs
@@ -1,4 +1,4 @@
-//! A connection to a control process like that of an edge.
+//! A client connection to a control process, like that of an edge.
 
 use messages::peer::{mod_PeerFrame::OneOfbody, Hello, LeaderNotice, PeerFrame};
 use messages::{decode, encode_frame, FrameReader};
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages and entries survive the conversion to bytes and back.
+//! Messages and entries are unchanged after conversion to bytes and back.
 
 use consensus::{Entry, HardState, Member, Membership, Message, Payload, Restored, Snapshot, SnapshotMeta};
 use control::wire;
@@ -107,7 +107,7 @@
 }
 
 quickcheck! {
-    fn messages_survive_the_wire(from: u64, to: u64, message: AnyMessage) -> bool {
+    fn messages_survive_wire_conversion(from: u64, to: u64, message: AnyMessage) -> bool {
         let bytes = encode(&wire::message_to_wire(from, to, message.0.clone()));
         let wire: ConsensusMessage = decode(&bytes).expect("a message");
         let ends = (wire.from, wire.to);
@@ -115,7 +115,7 @@
         ends == (from, to) && back == Some(message.0)
     }
 
-    fn logs_survive_the_store(entries: Vec<AnyEntry>, index: u64, term: u64, vote: Option<u64>, data: Vec<u8>) -> bool {
+    fn logs_survive_storage_conversion(entries: Vec<AnyEntry>, index: u64, term: u64, vote: Option<u64>, data: Vec<u8>) -> bool {
         let entries: Vec<Entry> = entries.into_iter().map(|entry| entry.0).collect();
         let membership = membership(&mut Gen::new(8));
         let snapshot = Snapshot { meta: SnapshotMeta { index, term, membership }, data: Arc::new(data) };
@@ -130,7 +130,7 @@
         log_records::restored(recovered) == Ok(expected)
     }
 
-    fn no_bytes_make_it_panic(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_do_not_panic(bytes: Vec<u8>) -> bool {
         if let Ok(wire) = decode::<ConsensusMessage>(&bytes) {
             let _ = wire::message_from_wire(wire.kind);
         }
--- a/crates/control/tests/worker_calls.rs
+++ b/crates/control/tests/worker_calls.rs
@@ -1,4 +1,4 @@
-//! What workers' answers mean, and what their connections are used for.
+//! The meaning of workers' answers, and the use of connections to workers.
 
 use control::clock::Clock;
 use control::events::DriverEvent;
@@ -19,9 +19,9 @@
 use tokio::time::timeout;
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longer than a call waits for a busy connection where there is room for another.
+/// Longer than a call waits for a busy connection when another one may be opened.
 const BUSY_WAIT: Duration = Duration::from_millis(200);
-/// Turns of the runtime in which a call would have left.
+/// Number of runtime turns within which a call would have been sent.
 const TURNS: usize = 200;
 
 fn key() -> AttemptKey {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn each_status_of_an_order_has_its_meaning() {
+fn each_order_status_maps_to_its_outcome() {
     let cases = [
         (200, r#"{"NowMs":5}"#, CallOutcome::Answer { now_ms: 5 }),
         (409, r#"{"NowMs":5,"Reason":"fence"}"#, refused(Some(5), Refusal::StaleFencingToken)),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_lease_renewal_gives_both_lists() {
+fn lease_renewal_returns_both_lists() {
     let body = r#"{"NowMs":9,"Running":[["5c0e7a21d94b36f8.0.1.17",2,"cp",41],["foreign",1,"",0]],
         "Finished":[[58,"5c0e7a21d94b36f8.0.1.17",1,"lapsed","c"]]}"#;
     let CallOutcome::Lists { now_ms, running, finished } = outcome_of(&lease_renewal(), &answer(200, body))
@@ -84,14 +84,14 @@
     );
 }
 
-/// Runs a test on one thread, as the driver runs.
+/// Runs a test on a single thread, as the driver runs.
 fn on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let limited = async { timeout(TEST_TIMEOUT, test).await.expect("an end in time") };
     LocalSet::new().block_on(&runtime, limited);
 }
 
-/// A client, its events, and a worker's listener.
+/// Creates a client, its event receiver, and a worker's listener.
 async fn worker() -> (WorkerClient, mpsc::Receiver<DriverEvent>, TcpListener) {
     let (sender, events) = mpsc::channel(16);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads one request, whose body ends with a brace.
+/// Reads one request whose body ends with a brace.
 async fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"}") {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_persistent_connection_carries_the_next_order() {
+fn persistent_connection_is_reused_for_the_next_order() {
     on_one_thread(async {
         let (mut client, mut events, listener) = worker().await;
         client.start(call(1, &listener, stop()));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_lost_connection_is_no_response_and_a_refused_one_is_not_sent() {
+fn lost_connection_is_no_response_and_refused_connection_is_not_sent() {
     on_one_thread(async {
         let (mut client, mut events, listener) = worker().await;
         client.start(call(1, &listener, stop()));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_call_that_was_given_up_closes_its_connection() {
+fn cancelled_call_closes_its_connection() {
     on_one_thread(async {
         let (mut client, mut events, listener) = worker().await;
         client.start(call(1, &listener, lease_renewal()));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn outcomes_of_a_former_leadership_are_passed_over() {
+fn outcomes_of_an_earlier_leadership_are_ignored() {
     on_one_thread(async {
         let (mut client, _events, listener) = worker().await;
         let id = CallId { worker: 1, call: 1 };
@@ -193,8 +193,8 @@
     });
 }
 
-/// Carries one call to its end over a new connection, which is given back.
-async fn carry(
+/// Completes one call over a new connection, which the client then keeps as idle.
+async fn complete_call(
     client: &mut WorkerClient,
     events: &mut mpsc::Receiver<DriverEvent>,
     call: WorkerCall,
@@ -208,8 +208,8 @@
     stream
 }
 
-/// Carries one call to its end over a connection that is open already.
-async fn carry_again(
+/// Completes one call over an already open connection.
+async fn complete_call_on(
     client: &mut WorkerClient,
     events: &mut mpsc::Receiver<DriverEvent>,
     call: WorkerCall,
@@ -222,25 +222,28 @@
     assert_eq!(outcome(events).await.0, number);
 }
 
-/// Over the limit, the connection of this call, which has been idle for longest, closes, and the others carry on.
+/// Above the limit, the connection that has been idle for longest (the one of `oldest`) closes and the others
+/// stay usable.
 async fn longest_idle_closes(oldest: WorkerRequest, newer: WorkerRequest) {
     let (mut client, mut events, first) = worker().await;
     let second = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     client.set_max_connections(3);
-    let mut oldest_stream = carry(&mut client, &mut events, call(1, &first, oldest.clone()), &first).await;
-    let mut newer_stream = carry(&mut client, &mut events, call(2, &first, newer.clone()), &first).await;
-    let mut newest = carry(&mut client, &mut events, call(3, &second, stop()), &second).await;
-    let mut last = carry(&mut client, &mut events, call(4, &second, lease_renewal()), &second).await;
+    let mut oldest_stream =
+        complete_call(&mut client, &mut events, call(1, &first, oldest.clone()), &first).await;
+    let mut newer_stream =
+        complete_call(&mut client, &mut events, call(2, &first, newer.clone()), &first).await;
+    let mut newest = complete_call(&mut client, &mut events, call(3, &second, stop()), &second).await;
+    let mut last = complete_call(&mut client, &mut events, call(4, &second, lease_renewal()), &second).await;
     assert_eq!(oldest_stream.read(&mut [0; 16]).await.expect("an orderly end"), 0);
 
-    carry_again(&mut client, &mut events, call(5, &second, lease_renewal()), &mut last).await;
-    carry_again(&mut client, &mut events, call(6, &second, stop()), &mut newest).await;
-    carry_again(&mut client, &mut events, call(7, &first, newer), &mut newer_stream).await;
-    carry(&mut client, &mut events, call(8, &first, oldest), &first).await;
+    complete_call_on(&mut client, &mut events, call(5, &second, lease_renewal()), &mut last).await;
+    complete_call_on(&mut client, &mut events, call(6, &second, stop()), &mut newest).await;
+    complete_call_on(&mut client, &mut events, call(7, &first, newer), &mut newer_stream).await;
+    complete_call(&mut client, &mut events, call(8, &first, oldest), &first).await;
 }
 
 #[test]
-fn over_the_limit_the_longest_idle_connection_closes_whatever_it_carries() {
+fn longest_idle_connection_closes_above_the_limit_for_either_kind_of_call() {
     on_one_thread(async {
         longest_idle_closes(stop(), lease_renewal()).await;
         longest_idle_closes(lease_renewal(), stop()).await;
@@ -248,23 +251,23 @@
 }
 
 #[test]
-fn over_the_limit_connections_in_use_stay_open() {
+fn connections_in_use_stay_open_above_the_limit() {
     on_one_thread(async {
         let (mut client, mut events, first) = worker().await;
         client.set_max_connections(1);
         client.start(call(1, &first, lease_renewal()));
         let (mut waiting, _) = first.accept().await.expect("a connection");
         read_request(&mut waiting).await;
-        let mut order = carry(&mut client, &mut events, call(2, &first, stop()), &first).await;
+        let mut order = complete_call(&mut client, &mut events, call(2, &first, stop()), &first).await;
         assert_eq!(order.read(&mut [0; 16]).await.expect("an orderly end"), 0);
         reply(&mut waiting, r#"{"NowMs":1}"#).await;
         assert_eq!(outcome(&mut events).await.0, 1);
-        carry_again(&mut client, &mut events, call(3, &first, lease_renewal()), &mut waiting).await;
+        complete_call_on(&mut client, &mut events, call(3, &first, lease_renewal()), &mut waiting).await;
     });
 }
 
 #[test]
-fn at_the_limit_a_busy_lane_opens_no_further_connection() {
+fn busy_pool_opens_no_connection_at_the_limit() {
     on_one_thread(async {
         let (mut client, mut events, listener) = worker().await;
         client.set_max_connections(1);
@@ -282,10 +285,10 @@
 }
 
 #[test]
-fn connections_outlive_a_leadership_for_the_next_one_of_this_process() {
+fn connections_stay_open_for_the_next_leadership() {
     on_one_thread(async {
         let (mut client, mut events, listener) = worker().await;
-        let mut idle = carry(&mut client, &mut events, call(1, &listener, stop()), &listener).await;
+        let mut idle = complete_call(&mut client, &mut events, call(1, &listener, stop()), &listener).await;
         client.start(call(2, &listener, lease_renewal()));
         let (mut waiting, _) = listener.accept().await.expect("a connection");
         read_request(&mut waiting).await;
@@ -296,13 +299,13 @@
             matches!(late, Some(DriverEvent::CallFinished { generation: 0, call, .. }) if !client.finished(0, call))
         );
 
-        carry_again(&mut client, &mut events, call(1, &listener, stop()), &mut idle).await;
-        carry_again(&mut client, &mut events, call(2, &listener, lease_renewal()), &mut waiting).await;
+        complete_call_on(&mut client, &mut events, call(1, &listener, stop()), &mut idle).await;
+        complete_call_on(&mut client, &mut events, call(2, &listener, lease_renewal()), &mut waiting).await;
     });
 }
 
 #[test]
-fn the_answer_to_a_call_of_an_earlier_leadership_reaches_no_later_call() {
+fn answer_of_an_earlier_leadership_reaches_no_later_call() {
     on_one_thread(async {
         let (mut client, mut events, listener) = worker().await;
         client.start(call(1, &listener, lease_renewal()));
@@ -327,7 +330,7 @@
 }
 
 #[test]
-fn a_call_that_waits_for_a_connection_is_not_sent_after_its_leadership() {
+fn waiting_call_is_not_sent_after_its_leadership() {
     on_one_thread(async {
         let (mut client, _events, listener) = worker().await;
         client.start(call(1, &listener, lease_renewal()));
--- a/crates/control/tests/worker_connections.rs
+++ b/crates/control/tests/worker_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to workers that end or speak at the wrong moment: nothing is sent twice, and an answer reaches the call that
-//! it belongs to or none.
+//! Connections to workers that end, or receive data, at the wrong moment: no call is sent twice, and an
+//! answer reaches its own call or none.
 
 use control::clock::Clock;
 use control::events::DriverEvent;
@@ -17,9 +17,9 @@
 use tokio::time::{advance, pause, resume, timeout};
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Turns of the runtime in which a second copy of a call would have left.
+/// Number of runtime turns within which a second copy of a call would have been sent.
 const TURNS: usize = 200;
-/// How long a call waits for a busy connection at least, rounded up to the runtime's timers.
+/// Minimum wait of a call for a busy connection, rounded up to the runtime's timer resolution.
 const BUSY_WAIT: Duration = Duration::from_millis(32);
 
 fn on_one_thread(test: impl Future<Output = ()>) {
@@ -42,7 +42,7 @@
         Worker { client: WorkerClient::new(sender, Clock::start()), events, listener, next_call: 0 }
     }
 
-    /// Sends an order that may not be repeated.
+    /// Sends an order that must not be repeated.
     fn start(&mut self) {
         self.next_call += 1;
         let task = TaskKey { job: 1, time: 0, step: 0, index: 0 };
@@ -98,7 +98,7 @@
     stream.write_all(text.as_bytes()).await.expect("a reader");
 }
 
-/// Answers that end before they are complete.
+/// Truncated answers.
 const TRUNCATED_ANSWERS: [&str; 6] = [
     "",
     "HTT",
@@ -109,7 +109,7 @@
 ];
 
 #[test]
-fn an_answer_that_ends_early_is_no_response_and_the_order_is_not_sent_again() {
+fn truncated_answer_is_no_response_and_the_order_is_not_resent() {
     on_one_thread(async {
         for truncated in TRUNCATED_ANSWERS {
             let mut worker = Worker::new().await;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_reused_connection_that_ends_after_the_order_was_read_is_no_response_too() {
+fn truncated_answer_on_a_reused_connection_is_no_response() {
     on_one_thread(async {
         for truncated in TRUNCATED_ANSWERS {
             let mut worker = Worker::new().await;
@@ -144,8 +144,8 @@
     });
 }
 
-/// A worker's first call is answered by what `first` writes; the next one must have its own answer, on a connection of
-/// its own.
+/// The worker answers the first call with the texts in `first`. The next call must get its own answer, on a
+/// connection of its own.
 async fn next_call_has_its_own_answer(first: &[String]) {
     let mut worker = Worker::new().await;
     worker.start();
@@ -166,22 +166,23 @@
 }
 
 #[test]
-fn a_second_answer_in_one_segment_reaches_no_later_call() {
+fn second_answer_in_one_segment_reaches_no_later_call() {
     on_one_thread(async { next_call_has_its_own_answer(&[answer(1) + &answer(99)]).await });
 }
 
 #[test]
-fn an_answer_that_nobody_asked_for_reaches_no_later_call() {
+fn unsolicited_answer_reaches_no_later_call() {
     on_one_thread(async { next_call_has_its_own_answer(&[answer(1), answer(99)]).await });
 }
 
 #[test]
-fn an_answer_before_its_request_is_read_meets_at_most_that_call() {
+fn answer_before_the_request_is_read_reaches_only_that_call() {
     on_one_thread(async {
         let mut worker = Worker::new().await;
         worker.start();
         let mut stream = worker.accept().await;
-        // Before a byte of the request is read: it may have left the client by now, or not.
+        // The answer is written before any byte of the request is read; the request may or may not have been
+        // sent by then.
         write(&mut stream, &answer(99)).await;
         drop(stream);
         let outcome = worker.outcome().await;
@@ -197,16 +198,19 @@
 }
 
 #[test]
-fn a_call_that_waits_while_the_process_is_late_opens_no_second_connection() {
+fn wait_during_a_stall_opens_no_second_connection() {
     on_one_thread(async {
         let mut worker = Worker::new().await;
         worker.start();
         let _busy = worker.accept().await;
         pause();
         worker.start();
-        assert!(worker.opens_nothing_more().await, "it waits for the busy connection");
+        assert!(worker.opens_nothing_more().await, "the call waits for the busy connection");
         advance(BUSY_WAIT * 4).await;
-        assert!(worker.opens_nothing_more().await, "the wait ended late: the connection may only look busy");
+        assert!(
+            worker.opens_nothing_more().await,
+            "the process was stalled: the connection may only seem busy"
+        );
         advance(BUSY_WAIT).await;
         resume();
         worker.accept().await;
--- a/crates/mutants/src/list/listings.rs
+++ b/crates/mutants/src/list/listings.rs
@@ -35,7 +35,7 @@
             file: "crates/control/src/limited_stream.rs",
             find: "state.expires_at.is_some_and(|expiry| Instant::now() >= expiry)",
             replace: "state.expires_at.is_some_and(|_| false)",
-            test: "-p control --test expired_calls a_request_that_expires_before_the_task_of_its_connection_writes_it_does_not_leave",
+            test: "-p control --test expired_calls request_that_expires_before_the_write_is_not_sent",
         },
         Mutant {
             name: "listing-as-of-its-arrival",
@@ -47,6 +47,6 @@
             replace: r#"            let body = self.read_page(address, list_read.next_token());
             let body = timeout(PAGE_TIMEOUT, body).await.map_err(|_| PlatformError::Timeout)??;
             let requested_at = self.clock.now();"#,
-            test: "-p control --test platform a_page_is_handed_on_before_the_next_one_comes_with_the_time_at_which_it_was_asked_for",
+            test: "-p control --test platform each_page_is_sent_on_arrival_with_its_request_time",
         },
 ];
--- a/crates/mutants/src/list/snapshots.rs
+++ b/crates/mutants/src/list/snapshots.rs
@@ -60,7 +60,7 @@
             file: "crates/control/src/replica.rs",
             find: "State::restore(&saved).map_err(|error| ControlError::Snapshot(index, error))?",
             replace: "State::restore(&saved).unwrap_or_default()",
-            test: "-p control --test replica a_snapshot_that_cannot_be_restored_is_an_error_and_changes_nothing",
+            test: "-p control --test replica failed_restore_is_an_error_and_leaves_state_unchanged",
         },
         Mutant {
             name: "snapshot-name-not-synced",
