--- a/crates/control/src/absence.rs
+++ b/crates/control/src/absence.rs
@@ -16,7 +16,7 @@
     /// Records the start of a turn; the first timer after the previous turn was due at `next_timer`. Returns
     /// how long the process was stalled since the previous turn began: the length of that turn plus the time
     /// by which the timer was late. Returns 0 if the stall is shorter than `MIN_STALL_NS`.
-    pub fn turn_began(&mut self, now: u64, next_timer: u64) -> u64 {
+    pub fn begin_turn(&mut self, now: u64, next_timer: u64) -> u64 {
         let turn = self.turn_ended.saturating_sub(self.turn_began);
         let overdue = now.saturating_sub(next_timer.max(self.turn_ended));
         self.turn_began = now;
@@ -28,7 +28,7 @@
     }
 
     /// Records the end of the turn.
-    pub fn turn_ended(&mut self, now: u64) {
+    pub fn end_turn(&mut self, now: u64) {
         self.turn_ended = now;
     }
 }
--- a/crates/control/src/driver/event_handlers.rs
+++ b/crates/control/src/driver/event_handlers.rs
@@ -101,7 +101,7 @@
                 self.step_consensus(now, Event::Message { from: message.from, message: content });
             }
             Ok(None) => {}
-            Err(error) => log::warn!("a message of core process {:#x}: {error}", message.from),
+            Err(error) => log::warn!("invalid message from core process {:#x}: {error}", message.from),
         }
     }
 
--- a/crates/control/src/driver/lateness.rs
+++ b/crates/control/src/driver/lateness.rs
@@ -6,12 +6,12 @@
 impl Driver {
     /// Reports to the leader how long this process was stalled before the turn that begins now.
     pub(super) fn record_stall(&mut self, now: u64, next_timer: u64) {
-        let absence = self.absence.turn_began(now, next_timer);
-        if absence == 0 {
+        let stall = self.stall_meter.begin_turn(now, next_timer);
+        if stall == 0 {
             return;
         }
         if let Some(leader) = self.leader.as_mut() {
-            leader.record_process_pause(now, absence);
+            leader.record_process_pause(now, stall);
         }
     }
 
--- a/crates/control/src/driver/mod.rs
+++ b/crates/control/src/driver/mod.rs
@@ -115,7 +115,7 @@
     /// Routes this process's calls as a leader: locally or over relays.
     pub(crate) router: CallRouter,
     /// Makes calls on behalf of another leader.
-    relay: RelayAgent,
+    relay_agent: RelayAgent,
     /// Earliest time of this process's next report as a relay, in nanoseconds of `clock`.
     next_report: u64,
     pub(crate) platform: PlatformClient,
@@ -128,7 +128,7 @@
     leaderless_since: Option<u64>,
     /// The last logged reason for a missing leader, and when it was logged.
     logged_obstacle: Option<(LeadershipObstacle, u64)>,
-    absence: StallMeter,
+    stall_meter: StallMeter,
     input_markers: InputMarkers,
     /// When the leader's load was last logged, in nanoseconds of `clock`.
     load_recorded_at: u64,
@@ -215,7 +215,7 @@
             founding_id,
             leaderless_since: None,
             logged_obstacle: None,
-            absence: StallMeter::default(),
+            stall_meter: StallMeter::default(),
             input_markers: InputMarkers::new(events.ordinary().clone()),
             load_recorded_at: now,
             next_seed_check: 0,
@@ -224,7 +224,7 @@
             operator_calls: OperatorCalls::default(),
             workers: WorkerClient::new(events.ordinary().clone(), clock),
             router: CallRouter::new(id, MIN_RELAYED_WORKERS),
-            relay: RelayAgent::new(id),
+            relay_agent: RelayAgent::new(id),
             next_report: 0,
             platform: PlatformClient::new(
                 &settings.discovery,
@@ -273,7 +273,7 @@
             let now = self.clock.now();
             self.record_stall(now, next_timer);
             self.take_turn(now, first, events);
-            self.absence.turn_ended(self.clock.now());
+            self.stall_meter.end_turn(self.clock.now());
             if let Some(exit) = self.take_exit(now) {
                 return exit;
             }
--- a/crates/control/src/driver/relaying.rs
+++ b/crates/control/src/driver/relaying.rs
@@ -17,7 +17,7 @@
 impl Driver {
     /// Starts to route calls for `term`, which this process leads.
     pub(super) fn begin_routing(&mut self, now: u64, term: u64) {
-        if self.relay.end_session_before(term) {
+        if self.relay_agent.end_session_before(term) {
             self.workers.abandon_calls();
         }
         let workers = self.leader.as_ref().map_or(0, Leader::worker_count);
@@ -54,7 +54,7 @@
     /// Handles the end of a call that this process made, either as the leader or as a relay.
     pub(super) fn handle_call_finished(&mut self, now: u64, call: CallId, outcome: CallOutcome) {
         if self.leader.is_none() {
-            self.relay.call_finished(call, outcome);
+            self.relay_agent.call_finished(call, outcome);
             return;
         }
         if let Some(outcome) = self.router.finish_local_call(call, outcome) {
@@ -67,7 +67,7 @@
         if self.leader.is_some() || self.recovery.is_some() {
             return;
         }
-        for action in self.relay.receive_batch(self.replica.node().term(), batch) {
+        for action in self.relay_agent.receive_batch(self.replica.node().term(), batch) {
             match action {
                 AgentAction::AbandonCalls => self.workers.abandon_calls(),
                 AgentAction::Start(call) => self.workers.start(call),
@@ -108,13 +108,13 @@
             }
             return;
         }
-        if self.relay.end_session_before(self.replica.node().term()) {
+        if self.relay_agent.end_session_before(self.replica.node().term()) {
             self.workers.abandon_calls();
         }
         if now < self.next_report {
             return;
         }
-        if let Some((leader, report)) = self.relay.take_report(self.clock.now()) {
+        if let Some((leader, report)) = self.relay_agent.take_report(self.clock.now()) {
             self.next_report = now + REPORT_INTERVAL_NS;
             self.peers.send_frame(leader, OneOfbody::relay_report(report));
         }
@@ -125,7 +125,7 @@
         if self.leader.is_some() {
             return self.router.next_timer(self.clock.now());
         }
-        if self.relay.is_report_due() {
+        if self.relay_agent.is_report_due() {
             return self.next_report;
         }
         u64::MAX
--- a/crates/control/src/http.rs
+++ b/crates/control/src/http.rs
@@ -1,6 +1,6 @@
 //! Persistent HTTP/1.1 connections to workers and to the platform.
 
-use crate::limited_stream::{LimitedStream, WriteLimit};
+use crate::limited_stream::{LimitedStream, WriteDeadline};
 use crate::transport::socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
-    write_limit: WriteLimit,
+    write_deadline: WriteDeadline,
 }
 
 impl HttpConnection {
@@ -72,8 +72,8 @@
     /// Fails if no connection is established or if it ends at once.
     pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
         let stream = socket::connect(address).await.map_err(CallError::Connect)?;
-        let write_limit = WriteLimit::default();
-        let stream = LimitedStream::new(stream, write_limit.clone());
+        let write_deadline = WriteDeadline::default();
+        let stream = LimitedStream::new(stream, write_deadline.clone());
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| CallError::ConnectionLost(error.to_string()))?;
@@ -82,7 +82,7 @@
                 log::debug!("connection to {address}: {error}");
             }
         });
-        Ok(HttpConnection { sender, write_limit })
+        Ok(HttpConnection { sender, write_deadline })
     }
 
     /// Whether another request may be sent.
@@ -120,9 +120,9 @@
         expires_at: Option<Instant>,
     ) -> Result<Answer, CallError> {
         self.ready().await?;
-        self.write_limit.begin_request(expires_at);
+        self.write_deadline.begin_request(expires_at);
         match self.exchange(request).await {
-            Err(_) if self.write_limit.has_expired_unsent() => Err(CallError::Expired),
+            Err(_) if self.write_deadline.has_expired_unsent() => Err(CallError::Expired),
             result => result,
         }
     }
--- a/crates/control/src/limited_stream.rs
+++ b/crates/control/src/limited_stream.rs
@@ -14,21 +14,21 @@
 
 /// The deadline of the request being written, shared by the stream and the owner of the connection.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WriteLimit {
-    state: Rc<Cell<LimitState>>,
+pub(crate) struct WriteDeadline {
+    state: Rc<Cell<DeadlineState>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct LimitState {
+struct DeadlineState {
     expires_at: Option<Instant>,
     has_written: bool,
     has_expired: bool,
 }
 
-impl WriteLimit {
+impl WriteDeadline {
     /// Starts a request of which no byte may be written at or after `expires_at`.
     pub(crate) fn begin_request(&self, expires_at: Option<Instant>) {
-        self.state.set(LimitState { expires_at, has_written: false, has_expired: false });
+        self.state.set(DeadlineState { expires_at, has_written: false, has_expired: false });
     }
 
     /// Whether the request expired before any byte of it was written.
@@ -40,7 +40,7 @@
     fn check(&self) -> io::Result<()> {
         let state = self.state.get();
         if state.expires_at.is_some_and(|expiry| Instant::now() >= expiry) {
-            self.state.set(LimitState { has_expired: true, ..state });
+            self.state.set(DeadlineState { has_expired: true, ..state });
             return Err(io::Error::new(io::ErrorKind::TimedOut, "the request has expired"));
         }
         Ok(())
@@ -48,7 +48,7 @@
 
     fn record_write(&self, outcome: &Poll<io::Result<usize>>) {
         if matches!(outcome, Poll::Ready(Ok(1..))) {
-            self.state.set(LimitState { has_written: true, ..self.state.get() });
+            self.state.set(DeadlineState { has_written: true, ..self.state.get() });
         }
     }
 }
@@ -57,13 +57,13 @@
 #[derive(Debug)]
 pub(crate) struct LimitedStream {
     stream: TcpStream,
-    limit: WriteLimit,
+    deadline: WriteDeadline,
 }
 
 impl LimitedStream {
     /// Limits the writes to `stream`.
-    pub(crate) fn new(stream: TcpStream, limit: WriteLimit) -> Self {
-        LimitedStream { stream, limit }
+    pub(crate) fn new(stream: TcpStream, deadline: WriteDeadline) -> Self {
+        LimitedStream { stream, deadline }
     }
 }
 
@@ -83,9 +83,9 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.limit.check()?;
+        self.deadline.check()?;
         let outcome = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.limit.record_write(&outcome);
+        self.deadline.record_write(&outcome);
         outcome
     }
 
@@ -94,9 +94,9 @@
         context: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.limit.check()?;
+        self.deadline.check()?;
         let outcome = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.limit.record_write(&outcome);
+        self.deadline.record_write(&outcome);
         outcome
     }
 
--- a/crates/control/src/platform/reader.rs
+++ b/crates/control/src/platform/reader.rs
@@ -1,8 +1,8 @@
 //! The thread that reads the platform's list of instances.
 //!
-//! Within `DrainMs`, the list tells on which workers nothing more may be started. Calls for the list must
-//! therefore not queue behind calls to thousands of workers; they have their own thread, runtime and
-//! connection.
+//! The list shows which workers are draining, and the leader must notice that within `DrainMs`, because
+//! nothing more may be started on such a worker. Requests for the list must therefore not queue behind calls
+//! to thousands of workers; they have their own thread, runtime and connection.
 
 use super::error::{PlatformError, MAX_PAGES, PAGE_TIMEOUT};
 use super::pages::{ListPages, ListRead, ReadId};
--- a/crates/control/src/worker_client.rs
+++ b/crates/control/src/worker_client.rs
@@ -249,7 +249,7 @@
 ) -> Result<CallOutcome, CallError> {
     let address = parse_address(&call.address)?;
     let (parts, body) = request_for(call)?.into_parts();
-    let connected_by = connection_limit(call, send_deadline);
+    let connected_by = connection_deadline(call, send_deadline);
     loop {
         let mut connection = pool.acquire().await;
         let is_reused = connection.is_open();
@@ -279,7 +279,7 @@
 }
 
 /// Latest time until which a call may wait for its connection.
-fn connection_limit(call: &WorkerCall, send_deadline: Option<Instant>) -> Option<Instant> {
+fn connection_deadline(call: &WorkerCall, send_deadline: Option<Instant>) -> Option<Instant> {
     match call.request {
         WorkerRequest::Start { .. } => {
             let longest = Instant::now() + MAX_START_WAIT;
--- a/crates/control/tests/own_lateness.rs
+++ b/crates/control/tests/own_lateness.rs
@@ -138,17 +138,17 @@
 #[test]
 fn long_turns_and_late_timers_count_as_stalls_and_idle_time_does_not() {
     let mut meter = StallMeter::default();
-    assert_eq!(meter.turn_began(1_000 * MS, 1_000 * MS), 0);
-    meter.turn_ended(1_002 * MS);
-    assert_eq!(meter.turn_began(1_500 * MS, 1_500 * MS), 0, "nothing was due before");
-    meter.turn_ended(1_580 * MS);
-    assert_eq!(meter.turn_began(1_581 * MS, 1_600 * MS), 80 * MS, "a long turn");
-    meter.turn_ended(1_582 * MS);
+    assert_eq!(meter.begin_turn(1_000 * MS, 1_000 * MS), 0);
+    meter.end_turn(1_002 * MS);
+    assert_eq!(meter.begin_turn(1_500 * MS, 1_500 * MS), 0, "nothing was due before");
+    meter.end_turn(1_580 * MS);
+    assert_eq!(meter.begin_turn(1_581 * MS, 1_600 * MS), 80 * MS, "a long turn");
+    meter.end_turn(1_582 * MS);
     assert_eq!(
-        meter.turn_began(1_700 * MS, 1_590 * MS),
+        meter.begin_turn(1_700 * MS, 1_590 * MS),
         111 * MS,
         "a timer was due, and the turn before took 1 ms"
     );
-    meter.turn_ended(1_701 * MS);
-    assert_eq!(meter.turn_began(1_705 * MS, 1_690 * MS), 0, "ordinary turns");
+    meter.end_turn(1_701 * MS);
+    assert_eq!(meter.begin_turn(1_705 * MS, 1_690 * MS), 0, "ordinary turns");
 }
