--- a/crates/control/src/admin/routes.rs
+++ b/crates/control/src/admin/routes.rs
@@ -114,7 +114,7 @@
             json(builder.header(LOCATION, format!("http://{control}{path}")), "{}".into())
         }
         AdminReply::Unavailable => {
-            let text = "no leader can confirm that it leads: repeat the request in a second, or see /v1/admin/status";
+            let text = "no leader can confirm that it leads: retry in a second, or see /v1/admin/status";
             json_error(StatusCode::SERVICE_UNAVAILABLE, text)
         }
         AdminReply::NotFound(text) => json_error(StatusCode::NOT_FOUND, &text),
