--- a/crates/gateway-decisions/src/decide.rs
+++ b/crates/gateway-decisions/src/decide.rs
@@ -33,7 +33,7 @@
 
 pub use gateway::Gateway;
 
-use crate::interface::{Action, Event, Fullness, Time};
+use crate::interface::{Action, Event, LoadStatus, Time};
 use gateway::{TIMER_ASK, TIMER_PUMP};
 
 impl Gateway {
@@ -62,21 +62,21 @@
             Event::Disable { server } => self.disable(server),
             Event::Enable { server } => self.enable(server),
             Event::Restore(snapshot) => self.restore(*snapshot),
-            Event::Beside { on } => self.set_peer_process(on),
-            Event::Shared(share) => self.take_peer_share(share),
-            Event::Probed { .. } | Event::Counted { .. } | Event::Peer { .. } => {}
+            Event::PeerProcess { running } => self.set_peer_process(running),
+            Event::PeerShare(share) => self.take_peer_share(share),
+            Event::Probed { .. } | Event::Counted { .. } | Event::GatewayMessage { .. } => {}
         }
     }
 
     /// How full the servers look to this gateway.
-    pub fn fullness(&self) -> Fullness {
-        let queued = self.sub_schedulers.iter().flat_map(|sub| &sub.queues).flatten();
-        let waiting = queued.filter(|id| self.pending.contains_key(id)).count();
-        Fullness {
-            open: self.shedding.open_share,
-            room: self.capacity(gateway::ATTEMPTS),
-            waiting,
-            repeats: self.retry_budget.tokens,
+    pub fn load_status(&self) -> LoadStatus {
+        let queued_ids = self.sub_schedulers.iter().flat_map(|sub| &sub.queues).flatten();
+        let queued = queued_ids.filter(|id| self.pending.contains_key(id)).count();
+        LoadStatus {
+            open_share: self.shedding.open_share,
+            attempt_capacity: self.capacity(gateway::ATTEMPTS),
+            queued,
+            retry_tokens: self.retry_budget.tokens,
         }
     }
 }
--- a/crates/gateway-decisions/src/decide/admission.rs
+++ b/crates/gateway-decisions/src/decide/admission.rs
@@ -21,8 +21,8 @@
             return;
         }
         if !self.within_quota(&request) {
-            let advice = self.retry_after(self.seconds_to_quota(&request));
-            out.push(Action::Reject { id: request.id, advice });
+            let retry_after = self.retry_after(self.seconds_to_quota(&request));
+            out.push(Action::Reject { id: request.id, retry_after });
             return;
         }
         self.mean_units += (request.units - self.mean_units) * GAIN / FLEET_DAMPING;
--- a/crates/gateway-decisions/src/decide/attempt_end.rs
+++ b/crates/gateway-decisions/src/decide/attempt_end.rs
@@ -25,7 +25,8 @@
         let request = &self.pending[&end.id];
         let (class, plan, units) = (request.class, request.plan, request.units);
         let customer = request.customer.clone();
-        let answered = end.last || end.ending == Ending::Pass || request.streaming || request.client_gone;
+        let answered =
+            end.request_finished || end.ending == Ending::Pass || request.streaming || request.client_gone;
         self.sub_schedulers[ATTEMPTS].in_flight -= 1.0;
         self.sub_schedulers[UNITS].in_flight = (self.sub_schedulers[UNITS].in_flight - units).max(0.0);
         self.learn_pace(&attempt.server, units, &end);
@@ -37,7 +38,7 @@
         let cost = if free { RetryCost::Free } else { RetryCost::Charged };
         if answered {
             self.pending.remove(&end.id);
-        } else if end.spent || !self.retry(end.id, cost) {
+        } else if end.body_discarded || !self.retry(end.id, cost) {
             self.give_up(end.id, out);
         }
     }
@@ -84,7 +85,7 @@
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         server.in_flight = server.in_flight.saturating_sub(1);
         server.last_heard = self.now;
-        server.open_connections = end.links;
+        server.open_connections = end.open_connections;
         self.connection_limits_changed |= server.adjust_connection_limit(end);
         server.adjust_concurrency_limit(&observed, 1.0 / self.gateways_per_server);
         server.learn_slowness(&observed);
@@ -99,8 +100,8 @@
             out.push(Action::Fail { id });
         } else {
             // It found no server in time: they are too full for a client to return soon.
-            let advice = self.retry_after(secs(self.settings.max_retry_after));
-            out.push(Action::Reject { id, advice });
+            let retry_after = self.retry_after(secs(self.settings.max_retry_after));
+            out.push(Action::Reject { id, retry_after });
         }
     }
 
--- a/crates/gateway-decisions/src/decide/connections.rs
+++ b/crates/gateway-decisions/src/decide/connections.rs
@@ -16,9 +16,9 @@
     /// Learns from an end how many connections the server bears. A new one that was rejected, or refused
     /// beside others: it bears no more of them. Returns whether the limit may have changed.
     pub(super) fn adjust_connection_limit(&mut self, end: &AttemptEnd) -> bool {
-        let rejected_fresh = end.ending == Ending::Full && end.via == Via::Fresh;
+        let rejected_fresh = end.ending == Ending::Full && end.via == Via::New;
         if rejected_fresh || end.via == Via::Refused {
-            self.connection_limit = (LOWERED_TO * f64::from(end.links)).max(1.0);
+            self.connection_limit = (LOWERED_TO * f64::from(end.open_connections)).max(1.0);
         } else if end.ending == Ending::Pass && self.connection_limit < NO_CONNECTION_LIMIT {
             self.connection_limit = (self.connection_limit + GAIN / self.connection_limit).max(1.0);
         } else {
@@ -40,17 +40,17 @@
         // Two processes share the descriptors and what servers bear.
         let part = if self.peer_share.is_some() { PART_OF_TWO } else { 1.0 };
         let all = f64::from(self.settings.connections);
-        let fair = (EVEN_PARTS * all / used).min(all).min(f64::from(self.settings.connections_each));
-        let limit = |bears: f64| (part * bears).max(1.0) as u32;
+        let fair = (EVEN_PARTS * all / used).min(all).min(f64::from(self.settings.connections_per_server));
+        let share_of = |bears: f64| (part * bears).max(1.0) as u32;
         for (name, server) in &mut self.servers {
-            let most = limit(server.connection_limit.min(fair));
-            if std::mem::replace(&mut server.announced_connections, most) != most {
-                out.push(Action::Connections { server: Some(name.clone()), most });
+            let limit = share_of(server.connection_limit.min(fair));
+            if std::mem::replace(&mut server.announced_connections, limit) != limit {
+                out.push(Action::Connections { server: Some(name.clone()), limit });
             }
         }
-        let most = limit(all);
-        if std::mem::replace(&mut self.announced_connections, most) != most {
-            out.push(Action::Connections { server: None, most });
+        let limit = share_of(all);
+        if std::mem::replace(&mut self.announced_connections, limit) != limit {
+            out.push(Action::Connections { server: None, limit });
         }
     }
 }
--- a/crates/gateway-decisions/src/decide/peer_process.rs
+++ b/crates/gateway-decisions/src/decide/peer_process.rs
@@ -6,9 +6,9 @@
 
 impl Gateway {
     /// Another process of this gateway runs beside this one, or does so no more.
-    pub(super) fn set_peer_process(&mut self, present: bool) {
+    pub(super) fn set_peer_process(&mut self, running: bool) {
         self.connection_limits_changed = true;
-        if present {
+        if running {
             // The other process knows nothing yet of what is in flight here.
             let busy = self.servers.iter().filter(|(_, server)| server.in_flight > 0);
             let out = busy.map(|(name, server)| (name.clone(), server.in_flight)).collect();
--- a/crates/gateway-decisions/src/decide/quota.rs
+++ b/crates/gateway-decisions/src/decide/quota.rs
@@ -226,11 +226,11 @@
         customer.advance(plan, &clock);
         customer.in_flight = customer.in_flight.saturating_sub(1);
         let mut back = 0.0;
-        if self.settings.cost_after && end.ending == Ending::Pass && end.settled > 0.0 {
-            back = (guessed_units - end.settled) * customer.units_per_own_unit(plan, clock.mean_units);
+        if self.settings.answers_tell_units && end.ending == Ending::Pass && end.actual_units > 0.0 {
+            back = (guessed_units - end.actual_units) * customer.units_per_own_unit(plan, clock.mean_units);
             customer.refund(back, plan);
         }
-        if let Some(used_share) = end.metered.filter(|_| plan.rate > 0.0) {
+        if let Some(used_share) = end.metered_share.filter(|_| plan.rate > 0.0) {
             self.last_reading_at = clock.now;
             if customer.metered_at == 0 {
                 self.unmetered[customer.plan].observe_reading(used_share);
--- a/crates/gateway-decisions/src/decide/scheduler.rs
+++ b/crates/gateway-decisions/src/decide/scheduler.rs
@@ -52,7 +52,7 @@
         let queued = self.sub_schedulers.iter().any(|sub| !sub.is_idle());
         if queued && !self.scheduler_timer_set {
             self.scheduler_timer_set = true;
-            let at = self.now + (self.settings.fall / RUNS_PER_FALL).max(self.settings.tick);
+            let at = self.now + (self.settings.overload_tolerance / RUNS_PER_FALL).max(self.settings.tick);
             out.push(Action::Timer { token: TIMER_PUMP, at });
         }
     }
--- a/crates/gateway-decisions/src/decide/send.rs
+++ b/crates/gateway-decisions/src/decide/send.rs
@@ -14,7 +14,7 @@
     pub(super) fn send(&mut self, id: RequestId, server: Name, out: &mut Vec<Action>) {
         let memory_seconds = self.memory_seconds();
         self.charge_handshake(&server);
-        let not_past = self.time_limit(id);
+        let attempt_deadline = self.time_limit(id);
         self.count_at_server(&server);
         let request = self.pending.get_mut(&id).expect("picked from the pending requests");
         let first = request.attempts == 0;
@@ -36,7 +36,7 @@
         self.sub_schedulers[UNITS].in_flight += units;
         self.charge_peer(Charge::Sent { customer, units: new_units });
         self.note_in_flight_at(&server);
-        out.push(Action::Send { id, server, not_past });
+        out.push(Action::Send { id, server, attempt_deadline });
     }
 
     /// Until when an attempt sent now may take. Beyond the paper: a repeatable request leaves a server that
--- a/crates/gateway-decisions/src/decide/server_list.rs
+++ b/crates/gateway-decisions/src/decide/server_list.rs
@@ -8,7 +8,7 @@
 /// The limit on attempts in flight at a server of which nothing is known, of all gateways together; "a few"
 /// for each.
 const FIRST_LIMIT: f64 = 12.0;
-/// Discovery is asked again after `ask_within`, divided by this, when a call to it failed.
+/// Discovery is asked again after `list_max_age`, divided by this, when a call to it failed.
 const ASKS_PER_LIMIT: u64 = 8;
 
 /// The servers that may get requests.
@@ -46,7 +46,7 @@
         match scope {
             Scope::Cached => out.push(Action::Subscribe { on: true }),
             Scope::Failed => {
-                let at = self.now + self.settings.ask_within / ASKS_PER_LIMIT;
+                let at = self.now + self.settings.list_max_age / ASKS_PER_LIMIT;
                 out.push(Action::Timer { token: TIMER_ASK, at });
             }
             Scope::Changes | Scope::Full => {}
--- a/crates/gateway-decisions/src/decide/slow_start.rs
+++ b/crates/gateway-decisions/src/decide/slow_start.rs
@@ -41,7 +41,7 @@
     pub(super) fn learn_pace(&mut self, name: &Name, guessed_units: f64, end: &AttemptEnd) {
         let Some(server) = self.servers.get(name).filter(|_| end.ending == Ending::Pass) else { return };
         let warming_up = self.is_warming_up(server);
-        let units = if end.settled > 0.0 { end.settled } else { guessed_units };
+        let units = if end.actual_units > 0.0 { end.actual_units } else { guessed_units };
         let observed = secs(end.elapsed) / units.max(1e-9);
         let busy =
             end.load.and_then(|load| load.inflight).is_none_or(|requests| requests > UNLOADED_MAX_REQUESTS);
--- a/crates/gateway-decisions/src/decide/subset.rs
+++ b/crates/gateway-decisions/src/decide/subset.rs
@@ -20,7 +20,7 @@
         let circle = self.circle_of_servers();
         let (all, gateways) = (circle.len(), f64::from(self.settings.gateways));
         let used = (LEAST_GATEWAYS * all as f64 / gateways).max(LEAST_SERVERS).ceil().min(all as f64);
-        let from = (f64::from(self.settings.me) / gateways * all as f64) as usize;
+        let from = (f64::from(self.settings.gateway_index) / gateways * all as f64) as usize;
         self.servers.values_mut().for_each(|server| server.in_subset = false);
         for i in 0..used as usize {
             if let Some(server) = self.servers.get_mut(&circle[(from + i) % all]) {
--- a/crates/gateway-decisions/src/interface.rs
+++ b/crates/gateway-decisions/src/interface.rs
@@ -7,7 +7,7 @@
 mod settings;
 mod shares;
 
-pub use events::{Action, Event, Fullness};
+pub use events::{Action, Event, LoadStatus};
 pub use names::{Name, RequestId, Time};
 pub use requests::{AttemptEnd, Ending, Load, Request, Via};
 pub use servers::{Health, Node, Scope};
--- a/crates/gateway-decisions/src/interface/events.rs
+++ b/crates/gateway-decisions/src/interface/events.rs
@@ -58,7 +58,7 @@
         level: f64,
     },
     /// Another gateway sent a message. Without effect.
-    Peer {
+    GatewayMessage {
         /// That gateway's number.
         from: u32,
         /// The message.
@@ -77,12 +77,12 @@
     /// What another process of this gateway knew when this one began.
     Restore(Box<Snapshot>),
     /// Another process of this gateway runs beside this one, or does so no more.
-    Beside {
+    PeerProcess {
         /// Whether it runs.
-        on: bool,
+        running: bool,
     },
     /// What that process has done since it last shared.
-    Shared(Share),
+    PeerShare(Share),
 }
 
 /// What to do.
@@ -95,14 +95,14 @@
         /// Where to.
         server: Name,
         /// When to give the attempt up, in the caller's time.
-        not_past: Time,
+        attempt_deadline: Time,
     },
     /// Answer a request that it is rejected; none of its attempts has run.
     Reject {
         /// The request.
         id: RequestId,
         /// After how long the client ought to return; 0 for no advice.
-        advice: Time,
+        retry_after: Time,
     },
     /// Answer a request that it failed; an attempt may have run.
     Fail {
@@ -133,7 +133,7 @@
         /// The server; none for the limit over all.
         server: Option<Name>,
         /// The limit.
-        most: u32,
+        limit: u32,
     },
     /// Tell the other process of this gateway.
     Share(Share),
@@ -141,13 +141,13 @@
 
 /// How full the servers look to this gateway, and what it does about it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fullness {
+pub struct LoadStatus {
     /// The part of the limits at servers that is open: 1 while answers are in time, less where they are late.
-    pub open: f64,
+    pub open_share: f64,
     /// Attempts that may be in flight at once; below 1 the gateway rests between two.
-    pub room: f64,
+    pub attempt_capacity: f64,
     /// Requests that wait for it.
-    pub waiting: usize,
+    pub queued: usize,
     /// Retries that may be sent now.
-    pub repeats: f64,
+    pub retry_tokens: f64,
 }
--- a/crates/gateway-decisions/src/interface/requests.rs
+++ b/crates/gateway-decisions/src/interface/requests.rs
@@ -20,7 +20,7 @@
     /// How many gateways the customer's requests may come through.
     pub spread: u32,
     /// Whether the client marked it as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Its body goes on as it comes: an attempt takes as long as the client does, and its time begins after.
     pub relayed: bool,
 }
@@ -36,7 +36,7 @@
             deadline,
             units,
             spread: 1,
-            repeat: false,
+            is_retry: false,
             relayed: false,
         }
     }
@@ -70,9 +70,9 @@
     #[default]
     Unknown,
     /// One that had carried others before.
-    Kept,
+    Reused,
     /// One that was new.
-    Fresh,
+    New,
     /// None: the server's machine refused to open one.
     Refused,
 }
@@ -100,19 +100,19 @@
     /// How it ended.
     pub ending: Ending,
     /// The request is finished.
-    pub last: bool,
+    pub request_finished: bool,
     /// The request's body is not kept any more, so it can't be sent again.
-    pub spent: bool,
+    pub body_discarded: bool,
     /// How long the attempt took.
     pub elapsed: Time,
     /// True units, where answers tell them; else 0.
-    pub settled: f64,
+    pub actual_units: f64,
     /// The customer's metered use over all gateways as a share of its rate, where the answer tells.
-    pub metered: Option<f64>,
+    pub metered_share: Option<f64>,
     /// The server's load, where the answer tells.
     pub load: Option<Load>,
     /// How it came by its connection.
     pub via: Via,
     /// Connections that this process has to the server, those that are being opened among them.
-    pub links: u32,
+    pub open_connections: u32,
 }
--- a/crates/gateway-decisions/src/interface/settings.rs
+++ b/crates/gateway-decisions/src/interface/settings.rs
@@ -111,7 +111,7 @@
     /// This gateway's zone.
     pub zone: u32,
     /// Its number among all gateways, from 0.
-    pub me: u32,
+    pub gateway_index: u32,
     /// How many gateways there are.
     pub gateways: u32,
     /// The classes of requests; a request names one by its index.
@@ -121,13 +121,13 @@
     /// Whether discovery must be asked for the list of servers.
     pub subscribe: bool,
     /// How often at least it is asked while no subscription stands.
-    pub ask_within: Time,
+    pub list_max_age: Time,
     /// Whether clients mark their retries.
     pub marks_retry: bool,
     /// Whether an attempt in flight may be cancelled.
     pub cancelling: bool,
     /// Whether two attempts of one request may be in flight at once (hedged requests).
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether rejections tell clients when to return.
     pub retry_after: bool,
     /// The longest such advice.
@@ -135,7 +135,7 @@
     /// The most attempts of one request.
     pub try_limit: u32,
     /// Whether answers tell the true units of a request.
-    pub cost_after: bool,
+    pub answers_tell_units: bool,
     /// The most units of one request.
     pub most_units: f64,
     /// The meter's period; 0 for no meter.
@@ -145,9 +145,9 @@
     /// The part of its capacity that it starts with.
     pub warm_up_from: f64,
     /// So long above `fall_multiple` and a server that warms up falls over.
-    pub fall: Time,
+    pub overload_tolerance: Time,
     /// The multiple of its capacity that a server that warms up bears.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// How long past its deadline an answer still counts.
     pub answer_slack: Time,
     /// What an attempt to another zone costs, as a share of one within the zone.
@@ -157,7 +157,7 @@
     /// Connections to servers that the caller's descriptors bear; 0 if it has none.
     pub connections: u32,
     /// The most of them to one server, whatever it bears.
-    pub connections_each: u32,
+    pub connections_per_server: u32,
     /// How long a connection to a server stays open idle; 0 if that is not known.
     pub connection_idle_time: Time,
 }
@@ -166,30 +166,30 @@
     fn default() -> Self {
         Settings {
             zone: 0,
-            me: 0,
+            gateway_index: 0,
             gateways: 1,
             classes: Vec::new(),
             plans: Vec::new(),
             subscribe: false,
-            ask_within: 10_000_000_000,
+            list_max_age: 10_000_000_000,
             marks_retry: false,
             cancelling: false,
-            second_copies: false,
+            hedging: false,
             retry_after: false,
             max_retry_after: 0,
             try_limit: 3,
-            cost_after: false,
+            answers_tell_units: false,
             most_units: 1.0,
             meter_period: 0,
             warm_up_time: 0,
             warm_up_from: 1.0,
-            fall: 1_000_000_000,
-            fall_multiple: 3.0,
+            overload_tolerance: 1_000_000_000,
+            overload_multiple: 3.0,
             answer_slack: 0,
             cross_zone_price: 0.0,
             tick: 1_000_000,
             connections: 0,
-            connections_each: u32::MAX,
+            connections_per_server: u32::MAX,
             connection_idle_time: 0,
         }
     }
--- a/crates/gateway-decisions/src/settings.rs
+++ b/crates/gateway-decisions/src/settings.rs
@@ -234,25 +234,25 @@
         });
         Settings {
             zone: wire.az,
-            me: wire.me,
+            gateway_index: wire.me,
             gateways: wire.siblings,
             classes: wire.services.into_iter().map(Class::from).collect(),
             plans: plans.collect(),
             subscribe: matches!(wire.discovery, Discovery::Subscribe),
-            ask_within: wire.obligations.ask_within,
+            list_max_age: wire.obligations.ask_within,
             marks_retry: wire.clients.marks_retry,
             cancelling: wire.limits.cancelling,
-            second_copies: wire.limits.second_copies,
+            hedging: wire.limits.second_copies,
             retry_after: wire.limits.retry_after,
             max_retry_after: wire.limits.max_retry_after,
             try_limit: wire.limits.try_limit,
-            cost_after: wire.extra.cost_after,
+            answers_tell_units: wire.extra.cost_after,
             most_units: wire.extra.most_units,
             meter_period: wire.extra.meter_period,
             warm_up_time: wire.obligations.cold,
             warm_up_from: wire.obligations.cold_from,
-            fall: wire.obligations.fall,
-            fall_multiple: wire.obligations.fall_multiple,
+            overload_tolerance: wire.obligations.fall,
+            overload_multiple: wire.obligations.fall_multiple,
             answer_slack: wire.obligations.answer_slack,
             cross_zone_price: wire.prices.cross_zone,
             tick: wire.tick,
@@ -294,7 +294,7 @@
     let mut figures = Vec::new();
     let mut add =
         |of: &str, all: &[(&str, f64)]| figures.extend(all.iter().map(|(n, v)| (format!("{of}{n}"), *v)));
-    add("", &[("cold_from", s.warm_up_from), ("fall_multiple", s.fall_multiple)]);
+    add("", &[("cold_from", s.warm_up_from), ("fall_multiple", s.overload_multiple)]);
     add("", &[("most_units", s.most_units), ("cross_zone_price", s.cross_zone_price)]);
     for p in &s.plans {
         let of = format!("plan {}: ", p.name);
--- a/crates/gateway-decisions/src/state/snapshot.rs
+++ b/crates/gateway-decisions/src/state/snapshot.rs
@@ -40,7 +40,7 @@
 
 impl Snapshot {
     /// Servers that operators have disabled.
-    pub fn banned(&self) -> impl Iterator<Item = &Name> {
+    pub fn disabled(&self) -> impl Iterator<Item = &Name> {
         self.disabled.iter()
     }
 }
--- a/crates/gateway-decisions/tests/module.rs
+++ b/crates/gateway-decisions/tests/module.rs
@@ -22,7 +22,7 @@
         most_units: 8.0,
         warm_up_time: 10 * SEC,
         warm_up_from: 0.2,
-        fall: 2 * SEC,
+        overload_tolerance: 2 * SEC,
         try_limit: 3,
         tick: MS,
         ..Settings::default()
@@ -85,14 +85,14 @@
             attempt,
             server,
             ending,
-            last,
-            spent: false,
+            request_finished: last,
+            body_discarded: false,
             elapsed,
-            settled,
-            metered,
+            actual_units: settled,
+            metered_share: metered,
             load,
             via: Via::Unknown,
-            links: 0,
+            open_connections: 0,
         }))
     }
 }
@@ -189,7 +189,7 @@
         let mut rig = Rig::new(Settings { retry_after, max_retry_after, ..settings() }, 40);
         let mut refusals = (0..60).flat_map(|_| rig.request(0, 0, "a", units).1);
         let first = refusals.find_map(|a| match a {
-            Action::Reject { advice, .. } => Some(advice),
+            Action::Reject { retry_after, .. } => Some(retry_after),
             _ => None,
         });
         first.expect("a burst of 20 units is less than asked")
@@ -613,7 +613,7 @@
     let mut limit = |units| {
         let (_, out) = rig.request(0, 0, &format!("u{units}"), units);
         let limit = out.iter().find_map(|a| match a {
-            Action::Send { not_past, .. } => Some(*not_past - rig.now),
+            Action::Send { attempt_deadline, .. } => Some(*attempt_deadline - rig.now),
             _ => None,
         });
         limit.expect("it has room")
@@ -698,7 +698,7 @@
     // A floor of one attempt a gateway would send this server 200 at once, whatever its warmth.
     let mut sent = 0;
     for seed in 0..200 {
-        let s = Settings { gateways: 200, me: seed as u32, ..settings() };
+        let s = Settings { gateways: 200, gateway_index: seed as u32, ..settings() };
         let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let mut nodes: Vec<_> = (0..20).map(|i| Rig::node(i, Health::Up)).collect();
@@ -715,7 +715,7 @@
 fn many_gateways_do_not_pick_the_same_server() {
     let mut hits = std::collections::BTreeMap::new();
     for seed in 0..200 {
-        let s = Settings { gateways: 200, me: seed as u32, ..settings() };
+        let s = Settings { gateways: 200, gateway_index: seed as u32, ..settings() };
         let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let nodes = (0..20).map(|i| Rig::node(i, Health::Up)).collect();
@@ -833,14 +833,14 @@
                 attempt: 0,
                 server: server[0].as_str().into(),
                 ending: Ending::Pass,
-                last: true,
-                spent: false,
+                request_finished: true,
+                body_discarded: false,
                 elapsed: (40 + n % 3 * 10) * MS,
-                settled: 0.0,
-                metered: None,
+                actual_units: 0.0,
+                metered_share: None,
                 load: None,
                 via: Via::Unknown,
-                links: 0,
+                open_connections: 0,
             }));
         }
         to
@@ -891,8 +891,8 @@
         new.tell(Event::Fleet { seq: 1, scope: Scope::Cached, nodes });
         let snapshot = serde_json::to_string(&old.g.snapshot()).expect("it can be worded");
         new.tell(Event::Restore(Box::new(serde_json::from_str(&snapshot).expect("and read"))));
-        new.tell(Event::Beside { on: true });
-        let told = old.tell(Event::Beside { on: true });
+        new.tell(Event::PeerProcess { running: true });
+        let told = old.tell(Event::PeerProcess { running: true });
         Pair::pass(&told, &mut new);
         Pair { old, new }
     }
@@ -900,7 +900,10 @@
     fn pass(actions: &[Action], to: &mut Rig) {
         for action in actions {
             if let Action::Share(share) = action {
-                assert!(!to.tell(Event::Shared(share.clone())).iter().any(|a| matches!(a, Action::Share(_))));
+                assert!(!to
+                    .tell(Event::PeerShare(share.clone()))
+                    .iter()
+                    .any(|a| matches!(a, Action::Share(_))));
             }
         }
     }
@@ -961,7 +964,7 @@
     assert!(sent < 100, "rooms are finite");
     let (_, actions) = pair.new.request(0, 1, "d", 1.0);
     assert!(sends(&actions).is_empty(), "all room is taken");
-    let actions = pair.new.tell(Event::Beside { on: false });
+    let actions = pair.new.tell(Event::PeerProcess { running: false });
     assert_eq!(sends(&actions).len(), 1, "what was beside it is over");
 }
 
@@ -975,14 +978,14 @@
                 attempt: 0,
                 server: server.into(),
                 ending: Ending::Pass,
-                last: true,
-                spent: false,
+                request_finished: true,
+                body_discarded: false,
                 elapsed,
-                settled: 1.0,
-                metered: None,
+                actual_units: 1.0,
+                metered_share: None,
                 load: Some(Load { inflight: Some(0.0), ..Load::default() }),
                 via: Via::Unknown,
-                links: 0,
+                open_connections: 0,
             }));
         };
         for n in 0..100 {
@@ -1106,7 +1109,8 @@
 /// The most attempts out at once, of a fleet whose servers take 0.4 s for each, after it has learnt so.
 fn out_at_once(gateways: u32) -> u32 {
     let start = |me| {
-        let s = Settings { gateways, me, plans: vec![Plan::new("free", 0.0, 0.0)], ..settings() };
+        let s =
+            Settings { gateways, gateway_index: me, plans: vec![Plan::new("free", 0.0, 0.0)], ..settings() };
         let g = Gateway::new(s, u64::from(me), 100 * SEC).expect("in range");
         let mut rig = Rig { g, now: 100 * SEC, next: 1, spread: 1 };
         rig.tell(large_list(0..4));
@@ -1158,7 +1162,7 @@
 /// The servers that each of so many gateways sends to, by the numbers in their names, and the gateways.
 fn used_by(gateways: u32, servers: usize) -> Vec<(Rig, std::collections::BTreeSet<usize>)> {
     let start = |me| {
-        let s = Settings { gateways, me, ..settings() };
+        let s = Settings { gateways, gateway_index: me, ..settings() };
         let mut rig = Rig { g: Gateway::new(s, 7, 100 * SEC).unwrap(), now: 100 * SEC, next: 1, spread: 1 };
         rig.tell(large_list(0..servers));
         let used = uses(&mut rig);
@@ -1229,14 +1233,14 @@
             attempt: 0,
             server: server.as_str().into(),
             ending: Ending::Pass,
-            last: true,
-            spent: false,
+            request_finished: true,
+            body_discarded: false,
             elapsed: 50 * MS,
-            settled: 1.0,
-            metered: None,
+            actual_units: 1.0,
+            metered_share: None,
             load: Some(Load { inflight: Some((n % 5 * 2) as f64), ..Load::default() }),
             via: Via::Unknown,
-            links: 0,
+            open_connections: 0,
         }));
     }
     // From a fifth to three fifths of the capacity of one in twelve.
@@ -1248,7 +1252,7 @@
 /// What the pool is told: over all servers (None) and for each.
 fn told(actions: &[Action]) -> Vec<(Option<String>, u32)> {
     let tells = |a: &Action| match a {
-        Action::Connections { server, most } => Some((server.as_ref().map(ToString::to_string), *most)),
+        Action::Connections { server, limit } => Some((server.as_ref().map(ToString::to_string), *limit)),
         _ => None,
     };
     actions.iter().filter_map(tells).collect()
@@ -1261,7 +1265,13 @@
 /// A gateway with 40 descriptors for so many servers, and one plan without a quota.
 fn pooled(servers: usize, connections_each: u32) -> (Rig, Vec<Action>) {
     let plans = vec![Plan::new("free", 0.0, 0.0)];
-    let s = Settings { connections: 40, connections_each, plans, gateways: 1, ..settings() };
+    let s = Settings {
+        connections: 40,
+        connections_per_server: connections_each,
+        plans,
+        gateways: 1,
+        ..settings()
+    };
     let mut rig =
         Rig { g: Gateway::new(s, 1, 100 * SEC).expect("in range"), now: 100 * SEC, next: 1, spread: 1 };
     let nodes = (0..servers).map(|i| Rig::node(i, Health::Up)).collect();
@@ -1277,14 +1287,14 @@
             attempt: 0,
             server: server.into(),
             ending,
-            last: true,
-            spent: false,
+            request_finished: true,
+            body_discarded: false,
             elapsed: 50 * MS,
-            settled: 0.0,
-            metered: None,
+            actual_units: 0.0,
+            metered_share: None,
             load: None,
             via,
-            links,
+            open_connections: links,
         }))
     }
 
@@ -1311,14 +1321,14 @@
 
 #[test]
 fn a_server_that_turns_new_connections_away_gets_fewer_and_slowly_more_again() {
-    for (ending, via) in [(Ending::NoRoute, Via::Refused), (Ending::Full, Via::Fresh)] {
+    for (ending, via) in [(Ending::NoRoute, Via::Refused), (Ending::Full, Via::New)] {
         let (mut rig, _) = pooled(1, u32::MAX);
         let (server, actions) = rig.once(ending, via, 8);
         assert_eq!(told(&actions), [(Some(server.clone()), 6)], "{via:?}");
         // One more for each five rounds of good answers, not sooner.
         let mut answers = 0;
         let more = loop {
-            let (_, actions) = rig.once(Ending::Pass, Via::Kept, 6);
+            let (_, actions) = rig.once(Ending::Pass, Via::Reused, 6);
             answers += 1;
             rig.now += 100 * MS;
             if let Some(most) = told_of(&actions, &server).or((answers == 100).then_some(0)) {
@@ -1330,7 +1340,7 @@
     }
     // A full queue says nothing of connections.
     let (mut rig, _) = pooled(2, u32::MAX);
-    assert!(told(&rig.once(Ending::Full, Via::Kept, 8).1).is_empty());
+    assert!(told(&rig.once(Ending::Full, Via::Reused, 8).1).is_empty());
 }
 
 #[test]
@@ -1351,7 +1361,7 @@
 fn two_processes_of_a_gateway_share_its_connections() {
     let (mut rig, _) = pooled(2, u32::MAX);
     let (server, _) = rig.once(Ending::NoRoute, Via::Refused, 8);
-    let out = rig.tell(Event::Beside { on: true });
+    let out = rig.tell(Event::PeerProcess { running: true });
     assert_eq!(told_of(&out, &server), Some(3));
     assert!(told(&out).contains(&(None, 20)), "{out:?}");
     // The successor goes on with what the server bore.
@@ -1360,9 +1370,13 @@
     let mut out = Vec::new();
     let snapshot = serde_json::to_string(&rig.g.snapshot()).expect("words");
     let snapshot = serde_json::from_str(&snapshot).expect("the same");
-    next.handle(rig.now, vec![Event::Restore(Box::new(snapshot)), Event::Beside { on: true }], &mut out);
+    next.handle(
+        rig.now,
+        vec![Event::Restore(Box::new(snapshot)), Event::PeerProcess { running: true }],
+        &mut out,
+    );
     assert_eq!(told_of(&out, &server), Some(3));
-    let out = rig.tell(Event::Beside { on: false });
+    let out = rig.tell(Event::PeerProcess { running: false });
     assert_eq!(told_of(&out, &server), Some(6));
     assert!(told(&out).contains(&(None, 40)), "{out:?}");
 }
@@ -1401,7 +1415,7 @@
     for n in 0..requests {
         let (id, out) = rig.request(0, 0, &format!("c{n}"), 1.0);
         let server = sent_to(&out).remove(0);
-        let via = if linked.insert(server.clone()) { Via::Fresh } else { Via::Kept };
+        let via = if linked.insert(server.clone()) { Via::New } else { Via::Reused };
         rig.now += 50 * MS;
         rig.end_via(id, &server, Ending::Pass, via, 1);
         rig.now += 150 * MS;
--- a/crates/gateway-decisions/tests/snapshot_format.rs
+++ b/crates/gateway-decisions/tests/snapshot_format.rs
@@ -15,7 +15,7 @@
         classes: vec![Class::new("quote", SECOND, 4 * SECOND, Effect::Safe, Group::All)],
         plans: vec![Plan { ceiling_rate: 20.0, ceiling_burst: 9.0, ..Plan::new("basic", 10.0, 20.0) }],
         meter_period: SECOND,
-        cost_after: true,
+        answers_tell_units: true,
         ..Settings::default()
     };
     Gateway::new(settings, 1, 100 * SECOND).expect("settings in range")
@@ -32,7 +32,7 @@
         Event::Disable { server: "s0".into() },
         Event::Disable { server: "s1".into() },
         Event::Enable { server: "s1".into() },
-        Event::Beside { on: true },
+        Event::PeerProcess { running: true },
     ];
     gateway.handle(100 * SECOND, events, &mut actions);
     let first = Request::new(1, 0, 0, "a", 104 * SECOND, 1.0);
@@ -46,14 +46,14 @@
         attempt: 0,
         server: server.expect("an attempt"),
         ending: Ending::Pass,
-        last: true,
-        spent: false,
+        request_finished: true,
+        body_discarded: false,
         elapsed: SECOND / 20,
-        settled: 1.5,
-        metered: Some(0.25),
+        actual_units: 1.5,
+        metered_share: Some(0.25),
         load: Some(Load { inflight: Some(1.0), ..Load::default() }),
-        via: Via::Fresh,
-        links: 1,
+        via: Via::New,
+        open_connections: 1,
     };
     let next = Request::new(2, 0, 0, "b", 105 * SECOND, 2.0);
     gateway.handle(101 * SECOND, vec![Event::AttemptEnd(end), Event::Request(next)], &mut actions);
--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -496,8 +496,8 @@
                 "retry_after": s.retry_after, "second_copies": false, "try_limit": s.try_limit,
             },
             "obligations": {
-                "answer_slack": s.answer_slack, "ask_within": s.ask_within, "cold": s.warm_up_time,
-                "cold_from": s.warm_up_from, "fall": s.fall, "fall_multiple": s.fall_multiple,
+                "answer_slack": s.answer_slack, "ask_within": s.list_max_age, "cold": s.warm_up_time,
+                "cold_from": s.warm_up_from, "fall": s.overload_tolerance, "fall_multiple": s.overload_multiple,
             },
             "prices": {"cross_zone": s.cross_zone_price},
             "plans": plans.collect::<Value>(), "services": services.collect::<Value>(),
--- a/crates/gateway-simulation/src/scenario/settings.rs
+++ b/crates/gateway-simulation/src/scenario/settings.rs
@@ -48,7 +48,7 @@
         });
         Settings {
             zone,
-            me,
+            gateway_index: me,
             gateways: self.gateways.count,
             classes: classes.collect(),
             plans: plans.collect(),
@@ -59,8 +59,8 @@
             meter_period: METER,
             warm_up_time: ns(self.servers.cold_s, SECOND),
             warm_up_from: self.servers.cold_from,
-            fall: ns(self.servers.fall_s, SECOND),
-            fall_multiple: self.servers.fall_multiple,
+            overload_tolerance: ns(self.servers.fall_s, SECOND),
+            overload_multiple: self.servers.fall_multiple,
             answer_slack: SLACK,
             cross_zone_price: self.network.crossing_price,
             tick: ns(self.gateways.tick_ms, MS),
--- a/crates/gateway-simulation/src/world/attempts.rs
+++ b/crates/gateway-simulation/src/world/attempts.rs
@@ -162,11 +162,11 @@
         let way = self.travel_time(gateway, n, false);
         let reset = self.faults_between(Trouble::Reset, gateway, n, true).next().is_some();
         let server = &mut self.servers[n];
-        let via = if fresh { Via::Fresh } else { Via::Kept };
+        let via = if fresh { Via::New } else { Via::Reused };
         let refused = |ending, via| Due::End { attempt: key, ending, via };
         if reset || !server.up || server.life != server_life {
             let due = match (fresh, server.up && !reset) {
-                (false, _) => refused(Ending::Cut, Via::Kept),
+                (false, _) => refused(Ending::Cut, Via::Reused),
                 (true, _) => refused(Ending::NoRoute, Via::Refused),
             };
             self.plan(self.now + way, due);
@@ -220,7 +220,7 @@
         let fails = self.servers[n].fails;
         let fault = fails > 0.0 && self.rng.random::<f64>() < fails;
         let ending = if fault { Ending::Fault } else { Ending::Pass };
-        let via = if fresh { Via::Fresh } else { Via::Kept };
+        let via = if fresh { Via::New } else { Via::Reused };
         self.plan(self.now + self.travel_time(gateway, n, false), Due::End { attempt: key, ending, via });
     }
 
@@ -292,14 +292,14 @@
             attempt: number,
             server,
             ending,
-            last,
-            spent: false,
+            request_finished: last,
+            body_discarded: false,
             elapsed: now - sent,
-            settled: 0.0,
-            metered,
+            actual_units: 0.0,
+            metered_share: metered,
             load: None,
             via,
-            links,
+            open_connections: links,
         };
         self.push_event(gateway, life, Event::AttemptEnd(end));
         Ok(())
--- a/crates/gateway-simulation/src/world/faults.rs
+++ b/crates/gateway-simulation/src/world/faults.rs
@@ -106,7 +106,7 @@
         hit.sort_unstable();
         for key in hit {
             let way = self.travel_time(self.attempts[&key].gateway, n, false);
-            self.plan(self.now + way, Due::End { attempt: key, ending: Ending::Cut, via: Via::Kept });
+            self.plan(self.now + way, Due::End { attempt: key, ending: Ending::Cut, via: Via::Reused });
         }
     }
 
@@ -135,7 +135,7 @@
         let mut hit: Vec<u64> = self.attempts.iter().filter(|(_, a)| over(a)).map(|(key, _)| *key).collect();
         hit.sort_unstable();
         for key in hit {
-            self.plan(self.now, Due::End { attempt: key, ending: Ending::Cut, via: Via::Kept });
+            self.plan(self.now, Due::End { attempt: key, ending: Ending::Cut, via: Via::Reused });
         }
         for (gateway, place) in self.gateways.iter_mut().enumerate() {
             let kept = place.idle.iter_mut().enumerate();
--- a/crates/gateway-simulation/src/world/gateways.rs
+++ b/crates/gateway-simulation/src/world/gateways.rs
@@ -50,8 +50,10 @@
 
     fn carry_out(&mut self, gateway: usize, action: Action) -> Result<(), Box<Breach>> {
         match action {
-            Action::Send { id, server, not_past } => self.send(gateway, id, &server, not_past)?,
-            Action::Reject { id, advice } => self.final_answer(id, true, advice)?,
+            Action::Send { id, server, attempt_deadline } => {
+                self.send(gateway, id, &server, attempt_deadline)?
+            }
+            Action::Reject { id, retry_after } => self.final_answer(id, true, retry_after)?,
             Action::Fail { id } => self.final_answer(id, false, 0)?,
             Action::Cancel { id, attempt } => {
                 let out = self.requests.get(&id).and_then(|h| h.out);
--- a/crates/gateway-simulation/tests/plays.rs
+++ b/crates/gateway-simulation/tests/plays.rs
@@ -78,8 +78,9 @@
         self.gateway.handle(now, events, out);
         let mut more = Vec::new();
         for action in &mut out[first..] {
-            if let Action::Send { id, server, not_past } = action {
-                let again = Action::Send { id: *id, server: server.clone(), not_past: *not_past };
+            if let Action::Send { id, server, attempt_deadline } = action {
+                let again =
+                    Action::Send { id: *id, server: server.clone(), attempt_deadline: *attempt_deadline };
                 self.sent.push((*id, server.clone(), now));
                 match self.how {
                     Rule::Attempts => more.push(again),
@@ -103,7 +104,7 @@
         if self.how == Rule::Effects {
             // Whatever was sent is refused at once, though it may run.
             let sent: Vec<u64> = self.sent.drain(..).map(|(id, ..)| id).collect();
-            more.extend(sent.into_iter().map(|id| Action::Reject { id, advice: 0 }));
+            more.extend(sent.into_iter().map(|id| Action::Reject { id, retry_after: 0 }));
         }
         out.extend(more);
     }
@@ -130,9 +131,9 @@
                 Event::Request(r) => {
                     let latest = self.up.iter().max_by_key(|(_, since)| **since);
                     let server = latest.expect("a list comes first").0.clone();
-                    out.push(Action::Send { id: r.id, server, not_past: r.deadline });
+                    out.push(Action::Send { id: r.id, server, attempt_deadline: r.deadline });
                 }
-                Event::AttemptEnd(e) if !e.last => out.push(Action::Fail { id: e.id }),
+                Event::AttemptEnd(e) if !e.request_finished => out.push(Action::Fail { id: e.id }),
                 _ => {}
             }
         }
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -98,7 +98,7 @@
             Err(why) => return Outcome::unconnected(why),
         };
         progress.begun.set(true);
-        let via = if connection.idled.is_some() { Via::Kept } else { Via::Fresh };
+        let via = if connection.idled.is_some() { Via::Reused } else { Via::New };
         let wait = match request.body.relay() {
             Some(_) => request.wait,
             None => not_past.saturating_duration_since(Instant::now()),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -200,7 +200,7 @@
     let pool = file.pool.unwrap_or_default();
     let idle_timeout = idle_timeout(keepalive, &pool);
     settings.connections = backend_sockets.try_into().unwrap_or(u32::MAX);
-    settings.connections_each = pool.per_server.unwrap_or(u32::MAX);
+    settings.connections_per_server = pool.per_server.unwrap_or(u32::MAX);
     settings.connection_idle_time =
         idle_timeout.as_nanos().try_into().unwrap_or(gateway_decisions::Time::MAX);
     Ok(Config {
--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -107,14 +107,14 @@
             attempt,
             server,
             ending: outcome.ending,
-            last,
-            spent,
+            request_finished: last,
+            body_discarded: spent,
             elapsed: elapsed.as_nanos() as Time,
-            settled: outcome.settled,
-            metered: outcome.metered,
+            actual_units: outcome.settled,
+            metered_share: outcome.metered,
             load: outcome.load,
             via: outcome.via,
-            links,
+            open_connections: links,
         })
     }
 }
--- a/crates/gateway/src/driver/event_loop.rs
+++ b/crates/gateway/src/driver/event_loop.rs
@@ -99,8 +99,10 @@
 
     fn carry_out(self: &Rc<Self>, state: &mut DriverState, action: Action, now: Instant) {
         match action {
-            Action::Send { id, server, not_past } => self.send(state, id, server, not_past, now),
-            Action::Reject { id, advice } => self.finish(state, id, true, advice),
+            Action::Send { id, server, attempt_deadline } => {
+                self.send(state, id, server, attempt_deadline, now)
+            }
+            Action::Reject { id, retry_after } => self.finish(state, id, true, retry_after),
             Action::Fail { id } => self.finish(state, id, false, 0),
             Action::Cancel { id, attempt } => {
                 let pending = state.requests.get(&id).filter(|l| l.attempts == attempt + 1);
@@ -113,10 +115,10 @@
             }
             // The watch always stands.
             Action::Subscribe { .. } => {}
-            Action::Connections { server: Some(server), most } => {
-                self.backends.pool.set_server_limit(&server, most as usize);
+            Action::Connections { server: Some(server), limit } => {
+                self.backends.pool.set_server_limit(&server, limit as usize);
             }
-            Action::Connections { server: None, most } => self.backends.pool.set_limit(most as usize),
+            Action::Connections { server: None, limit } => self.backends.pool.set_limit(limit as usize),
             Action::Share(share) => self.tell_peer(PeerMessage::Share(share)),
         }
     }
--- a/crates/gateway/src/driver/operators.rs
+++ b/crates/gateway/src/driver/operators.rs
@@ -47,8 +47,8 @@
 
     /// How full the servers are, as the module sees it.
     pub fn fullness(&self) -> Fullness {
-        let gateway_decisions::Fullness { open, room, waiting, repeats } =
-            self.state.borrow().gateway.fullness();
-        Fullness { open, room, waiting, repeats }
+        let gateway_decisions::LoadStatus { open_share, attempt_capacity, queued, retry_tokens } =
+            self.state.borrow().gateway.load_status();
+        Fullness { open: open_share, room: attempt_capacity, waiting: queued, repeats: retry_tokens }
     }
 }
--- a/crates/gateway/src/driver/peer.rs
+++ b/crates/gateway/src/driver/peer.rs
@@ -40,7 +40,7 @@
         targets: Vec<Target>,
         snapshot: Snapshot,
     ) {
-        snapshot.banned().for_each(|server| self.backends.pool.ban(server));
+        snapshot.disabled().for_each(|server| self.backends.pool.ban(server));
         self.list(Scope::Cached, List { rev, all: true, targets });
         self.event(Event::Restore(Box::new(snapshot)));
         self.set_peer(messages);
@@ -48,17 +48,17 @@
 
     fn set_peer(&self, messages: mpsc::Sender<PeerMessage>) {
         *self.peer.borrow_mut() = Some(messages);
-        self.event(Event::Beside { on: true });
+        self.event(Event::PeerProcess { running: true });
     }
 
     /// What the other process has done.
     pub fn peer_share(&self, share: Share) {
-        self.event(Event::Shared(share));
+        self.event(Event::PeerShare(share));
     }
 
     /// The other process has ended.
     pub fn peer_ended(&self) {
         *self.peer.borrow_mut() = None;
-        self.event(Event::Beside { on: false });
+        self.event(Event::PeerProcess { running: false });
     }
 }
--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -54,7 +54,7 @@
             deadline: self.clock.time(deadline),
             units: r.units,
             spread: r.spread,
-            repeat: r.repeat,
+            is_retry: r.repeat,
             relayed,
         }));
         self.wake.notify_one();
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -7,11 +7,13 @@
 /// Writes one action for one instance.
 pub fn write_action(instance: u64, action: &Action, to: &mut String) {
     let done = match action {
-        Action::Send { id, server, not_past } => {
+        Action::Send { id, server, attempt_deadline: not_past } => {
             let server = Value::from(server.as_ref());
             write!(to, "[\"Send\",{instance},\"{id:016x}\",{server},{not_past}]")
         }
-        Action::Reject { id, advice } => write!(to, "[\"Reject\",{instance},\"{id:016x}\",{advice}]"),
+        Action::Reject { id, retry_after: advice } => {
+            write!(to, "[\"Reject\",{instance},\"{id:016x}\",{advice}]")
+        }
         Action::Fail { id } => write!(to, "[\"Fail\",{instance},\"{id:016x}\"]"),
         Action::Cancel { id, attempt } => write!(to, "[\"CallOff\",{instance},\"{id:016x}\",{attempt}]"),
         Action::Timer { token, at } => write!(to, "[\"NotifyMe\",{instance},{token},{at}]"),
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -23,7 +23,7 @@
             ending: message.ending(3)?,
             load: message.load(5)?,
         },
-        "Datagram" => Event::Peer {
+        "Datagram" => Event::GatewayMessage {
             from: message.integer(2, "neighbour")? as u32,
             bytes: message.text(3, "octets")?.to_string(),
         },
@@ -57,7 +57,7 @@
         deadline: message.integer(6, "deadline")?,
         units: message.number_or(7, "size_units", 1.0)?,
         spread: message.number_or(8, "entry_points", 1.0)?.max(1.0) as u32,
-        repeat: message.integer_or(10, "attrs", 0)? & 2 != 0,
+        is_retry: message.integer_or(10, "attrs", 0)? & 2 != 0,
         relayed: false,
     })
 }
@@ -65,10 +65,10 @@
 fn attempt_end(message: &Message) -> Result<AttemptEnd, WireError> {
     Ok(AttemptEnd {
         id: message.id(2)?,
-        settled: message.number_or(3, "settled", 0.0)?,
-        last: message.flag(4, "last")?,
-        spent: false,
-        metered: match message.integer_or(5, "metered", 0)? {
+        actual_units: message.number_or(3, "settled", 0.0)?,
+        request_finished: message.flag(4, "last")?,
+        body_discarded: false,
+        metered_share: match message.integer_or(5, "metered", 0)? {
             0 => None,
             level => Some((level - 1) as f64 / 100.0),
         },
@@ -78,7 +78,7 @@
         server: message.text(9, "backend")?.into(),
         load: message.load(10)?,
         via: Via::Unknown,
-        links: 0,
+        open_connections: 0,
     })
 }
 
