--- a/crates/gateway-decisions/src/decide.rs
+++ b/crates/gateway-decisions/src/decide.rs
@@ -1,11 +1,11 @@
-//! Every decision of the gateway. What goes in and what comes out is in `src/interface.rs`.
+//! All decisions of the gateway. The types of its inputs and outputs are in `src/interface.rs`.
 //!
 //! The design is mQoS (Lin et al., "Multiple-resource request scheduling for differentiated QoS at website
-//! gateway"): a request meets its customer's quota (`quota`) and joins the queue of its plan and dominant
-//! resource (`admission`); the main scheduler picks among the heads of the queues (`scheduler`), within
-//! what is available of each resource (`availability`); a server is chosen (`server_choice`) and the
-//! attempt is sent (`send`); its end (`attempt_end`) refills what it took and teaches the estimates. What
-//! goes beyond the paper carries a comment that begins with `Beyond the paper`.
+//! gateway"). A request is checked against its customer's quota (`quota`) and joins the queue of its plan and
+//! dominant resource (`admission`). The main scheduler picks among the heads of the queues (`scheduler`),
+//! within what is available of each resource (`availability`). A server is chosen (`server_choice`) and an
+//! attempt is sent (`send`). The end of the attempt (`attempt_end`) frees its resources and updates the
+//! estimates. Everything that the paper does not contain has a comment that begins with `Not in the paper`.
 
 mod admission;
 mod attempt_end;
@@ -34,16 +34,17 @@
 pub use gateway::Gateway;
 
 use crate::interface::{Action, Event, LoadStatus, Time};
-use gateway::{TIMER_ASK, TIMER_PUMP};
+use gateway::{TIMER_DISCOVERY, TIMER_SCHEDULER};
 
 impl Gateway {
-    /// Takes what happened by `now` and appends what to do about it. Unknown ids are ignored.
+    /// Handles events that happened by `now` and appends the resulting actions to `out`. Events with unknown
+    /// ids are ignored.
     pub fn handle(&mut self, now: Time, events: Vec<Event>, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for event in events {
             self.handle_event(event, out);
         }
-        self.forget_quiet_customers();
+        self.remove_idle_customers();
         self.announce_connection_limits(out);
         self.run_main_scheduler(out);
         self.share_with_peer(out);
@@ -55,20 +56,20 @@
             Event::Request(request) => self.admit(request, out),
             Event::ClientGone { id } => self.client_gone(id, out),
             Event::AttemptEnd(end) => self.attempt_ended(end, out),
-            Event::Streaming { id, attempt } => self.answer_begun(id, attempt),
-            Event::Timer { token: TIMER_PUMP } => self.scheduler_timer_set = false,
-            Event::Timer { token: TIMER_ASK } => out.push(Action::Subscribe { on: true }),
+            Event::Streaming { id, attempt } => self.answer_started(id, attempt),
+            Event::Timer { token: TIMER_SCHEDULER } => self.scheduler_timer_set = false,
+            Event::Timer { token: TIMER_DISCOVERY } => out.push(Action::Subscribe { on: true }),
             Event::Timer { token } => self.wait_limit_reached(token, out),
             Event::Disable { server } => self.disable(server),
             Event::Enable { server } => self.enable(server),
             Event::Restore(snapshot) => self.restore(*snapshot),
             Event::PeerProcess { running } => self.set_peer_process(running),
-            Event::PeerShare(share) => self.take_peer_share(share),
+            Event::PeerShare(share) => self.apply_peer_share(share),
             Event::Probed { .. } | Event::Counted { .. } | Event::GatewayMessage { .. } => {}
         }
     }
 
-    /// How full the servers look to this gateway.
+    /// How loaded the servers look to this gateway.
     pub fn load_status(&self) -> LoadStatus {
         let queued_ids = self.sub_schedulers.iter().flat_map(|sub| &sub.queues).flatten();
         let queued = queued_ids.filter(|id| self.pending.contains_key(id)).count();
--- a/crates/gateway-decisions/src/decide/admission.rs
+++ b/crates/gateway-decisions/src/decide/admission.rs
@@ -1,20 +1,21 @@
-//! Admission: a request meets its customer's quota and joins the queue of its plan and dominant resource
-//! (mQoS, 3.2: the request classifier).
+//! Admission: a request is checked against its customer's quota and joins the queue of its plan and dominant
+//! resource (mQoS, 3.2: the request classifier).
 
 use crate::decide::averages::{FLEET_DAMPING, GAIN};
 use crate::decide::gateway::{Gateway, ATTEMPTS, UNITS};
 use crate::interface::{Action, Request, RequestId, Time};
 use crate::state::{nanos, PendingRequest};
 
-/// Usual times before the end of the latency target up to which a request is worth sending.
-const USUAL_TIMES_LEFT: f64 = 2.0;
-/// The least time that a request may wait, as a divisor of the latency target.
-const TARGETS_PER_LEAST_WAIT: Time = 4;
-/// Ticks before the deadline up to which a request may wait, so that its answer is in time.
-const TICKS_LEFT: Time = 2;
+/// A request is sent only while at least this many mean answer times are left until the latency target.
+const RESERVED_ANSWER_TIMES: f64 = 2.0;
+/// A request may always wait for the latency target divided by this.
+const MIN_WAIT_DIVISOR: Time = 4;
+/// A request may wait until this many ticks before its deadline, so that its answer is in time.
+const RESERVED_TICKS: Time = 2;
 
 impl Gateway {
-    /// Takes a new request: rejects it if its customer's quota is used, else puts it into its queue.
+    /// Handles a new request: rejects it if its customer's quota is exhausted, otherwise puts it into its
+    /// queue.
     pub(super) fn admit(&mut self, request: Request, out: &mut Vec<Action>) {
         let known = request.class < self.settings.classes.len() && request.plan < self.settings.plans.len();
         if !known || self.pending.contains_key(&request.id) {
@@ -36,17 +37,17 @@
         self.enqueue(&request);
     }
 
-    /// The last moment from which an answer could be within the latency target.
+    /// The latest time to send a request so that its answer can be within the latency target.
     fn latest_send(&self, request: &Request) -> Time {
         let target = self.settings.classes[request.class].latency_target;
-        let left = nanos(USUAL_TIMES_LEFT * self.usual_seconds[request.class]);
-        let latest = self.now + target.saturating_sub(left).max(target / TARGETS_PER_LEAST_WAIT);
-        latest.min(request.deadline.saturating_sub(TICKS_LEFT * self.settings.tick)).max(self.now)
+        let left = nanos(RESERVED_ANSWER_TIMES * self.mean_answer_seconds[request.class]);
+        let latest = self.now + target.saturating_sub(left).max(target / MIN_WAIT_DIVISOR);
+        latest.min(request.deadline.saturating_sub(RESERVED_TICKS * self.settings.tick)).max(self.now)
     }
 
-    /// Puts an admitted request into its queue. Beyond the paper: in a queue that waits, requests of a
-    /// class of more value stand ahead. Guards what the goal weighs most while capacity lacks; harms the
-    /// other classes of the same plan then, up to their wait limit.
+    /// Puts an admitted request into its queue. Not in the paper: in a queue that waits, requests of classes
+    /// with a higher value come first. Protects the requests that earn most while capacity is short. Cost:
+    /// other classes of the same plan wait, up to their wait limit.
     fn enqueue(&mut self, request: &Request) {
         let value = |id: &RequestId| {
             self.pending.get(id).map_or(0.0, |waiting| self.settings.classes[waiting.class].value)
@@ -54,16 +55,16 @@
         let resource = self.dominant_resource(request.units);
         let own = value(&request.id);
         let queue = &self.sub_schedulers[resource].queues[request.plan];
-        // With capacity for less than one attempt the newest goes first, which has most of its time: what has
-        // waited for long comes late, and others with it.
+        // With a capacity below one attempt, the newest request goes first, because it has most of its time
+        // left. A request that has waited long will be late, and would make the ones behind it late too.
         let newest_first = self.capacity(ATTEMPTS) < 1.0;
         let stands_behind = |id: &RequestId| value(id) < own || newest_first && value(id) <= own;
         let position = queue.iter().position(stands_behind).unwrap_or(queue.len());
         self.sub_schedulers[resource].queues[request.plan].insert(position, request.id);
     }
 
-    /// The resource of which a request of so many units needs the largest share (mQoS, 3.2): units where it
-    /// has more of them than others, else attempts.
+    /// The resource of which a request needs the largest share (mQoS, 3.2): units if it has more than the
+    /// mean, otherwise attempts.
     pub(super) fn dominant_resource(&self, units: f64) -> usize {
         if units > self.mean_units {
             UNITS
--- a/crates/gateway-decisions/src/decide/attempt_end.rs
+++ b/crates/gateway-decisions/src/decide/attempt_end.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts, what they teach, and final answers.
+//! Ends of attempts: what the gateway learns from them, and the final answers of requests.
 
 use crate::decide::averages::{FLEET_DAMPING, GAIN};
 use crate::decide::gateway::{Gateway, ATTEMPTS, UNITS};
@@ -7,18 +7,19 @@
 use crate::interface::{Action, AttemptEnd, Ending, RequestId, Time};
 use crate::state::{nanos, secs, FirstRun, InFlightAttempt};
 
-/// The zone and cell of a server that is not listed any more: no server has them, so none recognises the key.
-const NOWHERE: u32 = u32::MAX;
-/// A usual time of a class counts as no less, in seconds.
-const LEAST_USUAL: f64 = 1e-6;
+/// Zone and cell of a server that is no longer listed. No listed server has them, so none recognises the key.
+const UNLISTED_LOCATION: u32 = u32::MAX;
+/// Lower bound of the mean answer time of a class.
+const MIN_ANSWER_SECONDS: f64 = 1e-6;
 
-/// Whether an ending proves that the attempt never ran.
+/// Whether a result proves that the attempt never ran.
 fn never_ran(ending: Ending) -> bool {
     matches!(ending, Ending::Full | Ending::NoRoute | Ending::Stale)
 }
 
 impl Gateway {
-    /// Takes the end of an attempt: refills availability, learns from it, and retries or ends the request.
+    /// Handles the end of an attempt: frees its resources, learns from it, and retries or finishes the
+    /// request.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         self.learn_reported_load(&end);
         let Some(attempt) = self.take_attempt(&end) else { return };
@@ -31,9 +32,10 @@
         self.sub_schedulers[UNITS].in_flight = (self.sub_schedulers[UNITS].in_flight - units).max(0.0);
         self.learn_pace(&attempt.server, units, &end);
         self.learn_from_end(&attempt, class, plan, &end);
-        self.note_in_flight_at(&attempt.server);
+        self.record_in_flight_for_peer(&attempt.server);
         self.settle_quota(&customer, units, &end);
-        // What a full server rejected has not run, yet to send it again presses on the others.
+        // An attempt that a full server rejected has not run, but sending it again adds load to the other
+        // servers.
         let free = never_ran(end.ending) && end.ending != Ending::Full;
         let cost = if free { RetryCost::Free } else { RetryCost::Charged };
         if answered {
@@ -43,43 +45,45 @@
         }
     }
 
-    /// The attempt that an end is of, which is then no longer in flight; none if the end is of no known one.
+    /// Takes the attempt out of flight; `None` if it is unknown.
     fn take_attempt(&mut self, end: &AttemptEnd) -> Option<InFlightAttempt> {
         let request = self.pending.get_mut(&end.id)?;
         let attempt = request.in_flight.take_if(|attempt| attempt.attempt == end.attempt)?;
         if !never_ran(end.ending) && request.first_run.is_none() {
             let server = self.servers.get(&attempt.server);
-            let (zone, cell) = server.map_or((NOWHERE, NOWHERE), |server| (server.zone, server.cell));
+            let (zone, cell) =
+                server.map_or((UNLISTED_LOCATION, UNLISTED_LOCATION), |server| (server.zone, server.cell));
             request.first_run = Some(FirstRun { sent_at: attempt.sent_at, zone, cell });
         }
         request.tried_servers.push(attempt.server.clone());
         request.warm_up_draw = self.rng.f64();
-        self.shedding.draw_rest(request.warm_up_draw);
+        self.shedding.draw_pause(request.warm_up_draw);
         Some(attempt)
     }
 
-    /// Learns from an end what it shows of its server and of the fleet.
+    /// Updates the estimates of the server and of the fleet.
     fn learn_from_end(&mut self, attempt: &InFlightAttempt, class: usize, plan: usize, end: &AttemptEnd) {
-        let passed = end.ending == Ending::Pass;
+        let succeeded = end.ending == Ending::Pass;
         let timed_out = end.ending == Ending::Late;
         let observed = ObservedEnd {
             now: self.now,
             class,
             plan,
             ending: end.ending,
-            passed,
+            succeeded,
             full: end.ending == Ending::Full,
             timed_out,
             unanswered: timed_out && !attempt.cancelled,
             seconds: secs(end.elapsed),
             target_seconds: secs(self.settings.classes[class].latency_target),
-            usual_seconds: self.usual_seconds[class].max(LEAST_USUAL),
+            mean_answer_seconds: self.mean_answer_seconds[class].max(MIN_ANSWER_SECONDS),
         };
-        self.attempt_seconds += (observed.seconds - self.attempt_seconds) * GAIN / FLEET_DAMPING;
+        self.mean_attempt_seconds += (observed.seconds - self.mean_attempt_seconds) * GAIN / FLEET_DAMPING;
         self.shedding.observe(&observed, self.gateways_per_server);
-        if passed {
+        if succeeded {
             let seconds = observed.seconds.min(observed.target_seconds);
-            self.usual_seconds[class] += (seconds - observed.usual_seconds) * GAIN / FLEET_DAMPING;
+            self.mean_answer_seconds[class] +=
+                (seconds - observed.mean_answer_seconds) * GAIN / FLEET_DAMPING;
         }
         let (memory_seconds, classes) = (self.memory_seconds(), self.settings.classes.len());
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
@@ -92,21 +96,21 @@
         server.observe_outcome(&observed, memory_seconds, classes);
     }
 
-    /// The final answer of a request of which no attempt is in flight: a rejection only if nothing can have
-    /// run.
+    /// Sends the final answer of a request that has no attempt in flight: a rejection only if nothing can
+    /// have run.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.pending.remove(&id) else { return };
         if request.first_run.is_some() {
             out.push(Action::Fail { id });
         } else {
-            // It found no server in time: they are too full for a client to return soon.
+            // The request found no server in time. The servers are too full for the client to return soon.
             let retry_after = self.retry_after(secs(self.settings.max_retry_after));
             out.push(Action::Reject { id, retry_after });
         }
     }
 
-    /// After how long a rejected client ought to return, as far as clients may be told and heed it; 0 for no
-    /// advice.
+    /// The time after which a rejected client should retry, in nanoseconds, within the bounds of the
+    /// settings; 0 if clients get no advice.
     pub(super) fn retry_after(&self, seconds: f64) -> Time {
         if self.settings.retry_after {
             let least = self.settings.tick;
@@ -116,7 +120,7 @@
         }
     }
 
-    /// A request's timer: if it still waits here, it waits no longer.
+    /// Handles a request's timer: a request that still waits is given up.
     pub(super) fn wait_limit_reached(&mut self, token: u64, out: &mut Vec<Action>) {
         let Some(id) = self.timers.remove(&token) else { return };
         if self.pending.get(&id).is_some_and(|request| request.in_flight.is_none()) {
@@ -124,15 +128,16 @@
         }
     }
 
-    /// An answer has begun to go to the client: the request can be neither retried nor cancelled.
-    pub(super) fn answer_begun(&mut self, id: RequestId, attempt: u32) {
+    /// Records that an answer is being forwarded to the client. The request can no longer be retried or
+    /// cancelled.
+    pub(super) fn answer_started(&mut self, id: RequestId, attempt: u32) {
         let Some(request) = self.pending.get_mut(&id) else { return };
         if request.in_flight.as_ref().is_some_and(|in_flight| in_flight.attempt == attempt) {
             request.streaming = true;
         }
     }
 
-    /// The client left. The attempt in flight keeps its capacity until its end is known.
+    /// Handles a client's disconnect. The attempt in flight uses its capacity until its end is known.
     pub(super) fn client_gone(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.pending.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.as_mut() else {
--- a/crates/gateway-decisions/src/decide/gateway.rs
+++ b/crates/gateway-decisions/src/decide/gateway.rs
@@ -1,5 +1,4 @@
-//! What a gateway keeps, and its start. The decisions on it stand in the modules beside this one, each with
-//! one.
+//! The state of a gateway, and its constructor. The modules beside this one hold the decisions, one each.
 
 use crate::decide::load_shedding::LoadShedding;
 use crate::decide::retry_budget::RetryBudget;
@@ -10,25 +9,26 @@
 use mqos::DeficitRoundRobin;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The resources of the design: attempts in flight here, and units in flight here.
+/// Number of resources in the design: attempts in flight and units in flight.
 pub(super) const RESOURCES: usize = 2;
 /// Index of the resource of attempts in flight.
 pub(super) const ATTEMPTS: usize = 0;
 /// Index of the resource of units in flight.
 pub(super) const UNITS: usize = 1;
 
-/// Token of the timer after which the main scheduler runs again.
-pub(super) const TIMER_PUMP: u64 = 0;
-/// Token of the timer after which discovery is asked again.
-pub(super) const TIMER_ASK: u64 = 1;
-/// Tokens above this one are timers of requests.
-const TIMER_REQUESTS: u64 = 2;
+/// Token of the timer that runs the main scheduler again.
+pub(super) const TIMER_SCHEDULER: u64 = 0;
+/// Token of the timer that asks discovery again.
+pub(super) const TIMER_DISCOVERY: u64 = 1;
+/// Tokens above this one belong to timers of requests.
+const LAST_RESERVED_TIMER: u64 = 2;
 
-/// Before answers came, the usual time of a class is its latency target divided by this.
-const TARGET_PER_USUAL_TIME: f64 = 4.0;
+/// Before the first answer, the mean answer time of a class is assumed to be its latency target divided by
+/// this.
+const TARGET_PER_MEAN_ANSWER_TIME: f64 = 4.0;
 
-/// The sub-scheduler of one resource (mQoS, 3.3): a queue for each plan, and what is in flight of the
-/// resource.
+/// The sub-scheduler of one resource (mQoS, 3.3): a queue for each plan, and the amount of the resource in
+/// flight.
 pub(super) struct SubScheduler {
     pub(super) queues: Vec<VecDeque<RequestId>>,
     pub(super) in_flight: f64,
@@ -39,22 +39,24 @@
         SubScheduler { queues: vec![VecDeque::new(); plans], in_flight: 0.0 }
     }
 
-    /// Whether no request waits in any of its queues.
+    /// Whether all its queues are empty.
     pub(super) fn is_idle(&self) -> bool {
         self.queues.iter().all(VecDeque::is_empty)
     }
 }
 
-/// The decisions of one gateway, and all that it knows.
+/// One gateway: its settings, its state and its decisions.
 pub struct Gateway {
     pub(super) settings: Settings,
     pub(super) rng: Rng,
     pub(super) started: Time,
     pub(super) now: Time,
     pub(super) servers: Servers,
-    /// Servers that operators have disabled. Apart from the list: what discovery tells does not end it.
+    /// Servers that operators have disabled. Kept apart from the server list, so that a list update does not
+    /// enable them.
     pub(super) disabled: BTreeSet<Name>,
-    /// When operators enabled servers again: they were restarted meanwhile, whatever the list tells by then.
+    /// When operators enabled servers again. Such a server counts as restarted at that time, whatever the
+    /// list reports.
     pub(super) enabled_at: BTreeMap<Name, Time>,
     pub(super) pending: BTreeMap<RequestId, PendingRequest>,
     pub(super) customers: BTreeMap<Name, Customer>,
@@ -63,46 +65,48 @@
     pub(super) deficits: DeficitRoundRobin<RESOURCES>,
     pub(super) timers: BTreeMap<u64, RequestId>,
     pub(super) next_timer: u64,
-    /// Whether a timer stands after which the main scheduler runs again.
+    /// Whether the timer that runs the main scheduler again is set.
     pub(super) scheduler_timer_set: bool,
-    /// When quiet customers were last looked for.
+    /// When idle customers were last removed.
     pub(super) customers_swept_at: Time,
     /// EWMA of the units of a request.
     pub(super) mean_units: f64,
-    /// By plan.
+    /// Demand of customers that the meter has not read yet, by plan.
     pub(super) unmetered: Vec<UnmeteredDemand>,
-    /// EWMA of the elapsed time of good answers, by class, in seconds.
-    pub(super) usual_seconds: Vec<f64>,
+    /// EWMA of the elapsed time of successful answers, by class, in seconds.
+    pub(super) mean_answer_seconds: Vec<f64>,
     pub(super) retry_budget: RetryBudget,
-    /// How many connections may be opened where one in use would do as well.
+    /// Number of connections that may be opened although an open connection to another server would do as
+    /// well.
     pub(super) handshake_budget: f64,
     pub(super) shedding: LoadShedding,
-    /// How many gateways use each server.
+    /// Number of gateways that use each server.
     pub(super) gateways_per_server: f64,
-    /// EWMA of how long an attempt is in flight, in seconds.
-    pub(super) attempt_seconds: f64,
+    /// EWMA of the time that an attempt is in flight, in seconds.
+    pub(super) mean_attempt_seconds: f64,
     /// EWMA of the load that servers report.
-    pub(super) usual_load: f64,
-    /// EWMA of the seconds that a unit takes on a warm server that is not busy; 0 before the first.
-    pub(super) calm_seconds_per_unit: f64,
-    /// Whether the limits on connections may have changed.
+    pub(super) mean_reported_load: f64,
+    /// EWMA of the seconds that a unit takes on a warm server with little load; 0 before the first such
+    /// answer.
+    pub(super) unloaded_seconds_per_unit: f64,
+    /// Whether the connection limits may have changed since they were last announced.
     pub(super) connection_limits_changed: bool,
-    /// The limit on connections over all servers of which the caller was last notified; 0 if of none.
+    /// The limit on connections over all servers last announced to the caller; 0 before the first.
     pub(super) announced_connections: u32,
-    /// When the meter last read anything, of any customer.
+    /// When the meter last reported a reading, for any customer.
     pub(super) last_reading_at: Time,
-    /// What the other process of this gateway is to be told, while there is one.
+    /// Changes to send to the other process of this gateway; `None` while there is no other process.
     pub(super) peer_share: Option<Share>,
     /// Attempts and units that the other process has in flight.
     pub(super) peer_in_flight: [f64; RESOURCES],
 }
 
 impl Gateway {
-    /// A gateway that knows nothing but its settings; `seed` begins its random draws.
+    /// A gateway that knows only its settings. `seed` seeds its random number generator.
     ///
     /// # Errors
     ///
-    /// A setting is outside its sensible range; the text names it.
+    /// A setting is out of range. The message names it.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, String> {
         settings::check(&settings)?;
         let mut rng = Rng::with_seed(seed);
@@ -118,23 +122,23 @@
             sub_schedulers: [SubScheduler::new(plans), SubScheduler::new(plans)],
             deficits: DeficitRoundRobin::new(plans),
             timers: BTreeMap::new(),
-            next_timer: TIMER_REQUESTS,
+            next_timer: LAST_RESERVED_TIMER,
             scheduler_timer_set: false,
             customers_swept_at: now,
             mean_units: 1.0,
             unmetered: vec![UnmeteredDemand::default(); plans],
-            usual_seconds: settings
+            mean_answer_seconds: settings
                 .classes
                 .iter()
-                .map(|c| secs(c.latency_target) / TARGET_PER_USUAL_TIME)
+                .map(|c| secs(c.latency_target) / TARGET_PER_MEAN_ANSWER_TIME)
                 .collect(),
             retry_budget: RetryBudget::new(rng.f64(), now),
             handshake_budget: 0.0,
             shedding: LoadShedding::new(now),
             gateways_per_server: f64::from(settings.gateways),
-            attempt_seconds: 0.0,
-            usual_load: 0.0,
-            calm_seconds_per_unit: 0.0,
+            mean_attempt_seconds: 0.0,
+            mean_reported_load: 0.0,
+            unloaded_seconds_per_unit: 0.0,
             connection_limits_changed: true,
             announced_connections: 0,
             last_reading_at: 0,
--- a/crates/gateway-decisions/src/decide/outlier_detection.rs
+++ b/crates/gateway-decisions/src/decide/outlier_detection.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: the share of bad ends to expect of a server. Beyond the paper.
+//! Outlier detection: the expected share of bad ends at a server. Not in the paper.
 //!
-//! A gateway seldom sees one server, so little evidence counts at once, and the fleet's mean stands in for
-//! none. Guards against what fails, hangs or is full for one class or one plan or all of them on part of
-//! the fleet, and leaves the others alone; harms for a while whoever was unlucky.
+//! A gateway sends few attempts to one server, so a few observations have an immediate effect, and the
+//! fleet's mean replaces missing ones. Protects against servers that fail, hang or are full for one class,
+//! one plan or all of them, without affecting the other classes and plans. Cost: a server with a few random
+//! failures is avoided for a while.
 
 use crate::decide::averages::GAIN;
 use crate::decide::gateway::Gateway;
@@ -10,24 +11,25 @@
 use crate::interface::{Ending, Health, Time};
 use crate::state::{secs, DecayedRate, Server};
 
-/// How long ends are remembered, in multiples of the longest latency target: a fault lasts many of them.
-const MEMORY_TARGETS: f64 = 10.0;
-/// Observations that the fleet's rate counts for in the rate of one server.
+/// How long ends are remembered, in multiples of the longest latency target: faults last for many of them.
+const MEMORY_LATENCY_TARGETS: f64 = 10.0;
+/// Weight of the fleet's rate in the rate of one server, in observations.
 const FLEET_WEIGHT: f64 = 0.5;
-/// A server whose rate of bad ends in a class lies this far above the fleet's gets only what finds no other.
+/// A server is ejected if its rate of bad ends in a class exceeds the fleet's by more than this. It then gets
+/// only requests that find no other server.
 const EJECTION_MARGIN: f64 = 0.4;
 
-/// What a rate of bad ends is kept for.
+/// What a rate of bad ends is counted over.
 #[derive(Clone, Copy)]
 pub(super) enum OutcomeOf {
-    /// Requests of a class; bad: the attempt failed.
+    /// Requests of a class. Bad: the attempt failed.
     Class(usize),
-    /// Requests of a plan; bad: the server rejected the attempt as full.
+    /// Requests of a plan. Bad: the server rejected the attempt as full.
     Plan(usize),
 }
 
 impl OutcomeOf {
-    /// The index of this rate among a server's outcomes, with so many classes.
+    /// Index of this rate in a server's outcomes, for a number of classes.
     fn index(self, classes: usize) -> usize {
         match self {
             OutcomeOf::Class(class) => class,
@@ -37,12 +39,12 @@
 }
 
 impl DecayedRate {
-    /// What is left of the observations when they count for the share `kept`.
+    /// The rate after its observations have decayed to the share `kept`.
     fn decayed(self, kept: f64) -> Self {
         DecayedRate { observations: kept * self.observations, bad: kept * self.bad }
     }
 
-    /// Adds an observation, beside which the earlier ones count for less.
+    /// Adds an observation. Earlier observations lose weight.
     fn observe(&mut self, bad: bool) {
         self.observations = self.observations * (1.0 - GAIN) + 1.0;
         self.bad = self.bad * (1.0 - GAIN) + f64::from(bad);
@@ -50,19 +52,19 @@
 }
 
 impl Server {
-    /// The share that its ends still count for, if none came since the last.
+    /// The share to which the outcomes have decayed by `now`.
     fn kept_share(&self, now: Time, memory_seconds: f64) -> f64 {
         (-secs(now - self.outcomes_at) / memory_seconds).exp()
     }
 
-    /// Enters an end among its outcomes, after those before have decayed up to now.
+    /// Records an end, after the earlier ones have decayed up to now.
     pub(super) fn observe_outcome(&mut self, end: &ObservedEnd, memory_seconds: f64, classes: usize) {
         let kept = self.kept_share(end.now, memory_seconds);
         self.outcomes_at = end.now;
         self.outcomes.iter_mut().for_each(|rate| *rate = rate.decayed(kept));
         let failed = end.unanswered || matches!(end.ending, Ending::Fault | Ending::Cut | Ending::NoRoute);
         for (of, bad) in [(OutcomeOf::Class(end.class), failed), (OutcomeOf::Plan(end.plan), end.full)] {
-            if bad || failed || end.passed {
+            if bad || failed || end.succeeded {
                 self.outcomes[of.index(classes)].observe(bad);
             }
         }
@@ -70,30 +72,30 @@
 }
 
 impl Gateway {
-    /// How many rates of bad ends are kept of a server.
+    /// Number of outcome rates per server.
     pub(super) fn outcome_count(&self) -> usize {
         self.settings.classes.len() + self.settings.plans.len()
     }
 
     /// How long ends are remembered, in seconds.
     pub(super) fn memory_seconds(&self) -> f64 {
-        MEMORY_TARGETS
+        MEMORY_LATENCY_TARGETS
             * self.settings.classes.iter().map(|class| secs(class.latency_target)).fold(0.0, f64::max)
     }
 
-    /// A server's recent ends, decayed up to now.
+    /// A server's outcome rate, decayed up to now.
     fn outcomes_by_now(&self, server: &Server, of: OutcomeOf) -> DecayedRate {
         let kept = server.kept_share(self.now, self.memory_seconds());
         server.outcomes[of.index(self.settings.classes.len())].decayed(kept)
     }
 
-    /// The share of bad ends to expect of a server, beside the fleet's mean.
+    /// The expected share of bad ends at a server, from its recent ends and the fleet's mean.
     pub(super) fn bad_rate(&self, server: &Server, of: OutcomeOf, fleet_rate: f64) -> f64 {
         let recent = self.outcomes_by_now(server, of);
         (recent.bad + FLEET_WEIGHT * fleet_rate) / (recent.observations + FLEET_WEIGHT)
     }
 
-    /// The fleet's mean share of bad ends, each server weighed by how much is known of it.
+    /// The mean share of bad ends over the fleet, weighting each server by how much is known of it.
     pub(super) fn fleet_bad_rate(&self, of: OutcomeOf) -> f64 {
         let mut fleet = DecayedRate::default();
         for server in self.servers.values() {
@@ -104,8 +106,8 @@
         fleet.bad / (fleet.observations + 1.0)
     }
 
-    /// How many listed servers are avoided: disabled by operators, or ejected since most of what they get
-    /// ends badly.
+    /// Number of listed servers that are avoided: disabled by operators, or ejected because most of their
+    /// attempts end badly.
     pub fn ejected(&self) -> usize {
         let classes = 0..self.settings.classes.len();
         let fleet_rates: Vec<f64> =
--- a/crates/gateway-decisions/src/decide/retries.rs
+++ b/crates/gateway-decisions/src/decide/retries.rs
@@ -1,19 +1,19 @@
-//! Retries: which attempt may be followed by another.
+//! Retries: which attempts may be followed by another.
 
 use crate::decide::gateway::Gateway;
 use crate::interface::{Effect, RequestId};
 
-/// Whether a retry is charged to the budget.
+/// Whether a retry is charged to the retry budget.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RetryCost {
-    /// The attempt took nothing from a server.
+    /// The attempt cost the server nothing.
     Free,
-    /// It may have run, or a full server rejected it: to send it again presses on the others.
+    /// The attempt may have run, or a full server rejected it. A retry adds load to the other servers.
     Charged,
 }
 
 impl Gateway {
-    /// Whether a request whose attempt ended without an answer for the client may be sent once more.
+    /// Whether a request whose attempt ended without an answer for the client may be sent again.
     fn may_retry(&self, id: RequestId, cost: RetryCost) -> bool {
         let request = &self.pending[&id];
         let class = &self.settings.classes[request.class];
@@ -28,8 +28,8 @@
             && (cost == RetryCost::Free || self.retry_budget.covers_retry())
     }
 
-    /// Puts a request at the head of its queue for another attempt, if it may have one. Returns whether it
-    /// may.
+    /// Puts a request at the head of its queue for another attempt, if that is allowed. Returns whether it
+    /// is.
     pub(super) fn retry(&mut self, id: RequestId, cost: RetryCost) -> bool {
         if !self.may_retry(id, cost) {
             return false;
--- a/crates/gateway-decisions/src/decide/scheduler.rs
+++ b/crates/gateway-decisions/src/decide/scheduler.rs
@@ -1,19 +1,18 @@
-//! The main scheduler and the sub-schedulers (mQoS, 3.3 and 3.4): which request goes next.
+//! The main scheduler and the sub-schedulers (mQoS, 3.3 and 3.4): which request is sent next.
 
 use crate::decide::availability::Capacities;
-use crate::decide::gateway::{Gateway, SubScheduler, ATTEMPTS, RESOURCES, TIMER_PUMP, UNITS};
+use crate::decide::gateway::{Gateway, SubScheduler, ATTEMPTS, RESOURCES, TIMER_SCHEDULER, UNITS};
 use crate::interface::{Action, Name, RequestId};
 
-/// Rounds of the main scheduler without a send after which capacity lacks, not deficit: a quantum covers any
-/// request.
+/// After this many rounds of the main scheduler without a send, capacity is what lacks, not deficit: one
+/// quantum covers any request.
 const IDLE_ROUNDS: u32 = 3;
-/// Quanta that a deficit counter holds at most.
-const MOST_QUANTA: f64 = 2.0;
-/// The time in which a server that warms up falls over, divided by this, is how long a queue waits for what
-/// eases with time alone.
-const RUNS_PER_FALL: u64 = 50;
+/// Maximum of a deficit counter, in quanta.
+const MAX_QUANTA: f64 = 2.0;
+/// While requests wait, the scheduler runs again after the settings' `overload_tolerance` divided by this.
+const RUNS_PER_OVERLOAD_TOLERANCE: u64 = 50;
 
-/// A request that may be sent, where to, and its position in its queue.
+/// A request that may be sent, its server, and its position in its queue.
 struct Sendable {
     id: RequestId,
     server: Name,
@@ -21,8 +20,8 @@
 }
 
 impl Gateway {
-    /// The main scheduler: wakes the sub-scheduler of the most available resource, else the next, until
-    /// none has a request to send.
+    /// The main scheduler: runs the sub-scheduler of the most available resource, or else the other one,
+    /// until neither has a request to send.
     pub(super) fn run_main_scheduler(&mut self, out: &mut Vec<Action>) {
         if self.sub_schedulers.iter().all(SubScheduler::is_idle) {
             return;
@@ -33,7 +32,9 @@
             let first = self.most_available_resource(capacities);
             idle_rounds += 1;
             for resource in [first, 1 - first] {
-                if let Some((id, server)) = self.pick(resource, capacities, &mut short_of_deficit) {
+                if let Some((id, server)) =
+                    self.run_sub_scheduler(resource, capacities, &mut short_of_deficit)
+                {
                     self.send(id, server, out);
                     (short_of_deficit, idle_rounds) = (false, 0);
                     break;
@@ -46,18 +47,19 @@
         self.run_again_while_queued(out);
     }
 
-    /// Sets a timer while requests wait: what they wait for may ease with time alone, as budgets, ceilings
-    /// and ejections do.
+    /// Sets a timer while requests wait, because budgets, ceilings and ejections change with time, without an
+    /// event.
     fn run_again_while_queued(&mut self, out: &mut Vec<Action>) {
         let queued = self.sub_schedulers.iter().any(|sub| !sub.is_idle());
         if queued && !self.scheduler_timer_set {
             self.scheduler_timer_set = true;
-            let at = self.now + (self.settings.overload_tolerance / RUNS_PER_FALL).max(self.settings.tick);
-            out.push(Action::Timer { token: TIMER_PUMP, at });
+            let at = self.now
+                + (self.settings.overload_tolerance / RUNS_PER_OVERLOAD_TOLERANCE).max(self.settings.tick);
+            out.push(Action::Timer { token: TIMER_SCHEDULER, at });
         }
     }
 
-    /// The resource of the greatest availability, a random one if both are equal (mQoS, 3.4).
+    /// The resource of the greatest availability; a random one if both are equal (mQoS, 3.4).
     fn most_available_resource(&mut self, capacities: Capacities) -> usize {
         let attempts = self.availability(ATTEMPTS, capacities);
         let units = self.availability(UNITS, capacities);
@@ -70,10 +72,10 @@
         }
     }
 
-    /// One sub-scheduler's turn: the head under its pointer goes if every availability counter and every
-    /// deficit counter of its plan covers it; else the pointer moves on. `short_of_deficit` is set where
-    /// only deficits lacked.
-    fn pick(
+    /// One turn of a sub-scheduler: the request at the head of the queue under its pointer is picked if all
+    /// availability counters and all deficit counters of its plan cover it; otherwise the pointer moves on.
+    /// Sets `short_of_deficit` if a head lacked only deficit.
+    fn run_sub_scheduler(
         &mut self,
         resource: usize,
         capacities: Capacities,
@@ -90,7 +92,8 @@
                 }
                 *short_of_deficit = true;
             }
-            // A wrap that found no plan short leaves the counters: else they would fill while capacity lacks.
+            // If no plan lacked deficit, a wrap leaves the counters unchanged. Otherwise they would grow
+            // while capacity lacks.
             if self.deficits.advance(resource) && *short_of_deficit {
                 self.add_quanta(resource);
             }
@@ -98,16 +101,16 @@
         None
     }
 
-    /// Adds their quanta to the deficit counters of a resource.
+    /// Adds each plan's quantum to its deficit counter of a resource.
     fn add_quanta(&mut self, resource: usize) {
         for plan in 0..self.settings.plans.len() {
             let quantum = self.quantum(resource, plan);
-            self.deficits.gain(resource, plan, quantum, MOST_QUANTA * quantum);
+            self.deficits.gain(resource, plan, quantum, MAX_QUANTA * quantum);
         }
     }
 
-    /// What a plan's deficit counter of a resource gains on a wrap, by the plan's weight: enough for any
-    /// request.
+    /// The quantum that a plan's deficit counter of a resource gains on a wrap, by the plan's weight. It
+    /// covers any request.
     fn quantum(&self, resource: usize, plan: usize) -> f64 {
         let plans = &self.settings.plans;
         let least = plans.iter().map(|plan| plan.value_factor).fold(f64::INFINITY, f64::min).max(1e-9);
@@ -117,13 +120,13 @@
         weight * largest_request
     }
 
-    /// The units that a request needs, a quantum at most.
+    /// The units that a request is charged, at most one quantum.
     fn units_needed(&self, id: RequestId, plan: usize) -> f64 {
         self.pending[&id].units.min(self.quantum(UNITS, plan))
     }
 
-    /// The first request of a queue that every availability counter covers and that may be sent now. The
-    /// cheap checks come first, and a class that finds no server is asked for once.
+    /// The first request of a queue that all availability counters cover and that may be sent now. The cheap
+    /// checks come first, and if a class finds no server, its other requests are skipped.
     fn head(&mut self, resource: usize, plan: usize, capacities: Capacities) -> Option<Sendable> {
         if !self.is_available(ATTEMPTS, 1.0, capacities) {
             return None;
--- a/crates/gateway-decisions/src/decide/send.rs
+++ b/crates/gateway-decisions/src/decide/send.rs
@@ -1,16 +1,16 @@
-//! The attempt that goes to a server: its time limit, and what it takes of every budget.
+//! Sending an attempt: its timeout, and what it takes from each budget.
 
 use crate::decide::gateway::{Gateway, ATTEMPTS, UNITS};
 use crate::interface::{Action, Charge, Effect, Name, RequestId, Time};
 use crate::state::{nanos, InFlightAttempt};
 
-/// Usual times of a request after which its server is taken to hang.
-const HANG_TIMES: u64 = 4;
-/// Tenths of the time left to the latency target that an attempt may take in any case.
-const WAIT_TENTHS: u64 = 6;
+/// A server counts as hung after this many mean answer times, scaled by the size of the request.
+const HANG_ANSWER_TIMES: u64 = 4;
+/// Minimum timeout of an attempt, in tenths of the time left until the latency target.
+const MIN_TIMEOUT_TENTHS: u64 = 6;
 
 impl Gateway {
-    /// Sends an attempt of a request to a server, and charges every budget that it takes from.
+    /// Sends an attempt of a request to a server and charges it to every budget.
     pub(super) fn send(&mut self, id: RequestId, server: Name, out: &mut Vec<Action>) {
         let memory_seconds = self.memory_seconds();
         self.charge_handshake(&server);
@@ -34,21 +34,22 @@
         self.retry_budget.count_sent(self.now, memory_seconds);
         self.sub_schedulers[ATTEMPTS].in_flight += 1.0;
         self.sub_schedulers[UNITS].in_flight += units;
-        self.charge_peer(Charge::Sent { customer, units: new_units });
-        self.note_in_flight_at(&server);
+        self.record_charge_for_peer(Charge::Sent { customer, units: new_units });
+        self.record_in_flight_for_peer(&server);
         out.push(Action::Send { id, server, attempt_deadline });
     }
 
-    /// Until when an attempt sent now may take. Beyond the paper: a repeatable request leaves a server that
-    /// hangs while the latency target is in reach. A large one takes long anywhere: to begin it anew wastes
-    /// its work.
+    /// The deadline of an attempt that is sent now. Not in the paper: a request that can be retried leaves a
+    /// server that hangs while the latency target can still be met. A large request takes long on any server,
+    /// and a restart would waste the work done, so its timeout grows with its size.
     fn time_limit(&self, id: RequestId) -> Time {
         let request = &self.pending[&id];
         let class = &self.settings.classes[request.class];
         let target_end = request.arrived + class.latency_target;
         let size = (request.units / self.mean_units.max(1e-9)).max(1.0);
-        let usual = nanos(self.usual_seconds[request.class] * size);
-        let wait_limit = (HANG_TIMES * usual).max(target_end.saturating_sub(self.now) * WAIT_TENTHS / 10);
+        let usual = nanos(self.mean_answer_seconds[request.class] * size);
+        let wait_limit =
+            (HANG_ANSWER_TIMES * usual).max(target_end.saturating_sub(self.now) * MIN_TIMEOUT_TENTHS / 10);
         let may_retry = class.effect != Effect::Unsafe
             && request.attempts + 1 < self.settings.try_limit
             && self.retry_budget.covers_retry();
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Counts an attempt among those in flight at a server.
+    /// Counts an attempt as in flight at a server.
     fn count_at_server(&mut self, server: &Name) {
         let server = self.servers.get_mut(server).expect("chosen from the servers");
         if server.in_flight == 0 {
--- a/crates/gateway-decisions/src/decide/server_choice.rs
+++ b/crates/gateway-decisions/src/decide/server_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a server: one of the least expected wait, or nearly, among those that may take a request.
+//! The choice of a server: the least expected wait, or nearly, among the servers that may take a request.
 
 use crate::decide::gateway::Gateway;
 use crate::decide::outlier_detection::OutcomeOf;
@@ -7,22 +7,22 @@
 use crate::interface::{Effect, Group, Name, RequestId};
 use crate::state::{secs, PendingRequest, Server};
 
-/// How far above the least expected wait a server may lie to be drawn with very many gateways, as a share of
-/// that wait.
-const NEAR_EQUAL: f64 = 0.3;
-/// Where no more gateways than this use a server, the best one alone is drawn.
+/// With very many gateways, a server is drawn at random if its cost exceeds the least by at most this share
+/// of the least expected wait.
+const NEAR_EQUAL_MARGIN: f64 = 0.3;
+/// If at most this many gateways use a server, only the best server is chosen.
 const FEW_GATEWAYS: f64 = 2.0;
-/// What a bad end costs, in latency targets of waiting.
-const BAD_END_COST: f64 = 2.0;
-/// The same where the request can't be retried.
-const UNREPEATABLE_BAD_END_COST: f64 = 2.0 * BAD_END_COST;
+/// Cost of a bad end, as waiting time in latency targets.
+const BAD_END_COST_TARGETS: f64 = 2.0;
+/// Cost of a bad end if the request cannot be retried, as waiting time in latency targets.
+const UNREPEATABLE_BAD_END_COST_TARGETS: f64 = 2.0 * BAD_END_COST_TARGETS;
 
-/// The servers among which a choice is made.
+/// The servers among which to choose.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Among {
-    /// Those of the subset that this gateway uses.
+enum CandidateSet {
+    /// The servers of this gateway's subset.
     Subset,
-    /// All that may get requests.
+    /// All servers that may get requests.
     AllReady,
 }
 
@@ -30,48 +30,51 @@
 #[derive(Clone, Copy)]
 struct Candidate<'a> {
     name: &'a Name,
-    /// An attempt of the request has already been there.
+    /// Whether an attempt of the request has already been sent to the server.
     tried: bool,
-    /// The wait to expect and the bad ends to expect, in usual times of the class.
+    /// Expected wait plus the cost of the expected bad ends, in mean answer times of the class.
     cost: f64,
-    /// The wait to expect, in usual times of the class.
+    /// Expected wait, in mean answer times of the class.
     wait: f64,
 }
 
 impl Candidate<'_> {
-    /// What candidates are ordered by: first those not tried, then by cost.
+    /// Sort key: untried servers first, then by cost.
     fn rank(&self) -> (bool, f64) {
         (self.tried, self.cost)
     }
 }
 
-/// The servers that may take a request, and which of them is warming up and opened to it by its draw.
+/// The servers that may take a request, and the index of the one that is warming up and selected by the
+/// request's draw.
 #[derive(Default)]
 struct Candidates<'a> {
     all: Vec<Candidate<'a>>,
     warming_up: Option<usize>,
 }
 
-/// What a choice has come to.
+/// The result of a choice.
 enum Shortlist {
     /// This server.
     One(Name),
-    /// One of these, by a random draw.
+    /// One of these servers, to be drawn at random.
     NearEqual(Vec<Name>),
 }
 
-/// What bad ends cost and how often they come over the fleet, for one request.
+/// The cost of bad ends for one request, and their rates over the fleet.
 struct BadEnds {
-    /// Of one of them, in usual times of the class.
+    /// Cost of one bad end, in mean answer times of the class.
     cost: f64,
     fleet_class_rate: f64,
     fleet_plan_rate: f64,
 }
 
 impl Gateway {
-    /// A server of the least expected wait, or nearly, among those that may take this request.
+    /// A server with the least expected wait, or nearly, among those that may take this request.
     pub(super) fn choose_server(&mut self, id: RequestId) -> Option<Name> {
-        let shortlist = self.shortlist(id, Among::Subset).or_else(|| self.shortlist(id, Among::AllReady))?;
+        let shortlist = self
+            .shortlist(id, CandidateSet::Subset)
+            .or_else(|| self.shortlist(id, CandidateSet::AllReady))?;
         match shortlist {
             Shortlist::One(name) => Some(name),
             Shortlist::NearEqual(mut names) => {
@@ -81,9 +84,9 @@
         }
     }
 
-    fn shortlist(&self, id: RequestId, among: Among) -> Option<Shortlist> {
-        let candidates = self.candidates(&self.pending[&id], among);
-        if let Some(name) = candidates.opened_by_slow_start() {
+    fn shortlist(&self, id: RequestId, set: CandidateSet) -> Option<Shortlist> {
+        let candidates = self.candidates(&self.pending[&id], set);
+        if let Some(name) = candidates.selected_by_slow_start() {
             return Some(Shortlist::One(name));
         }
         let best = candidates.best()?;
@@ -91,18 +94,18 @@
         Some(Shortlist::NearEqual(candidates.near_equal(&best, width)))
     }
 
-    /// How far above the least expected wait a server may lie to be drawn. Beyond the paper: near-equal
-    /// servers are drawn at random, the more gateways the wider, or all gateways would follow one report,
-    /// or one name, to the same server.
+    /// How far above the least cost a server may lie to be drawn. Not in the paper: nearly equal servers are
+    /// drawn at random, from a wider range the more gateways there are. Otherwise one load report, or one
+    /// name, would send all gateways to the same server.
     fn near_equal_width(&self, least_wait: f64) -> f64 {
-        NEAR_EQUAL * least_wait * (1.0 - FEW_GATEWAYS / self.gateways_per_server).max(0.0)
+        NEAR_EQUAL_MARGIN * least_wait * (1.0 - FEW_GATEWAYS / self.gateways_per_server).max(0.0)
     }
 
-    fn candidates(&self, request: &PendingRequest, among: Among) -> Candidates<'_> {
+    fn candidates(&self, request: &PendingRequest, set: CandidateSet) -> Candidates<'_> {
         let bad_ends = self.bad_ends(request);
         let servers = || {
             let ready = ready(&self.servers, &self.disabled);
-            ready.filter(move |(_, server)| among == Among::AllReady || server.in_subset)
+            ready.filter(move |(_, server)| set == CandidateSet::AllReady || server.in_subset)
         };
         let total: f64 = servers().map(|(_, server)| self.warm_up_share(server)).sum();
         let mut draw = WarmUpDraw::new(request.warm_up_draw, total);
@@ -110,7 +113,7 @@
         for (name, server) in servers() {
             let share = self.warm_up_share(server);
             let warming_up = share < 1.0;
-            if warming_up && !draw.opens(share) {
+            if warming_up && !draw.selects(share) {
                 continue;
             }
             if !has_capacity(server, share) || !self.may_run_at(request, server) {
@@ -130,49 +133,54 @@
 
     fn bad_ends(&self, request: &PendingRequest) -> BadEnds {
         let class = &self.settings.classes[request.class];
-        let cost = if class.effect == Effect::Unsafe { UNREPEATABLE_BAD_END_COST } else { BAD_END_COST };
+        let cost = if class.effect == Effect::Unsafe {
+            UNREPEATABLE_BAD_END_COST_TARGETS
+        } else {
+            BAD_END_COST_TARGETS
+        };
         BadEnds {
-            cost: cost * secs(class.latency_target) / self.usual_seconds[request.class].max(1e-9),
+            cost: cost * secs(class.latency_target) / self.mean_answer_seconds[request.class].max(1e-9),
             fleet_class_rate: self.fleet_bad_rate(OutcomeOf::Class(request.class)),
             fleet_plan_rate: self.fleet_bad_rate(OutcomeOf::Plan(request.plan)),
         }
     }
 
-    /// Whether a keyed request that may have run would be recognised as a retry by this server; others may
-    /// run anywhere.
+    /// Whether this server may run the request. A keyed request that may have run needs a server that
+    /// recognises the key; other requests may run anywhere.
     fn may_run_at(&self, request: &PendingRequest, server: &Server) -> bool {
         let class = &self.settings.classes[request.class];
         let Some(first) = request.first_run else { return true };
         if class.effect != Effect::Keyed {
             return true;
         }
-        let knows_key = match class.group {
+        let recognises_key = match class.group {
             Group::All => true,
             Group::Zone => first.zone == server.zone,
             Group::Cell => first.cell == server.cell,
         };
-        let key_expires = self.now + self.settings.tick >= first.sent_at + class.key_ttl;
-        knows_key && !key_expires
+        let key_expired = self.now + self.settings.tick >= first.sent_at + class.key_ttl;
+        recognises_key && !key_expired
     }
 }
 
-/// Whether one more attempt is within the limits of a server, of which slow start gives a share.
+/// Whether a server's limits allow one more attempt. Slow start reduces the concurrency limit to
+/// `warm_up_share`.
 fn has_capacity(server: &Server, warm_up_share: f64) -> bool {
     let attempts = server.concurrency_limit * warm_up_share;
     server.gateway_in_flight() + 1.0 <= attempts.min(server.connection_limit).max(1.0)
 }
 
 impl Candidates<'_> {
-    /// The server that is warming up and that the draw opened, unless it looks worse than two in three:
-    /// little is known of one that is seldom used, and among many servers one is always known to be idle
-    /// just now.
-    fn opened_by_slow_start(&self) -> Option<Name> {
-        let opened = self.all[self.warming_up?];
-        let better = self.all.iter().filter(|candidate| candidate.rank() < opened.rank()).count();
-        (better * 3 <= self.all.len() * 2).then(|| opened.name.clone())
+    /// The server that is warming up and selected by the draw, unless more than two thirds of the candidates
+    /// look better. It need not look best: little is known of a server that is seldom used, and among many
+    /// servers one is always known to be idle.
+    fn selected_by_slow_start(&self) -> Option<Name> {
+        let selected = self.all[self.warming_up?];
+        let better = self.all.iter().filter(|candidate| candidate.rank() < selected.rank()).count();
+        (better * 3 <= self.all.len() * 2).then(|| selected.name.clone())
     }
 
-    /// The candidate of the least cost among those not tried, or if all were tried, among all.
+    /// The candidate of least cost among the untried ones, or among all if all were tried.
     fn best(&self) -> Option<Candidate<'_>> {
         let by_rank = |a: &&Candidate<'_>, b: &&Candidate<'_>| {
             a.rank().partial_cmp(&b.rank()).expect("costs are finite: settings are, and divisors are clamped")
@@ -180,10 +188,11 @@
         self.all.iter().min_by(by_rank).copied()
     }
 
-    /// The candidates like `best` whose cost lies within `width` above its cost.
+    /// The candidates whose cost is at most `width` above that of `best`. All are untried if `best` is, or
+    /// else tried.
     fn near_equal(&self, best: &Candidate<'_>, width: f64) -> Vec<Name> {
-        let most = best.cost + width;
-        let near = self.all.iter().filter(|other| other.tried == best.tried && other.cost <= most);
+        let max_cost = best.cost + width;
+        let near = self.all.iter().filter(|other| other.tried == best.tried && other.cost <= max_cost);
         near.map(|candidate| candidate.name.clone()).collect()
     }
 }
--- a/crates/gateway-decisions/src/decide/server_list.rs
+++ b/crates/gateway-decisions/src/decide/server_list.rs
@@ -1,15 +1,15 @@
-//! The list of servers, and operators' orders to disable and enable some.
+//! The server list, and operators' commands to disable and enable servers.
 
-use crate::decide::gateway::{Gateway, TIMER_ASK};
+use crate::decide::gateway::{Gateway, TIMER_DISCOVERY};
 use crate::interface::{Action, Health, Name, Node, Scope};
 use crate::state::{Server, Servers};
 use std::collections::BTreeSet;
 
-/// The limit on attempts in flight at a server of which nothing is known, of all gateways together; "a few"
-/// for each.
-const FIRST_LIMIT: f64 = 12.0;
-/// Discovery is asked again after `list_max_age`, divided by this, when a call to it failed.
-const ASKS_PER_LIMIT: u64 = 8;
+/// Initial concurrency limit of a server, summed over all gateways. The share of each gateway is a few
+/// attempts.
+const INITIAL_LIMIT: f64 = 12.0;
+/// After a failed call to discovery, it is asked again after `list_max_age` divided by this.
+const RETRIES_PER_MAX_AGE: u64 = 8;
 
 /// The servers that may get requests.
 pub(super) fn ready<'a>(
@@ -20,15 +20,15 @@
 }
 
 impl Gateway {
-    /// The limit on this gateway's attempts in flight at a server of which nothing is known.
-    fn first_limit(&self) -> f64 {
-        FIRST_LIMIT / self.gateways_per_server
+    /// This gateway's initial concurrency limit for a server.
+    fn initial_limit(&self) -> f64 {
+        INITIAL_LIMIT / self.gateways_per_server
     }
 
-    /// Takes the list of servers, or changes to it.
+    /// Applies a server list, or changes to it.
     pub(super) fn update_servers(&mut self, scope: Scope, nodes: Vec<Node>, out: &mut Vec<Action>) {
         if self.settings.subscribe {
-            self.ask_discovery(scope, out);
+            self.request_list(scope, out);
         }
         if scope == Scope::Failed {
             return;
@@ -41,13 +41,13 @@
         self.select_subset();
     }
 
-    /// Subscribes to discovery when there is no subscription, and after a while when a call failed.
-    fn ask_discovery(&self, scope: Scope, out: &mut Vec<Action>) {
+    /// Subscribes to discovery if there is no subscription, or sets a timer to do so if a call failed.
+    fn request_list(&self, scope: Scope, out: &mut Vec<Action>) {
         match scope {
             Scope::Cached => out.push(Action::Subscribe { on: true }),
             Scope::Failed => {
-                let at = self.now + self.settings.list_max_age / ASKS_PER_LIMIT;
-                out.push(Action::Timer { token: TIMER_ASK, at });
+                let at = self.now + self.settings.list_max_age / RETRIES_PER_MAX_AGE;
+                out.push(Action::Timer { token: TIMER_DISCOVERY, at });
             }
             Scope::Changes | Scope::Full => {}
         }
@@ -55,36 +55,35 @@
 
     fn update_server(&mut self, mut node: Node) {
         node.since = node.since.max(self.enabled_at.get(&node.name).copied().unwrap_or(0));
-        let (first_limit, outcomes, now) = (self.first_limit(), self.outcome_count(), self.now);
-        let unknown = || Server::new(&node, first_limit, outcomes, now);
+        let (initial_limit, outcomes, now) = (self.initial_limit(), self.outcome_count(), self.now);
+        let unknown = || Server::new(&node, initial_limit, outcomes, now);
         let server = self.servers.entry(node.name.clone()).or_insert_with(unknown);
         if node.since > server.started {
-            // A restart: what was learnt of the old process says nothing of the new one.
-            server.reset_after_restart(first_limit);
+            // A restart: what was learned about the old process does not apply to the new one.
+            server.reset_after_restart(initial_limit);
             server.open_connections = 0;
         }
         (server.zone, server.cell, server.health) = (node.zone, node.cell, node.health);
         (server.rating, server.started) = (node.rating, node.since);
-        // The caller learns its limit on connections anew.
+        // The caller gets the connection limit again.
         server.announced_connections = 0;
     }
 
-    /// Operators take a server out of use, until they enable it, whatever the list says of it.
+    /// Takes a server out of use until an operator enables it, whatever the list says.
     pub(super) fn disable(&mut self, name: Name) {
         self.disabled.insert(name);
         self.select_subset();
     }
 
-    /// Operators put a server back into use, as cold as if it had started now. If it was not disabled,
-    /// nothing changes.
+    /// Puts a disabled server back into use, as if it had just started. Does nothing if it was not disabled.
     pub(super) fn enable(&mut self, name: Name) {
         if !self.disabled.remove(&name) {
             return;
         }
-        let (now, first_limit) = (self.now, self.first_limit());
+        let (now, initial_limit) = (self.now, self.initial_limit());
         if let Some(server) = self.servers.get_mut(&name) {
             server.started = now;
-            server.reset_after_restart(first_limit);
+            server.reset_after_restart(initial_limit);
         }
         self.select_subset();
         self.enabled_at.retain(|_, at| now - *at < self.settings.warm_up_time);
--- a/crates/gateway-decisions/src/decide/snapshot.rs
+++ b/crates/gateway-decisions/src/decide/snapshot.rs
@@ -1,10 +1,10 @@
-//! Hand-over to a successor: what a gateway has learnt, given and taken.
+//! Saves the state of a gateway for its successor process, and restores it.
 
 use crate::decide::gateway::Gateway;
 use crate::state::Snapshot;
 
 impl Gateway {
-    /// What a successor needs to know.
+    /// Returns the state that a successor process needs.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             started: self.started,
@@ -13,26 +13,26 @@
             enabled_at: self.enabled_at.clone(),
             customers: self.customers.clone(),
             mean_units: self.mean_units,
-            usual_seconds: self.usual_seconds.clone(),
+            mean_answer_seconds: self.mean_answer_seconds.clone(),
             open_share: self.shedding.open_share,
-            attempt_seconds: self.attempt_seconds,
-            usual_load: self.usual_load,
-            calm_seconds_per_unit: self.calm_seconds_per_unit,
+            mean_attempt_seconds: self.mean_attempt_seconds,
+            mean_reported_load: self.mean_reported_load,
+            unloaded_seconds_per_unit: self.unloaded_seconds_per_unit,
         }
     }
 
-    /// Goes on from what a predecessor knew. What this process has in flight by then stays its own, and
-    /// entries of other classes or plans than it has are left out.
+    /// Continues from the state of a predecessor. What this process already has in flight is kept. Entries
+    /// that do not match this process's classes or plans are ignored.
     pub(super) fn restore(&mut self, snapshot: Snapshot) {
-        if snapshot.usual_seconds.len() == self.usual_seconds.len() {
-            self.usual_seconds = snapshot.usual_seconds;
+        if snapshot.mean_answer_seconds.len() == self.mean_answer_seconds.len() {
+            self.mean_answer_seconds = snapshot.mean_answer_seconds;
         }
         self.started = snapshot.started.min(self.started);
         self.mean_units = snapshot.mean_units;
         self.shedding.open_share = snapshot.open_share;
-        self.attempt_seconds = snapshot.attempt_seconds;
-        self.usual_load = snapshot.usual_load;
-        self.calm_seconds_per_unit = snapshot.calm_seconds_per_unit;
+        self.mean_attempt_seconds = snapshot.mean_attempt_seconds;
+        self.mean_reported_load = snapshot.mean_reported_load;
+        self.unloaded_seconds_per_unit = snapshot.unloaded_seconds_per_unit;
         self.disabled = snapshot.disabled;
         self.enabled_at = snapshot.enabled_at;
         let outcomes = self.outcome_count();
--- a/crates/gateway-decisions/src/interface.rs
+++ b/crates/gateway-decisions/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes in and what comes out: settings, events, actions, ids and times. No logic.
+//! The input and output types of the decisions: settings, events, actions, ids and times. No logic.
 
 mod events;
 pub(crate) mod names;
--- a/crates/gateway-decisions/src/interface/events.rs
+++ b/crates/gateway-decisions/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway, and what it does about it.
+//! The events that a gateway handles and the actions that it answers with.
 
 use crate::interface::names::{Name, RequestId, Time};
 use crate::interface::requests::{AttemptEnd, Ending, Load, Request};
@@ -6,105 +6,106 @@
 use crate::interface::shares::Share;
 use crate::state::Snapshot;
 
-/// What happened.
+/// Something that happened and that the gateway has to know.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery sent an update of the list of servers, or failed to.
+    /// Discovery sent an update of the server list, or a call to discovery failed.
     Fleet {
-        /// The update's number.
+        /// Sequence number of the update.
         seq: u64,
-        /// What the entries are of the list.
+        /// How the entries relate to the whole list.
         scope: Scope,
         /// The entries.
         nodes: Vec<Node>,
     },
-    /// A client's request came.
+    /// A client request arrived.
     Request(Request),
-    /// A client left before its final answer.
+    /// A client disconnected before it got its final answer.
     ClientGone {
-        /// Its request.
+        /// The client's request.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptEnd(AttemptEnd),
-    /// The time of a timer has come.
+    /// A timer expired.
     Timer {
-        /// The token of the timer's action.
+        /// Token of the [`Action::Timer`] that set the timer.
         token: u64,
     },
-    /// An answer has begun to go to the client.
+    /// The gateway started to forward an answer to the client.
     Streaming {
-        /// Its request.
+        /// The request.
         id: RequestId,
-        /// The attempt that it answers.
+        /// Number of the attempt whose answer is forwarded.
         attempt: u32,
     },
-    /// A health check ended. Without effect.
+    /// A health check ended. The gateway ignores this event.
     Probed {
         /// The server.
         server: Name,
-        /// How the check ended.
+        /// Result of the check.
         ending: Ending,
-        /// The server's load, where it reported it.
+        /// The server's load, if it reported one.
         load: Option<Load>,
     },
-    /// The shared counter answered. Without effect.
+    /// The shared counter answered. The gateway ignores this event.
     Counted {
-        /// The count's name.
+        /// Name of the count.
         name: u64,
-        /// How the call ended.
+        /// Result of the call.
         ending: Ending,
-        /// The count's total.
+        /// Total of the count.
         level: f64,
     },
-    /// Another gateway sent a message. Without effect.
+    /// Another gateway sent a message. The gateway ignores this event.
     GatewayMessage {
-        /// That gateway's number.
+        /// Number of the gateway that sent it.
         from: u32,
         /// The message.
         bytes: String,
     },
-    /// Operators take a server out of use, until they enable it, whatever the list says of it.
+    /// An operator took a server out of use. It stays disabled until [`Event::Enable`], whatever the server
+    /// list says.
     Disable {
         /// The server.
         server: Name,
     },
-    /// Operators put a server back into use.
+    /// An operator put a disabled server back into use.
     Enable {
         /// The server.
         server: Name,
     },
-    /// What another process of this gateway knew when this one began.
+    /// State of another process of this gateway, taken when this process started.
     Restore(Box<Snapshot>),
-    /// Another process of this gateway runs beside this one, or does so no more.
+    /// A second process of this gateway started or stopped serving beside this one (during an upgrade).
     PeerProcess {
-        /// Whether it runs.
+        /// Whether the second process is running.
         running: bool,
     },
-    /// What that process has done since it last shared.
+    /// What the second process has done since its previous share.
     PeerShare(Share),
 }
 
-/// What to do.
+/// Something that the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request.
+    /// Send an attempt of a request to a server.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server.
         server: Name,
-        /// When to give the attempt up, in the caller's time.
+        /// When to abandon the attempt, on the caller's clock.
         attempt_deadline: Time,
     },
-    /// Answer a request that it is rejected; none of its attempts has run.
+    /// Reject a request. None of its attempts has run.
     Reject {
         /// The request.
         id: RequestId,
-        /// After how long the client ought to return; 0 for no advice.
+        /// How long the client should wait before it retries, in nanoseconds; 0 for no advice.
         retry_after: Time,
     },
-    /// Answer a request that it failed; an attempt may have run.
+    /// Answer a request with an error. An attempt may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -116,38 +117,39 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Give back an event at a time.
+    /// Set a timer that returns [`Event::Timer`].
     Timer {
-        /// What that event carries.
+        /// Token that the event carries.
         token: u64,
-        /// When.
+        /// When the timer expires.
         at: Time,
     },
-    /// Subscribe to discovery, or end the subscription.
+    /// Subscribe to the server list, or end the subscription.
     Subscribe {
         /// Whether to subscribe.
         on: bool,
     },
-    /// The most connections to have to a server from now on, or over all of them.
+    /// Limit the number of open connections, to one server or in total.
     Connections {
-        /// The server; none for the limit over all.
+        /// The server; `None` for the limit over all servers.
         server: Option<Name>,
-        /// The limit.
+        /// Maximum number of connections from now on.
         limit: u32,
     },
-    /// Tell the other process of this gateway.
+    /// Send this to the second process of this gateway.
     Share(Share),
 }
 
-/// How full the servers look to this gateway, and what it does about it.
+/// How loaded the servers look to this gateway, and what it may still send.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadStatus {
-    /// The part of the limits at servers that is open: 1 while answers are in time, less where they are late.
+    /// Share of the servers' concurrency limits that load shedding leaves open: 1 while answers are in time,
+    /// less while they are late.
     pub open_share: f64,
-    /// Attempts that may be in flight at once; below 1 the gateway rests between two.
+    /// Number of attempts that may be in flight at once. Below 1, the gateway pauses between attempts.
     pub attempt_capacity: f64,
-    /// Requests that wait for it.
+    /// Number of requests that wait to be sent.
     pub queued: usize,
-    /// Retries that may be sent now.
+    /// Number of retries that the retry budget allows now.
     pub retry_tokens: f64,
 }
--- a/crates/gateway-decisions/src/interface/names.rs
+++ b/crates/gateway-decisions/src/interface/names.rs
@@ -4,7 +4,7 @@
 
 /// Nanoseconds on the caller's clock.
 pub type Time = u64;
-/// A request's id, never reused.
+/// Id of a request, never reused.
 pub type RequestId = u64;
-/// A server's or a customer's name, opaque.
+/// Name of a server or a customer. The gateway attaches no meaning to its text.
 pub type Name = Arc<str>;
--- a/crates/gateway-decisions/src/interface/requests.rs
+++ b/crates/gateway-decisions/src/interface/requests.rs
@@ -1,32 +1,33 @@
-//! Requests of clients, and how attempts at them end.
+//! Client requests and the results of attempts to serve them.
 
 use crate::interface::names::{Name, RequestId, Time};
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Index of its class in the settings.
+    /// Index of its class in [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// Index of its customer's plan in the settings.
+    /// Index of its customer's plan in [`Settings::plans`](crate::Settings::plans).
     pub plan: usize,
-    /// Whose quota it counts against.
+    /// The customer whose quota the request is charged to.
     pub customer: Name,
-    /// Until when the client waits.
+    /// How long the client waits: the time at which it gives up.
     pub deadline: Time,
-    /// Its size as guessed, in units of the quota.
+    /// Estimated size, in units of the quota.
     pub units: f64,
-    /// How many gateways the customer's requests may come through.
+    /// Number of gateways through which the customer's requests may arrive.
     pub spread: u32,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Its body goes on as it comes: an attempt takes as long as the client does, and its time begins after.
+    /// The body is streamed to the server while the client uploads it. The duration of an attempt then
+    /// depends on the client, and its elapsed time is counted from the end of the upload.
     pub relayed: bool,
 }
 
 impl Request {
-    /// A first request, complete, of a customer that uses one gateway.
+    /// A request with a complete body that is not a retry, of a customer that uses one gateway.
     pub fn new(id: RequestId, class: usize, plan: usize, customer: &str, deadline: Time, units: f64) -> Self {
         Request {
             id,
@@ -42,77 +43,78 @@
     }
 }
 
-/// How an attempt ended. `Full`, `NoRoute` and `Stale` prove that it never ran.
+/// How an attempt ended. `Full`, `NoRoute` and `Stale` prove that the attempt never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// A good answer.
+    /// A successful answer.
     Pass,
-    /// An answer that tells of a failure.
+    /// An answer that reports a failure.
     Fault,
-    /// The server rejected it for lack of capacity.
+    /// The server rejected the attempt for lack of capacity.
     Full,
     /// No answer within the time limit.
     Late,
-    /// Nothing of the request reached the server.
+    /// No part of the request reached the server.
     NoRoute,
-    /// The connection broke when the request may have run and before an answer was complete.
+    /// The connection broke after the request may have run and before the answer was complete.
     Cut,
-    /// The caller cancelled it; it may have run.
+    /// The caller cancelled the attempt, which may have run.
     Undone,
-    /// The caller never sent it, for reasons of its own.
+    /// The caller never sent the attempt, for reasons of its own.
     Stale,
 }
 
-/// How an attempt came by its connection, as far as the caller knows.
+/// What kind of connection an attempt used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Via {
     /// The caller does not know.
     #[default]
     Unknown,
-    /// One that had carried others before.
+    /// A connection that had carried earlier attempts.
     Reused,
-    /// One that was new.
+    /// A new connection.
     New,
-    /// None: the server's machine refused to open one.
+    /// None: the server's host refused to open a connection.
     Refused,
 }
 
-/// What a server reports of its load.
+/// Load that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that it has in hand.
+    /// Requests that the server is processing.
     pub inflight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests that wait in the server's queue.
     pub queue: Option<f64>,
-    /// Its recent service time without waiting, in milliseconds.
+    /// Recent service time without queueing, in milliseconds.
     pub latency_ms: Option<f64>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The request's id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The attempt's number within the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub attempt: u32,
-    /// The server that it went to.
+    /// The server that got the attempt.
     pub server: Name,
-    /// How it ended.
+    /// Result of the attempt.
     pub ending: Ending,
-    /// The request is finished.
+    /// Whether the request is finished, so that no retry is possible.
     pub request_finished: bool,
-    /// The request's body is not kept any more, so it can't be sent again.
+    /// Whether the request's body is no longer stored, so that the request cannot be sent again.
     pub body_discarded: bool,
-    /// How long the attempt took.
+    /// Duration of the attempt.
     pub elapsed: Time,
-    /// True units, where answers tell them; else 0.
+    /// Actual units of the request if the answer reports them, else 0.
     pub actual_units: f64,
-    /// The customer's metered use over all gateways as a share of its rate, where the answer tells.
+    /// The customer's use over all gateways, as the meter reads it, as a share of the plan's rate; `None` if
+    /// the answer does not report it.
     pub metered_share: Option<f64>,
-    /// The server's load, where the answer tells.
+    /// The server's load, if the answer reports it.
     pub load: Option<Load>,
-    /// How it came by its connection.
+    /// The connection that the attempt used.
     pub via: Via,
-    /// Connections that this process has to the server, those that are being opened among them.
+    /// Connections that this process has to the server, including those that are being opened.
     pub open_connections: u32,
 }
--- a/crates/gateway-decisions/src/interface/servers.rs
+++ b/crates/gateway-decisions/src/interface/servers.rs
@@ -1,52 +1,52 @@
-//! The list of servers as discovery tells it.
+//! The server list as discovery reports it.
 
 use crate::interface::names::{Name, Time};
 use serde::{Deserialize, Serialize};
 
-/// What the list says of a server.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Health {
-    /// It serves.
+    /// The server takes requests.
     Up,
-    /// It finishes what it has and takes nothing new.
+    /// The server finishes its requests and takes no new ones.
     Draining,
-    /// It is not listed any more.
+    /// The server is no longer listed.
     Removed,
 }
 
 /// One entry of the server list.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Its name.
+    /// Name of the server.
     pub name: Name,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its cell, a part of the zone.
+    /// Cell of the server, a part of the zone.
     pub cell: u32,
-    /// Whether it serves.
+    /// State of the server.
     pub health: Health,
-    /// Its capacity beside that of a usual server.
+    /// Capacity relative to a standard server (1.0).
     pub rating: f64,
-    /// The time of its latest start; 0 for long ago.
+    /// Time of the latest start; 0 if the server started long ago.
     pub since: Time,
 }
 
 impl Node {
-    /// A usual server of the first zone and cell that started long ago.
+    /// A standard server in zone 0 and cell 0 that started long ago.
     pub fn new(name: &str, health: Health) -> Self {
         Node { name: name.into(), zone: 0, cell: 0, health, rating: 1.0, since: 0 }
     }
 }
 
-/// What the entries of an update are of the list.
+/// How the entries of an update relate to the whole list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Those that have changed.
+    /// The entries that changed.
     Changes,
-    /// All of them.
+    /// The complete list.
     Full,
-    /// All that were last known, perhaps stale.
+    /// The complete list as last known, possibly outdated.
     Cached,
-    /// None: a call to discovery failed, or the subscription broke.
+    /// No entries: a call to discovery failed, or the subscription broke.
     Failed,
 }
--- a/crates/gateway-decisions/src/interface/settings.rs
+++ b/crates/gateway-decisions/src/interface/settings.rs
@@ -2,53 +2,54 @@
 
 use crate::interface::names::Time;
 
-/// What a second run of a request does.
+/// The effect of running a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: the request is idempotent.
+    /// None: the request is idempotent.
     Safe,
-    /// Nothing, where servers recognise its key; a second effect elsewhere or later.
+    /// None on servers that recognise the request's idempotency key; a second effect on other servers or
+    /// after the key has expired.
     Keyed,
     /// A second effect.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// Which servers recognise the idempotency key of a request that has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of the zone where it ran first.
+    /// The servers of the zone where the request ran first.
     Zone,
-    /// Those of the cell where it ran first.
+    /// The servers of the cell where the request ran first.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, for operators.
+    /// Name, for operators.
     pub name: String,
-    /// The latency target: an answer within it earns the request's value.
+    /// Latency target: an answer within this time earns the request's value.
     pub latency_target: Time,
-    /// The longest that a client waits.
+    /// The longest time that a client waits.
     pub deadline: Time,
-    /// What a second run does.
+    /// The effect of a second run.
     pub effect: Effect,
-    /// Which servers recognise a key's repeats.
+    /// Which servers recognise a request's idempotency key.
     pub group: Group,
-    /// How long they do.
+    /// How long servers remember an idempotency key.
     pub key_ttl: Time,
-    /// The part of its value that a request earns after the latency target.
+    /// Share of its value that a request earns after the latency target.
     pub late_value: f64,
-    /// The value of a request.
+    /// Value of a request.
     pub value: f64,
-    /// Answers are streams: an attempt is not given up for being slow.
+    /// Answers are streams: an attempt is not abandoned for being slow.
     pub stream: bool,
 }
 
 impl Class {
-    /// A class of value 1 whose keys are not remembered and whose late answers earn nothing.
+    /// A class of value 1 whose idempotency keys are not remembered and whose late answers earn nothing.
     pub fn new(name: &str, latency_target: Time, deadline: Time, effect: Effect, group: Group) -> Self {
         let name = name.to_string();
         Class {
@@ -65,31 +66,32 @@
     }
 }
 
-/// A plan; its quotas hold for each customer over all gateways together. A rate or limit of 0 means none.
+/// A plan. Its quota applies to each customer, over all gateways together. A rate or limit of 0 means no
+/// limit.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name, for operators.
+    /// Name, for operators.
     pub name: String,
-    /// Units a second by which a customer's quota fills.
+    /// Refill rate of a customer's quota, in units per second.
     pub rate: f64,
-    /// The most units that the quota holds.
+    /// Capacity of the quota's token bucket, in units.
     pub depth: f64,
-    /// Attempts of a customer in flight at once.
+    /// Maximum number of attempts of a customer in flight at once.
     pub parallel: u32,
-    /// Units a second by which the hard ceiling fills.
+    /// Refill rate of the hard ceiling's token bucket, in units per second.
     pub ceiling_rate: f64,
-    /// The most units that the ceiling holds.
+    /// Capacity of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
-    /// The value of a unit of the plan.
+    /// Value of one unit of the plan.
     pub value_factor: f64,
-    /// The part of its value that a request earns beyond the quota.
+    /// Share of its value that a request beyond the quota earns.
     pub over_value: f64,
-    /// The part of its value that a request costs beyond the quota.
+    /// Share of its value that a request beyond the quota costs.
     pub over_cost: f64,
 }
 
 impl Plan {
-    /// A plan of value 1 with a quota alone, of `rate` units a second and at most `depth` units.
+    /// A plan of value 1 whose only limit is a quota of `rate` units per second and at most `depth` units.
     pub fn new(name: &str, rate: f64, depth: f64) -> Self {
         Plan {
             name: name.to_string(),
@@ -105,22 +107,23 @@
     }
 }
 
-/// The settings of a gateway, which it has from its start on.
+/// Settings of a gateway, fixed for its lifetime.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This gateway's zone.
     pub zone: u32,
-    /// Its number among all gateways, from 0.
+    /// This gateway's number among all gateways, from 0.
     pub gateway_index: u32,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: u32,
-    /// The classes of requests; a request names one by its index.
+    /// The request classes; a request refers to one by index.
     pub classes: Vec<Class>,
-    /// The customers' plans; a request names one by its index.
+    /// The customers' plans; a request refers to one by index.
     pub plans: Vec<Plan>,
-    /// Whether discovery must be asked for the list of servers.
+    /// Whether the gateway has to ask discovery for the server list.
     pub subscribe: bool,
-    /// How often at least it is asked while no subscription stands.
+    /// Maximum age of the server list: while no subscription is established, discovery is asked at least this
+    /// often.
     pub list_max_age: Time,
     /// Whether clients mark their retries.
     pub marks_retry: bool,
@@ -128,37 +131,39 @@
     pub cancelling: bool,
     /// Whether two attempts of one request may be in flight at once (hedged requests).
     pub hedging: bool,
-    /// Whether rejections tell clients when to return.
+    /// Whether rejections advise clients when to retry.
     pub retry_after: bool,
-    /// The longest such advice.
+    /// Maximum of that advice.
     pub max_retry_after: Time,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub try_limit: u32,
-    /// Whether answers tell the true units of a request.
+    /// Whether answers report the actual units of a request.
     pub answers_tell_units: bool,
-    /// The most units of one request.
+    /// Maximum units of one request.
     pub most_units: f64,
-    /// The meter's period; 0 for no meter.
+    /// Period of the meter that measures customers' use over all gateways; 0 if there is no meter.
     pub meter_period: Time,
-    /// How long a server warms up at most after its start.
+    /// Maximum time that a server needs to warm up after its start.
     pub warm_up_time: Time,
-    /// The part of its capacity that it starts with.
+    /// Share of its capacity that a server has right after its start.
     pub warm_up_from: f64,
-    /// So long above `fall_multiple` and a server that warms up falls over.
+    /// A server that is warming up fails after this time under more than `overload_multiple` times its
+    /// capacity.
     pub overload_tolerance: Time,
-    /// The multiple of its capacity that a server that warms up bears.
+    /// Load that a server that is warming up can bear, as a multiple of its capacity.
     pub overload_multiple: f64,
-    /// How long past its deadline an answer still counts.
+    /// How long after its deadline an answer still counts.
     pub answer_slack: Time,
-    /// What an attempt to another zone costs, as a share of one within the zone.
+    /// Cost of an attempt to another zone, as a share of the cost of one within the zone.
     pub cross_zone_price: f64,
-    /// The shortest time between two calls.
+    /// Minimum time between two calls of [`Gateway::handle`](crate::Gateway::handle).
     pub tick: Time,
-    /// Connections to servers that the caller's descriptors bear; 0 if it has none.
+    /// Number of connections to servers that the caller's file descriptors allow; 0 if the caller has no
+    /// connection pool.
     pub connections: u32,
-    /// The most of them to one server, whatever it bears.
+    /// Maximum number of connections to one server, even if the server can bear more.
     pub connections_per_server: u32,
-    /// How long a connection to a server stays open idle; 0 if that is not known.
+    /// How long an idle connection to a server stays open; 0 if unknown.
     pub connection_idle_time: Time,
 }
 
--- a/crates/gateway-decisions/src/interface/shares.rs
+++ b/crates/gateway-decisions/src/interface/shares.rs
@@ -1,46 +1,47 @@
-//! What two processes of one gateway tell each other while both serve.
+//! Messages between the two processes of one gateway while both serve during an upgrade.
 
 use crate::interface::names::Name;
 use serde::{Deserialize, Serialize};
 
-/// A change to a customer's quota, by the process that made it.
+/// A change to a customer's quota, reported by the process that made it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Charge {
-    /// A request asked for units.
+    /// A request arrived and was checked against the quota.
     Asked {
         /// The customer.
         customer: Name,
-        /// Index of its plan.
+        /// Index of the customer's plan.
         plan: usize,
-        /// How many gateways its requests may come through.
+        /// Number of gateways through which the customer's requests may arrive.
         spread: u32,
-        /// The units, as guessed.
+        /// Estimated units of the request.
         units: f64,
-        /// Whether the quota let them pass.
+        /// Whether the quota admitted the request.
         passed: bool,
     },
     /// An attempt was sent.
     Sent {
         /// The customer.
         customer: Name,
-        /// The request's units at its first attempt, else 0.
+        /// Units of the request at its first attempt, 0 at later attempts.
         units: f64,
     },
     /// An attempt ended.
     Ended {
         /// The customer.
         customer: Name,
-        /// Units given back to its quota.
+        /// Units returned to the quota; negative if more units are charged.
         back: f64,
     },
 }
 
-/// What one process of a gateway tells the other: charges since it last did, and what it has in flight now.
+/// A message from one process of a gateway to the other: the charges since the previous message, and the
+/// attempts that are in flight now.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// Changes to customers' quotas, in their order.
+    /// Changes to customers' quotas, in order.
     pub charges: Vec<Charge>,
-    /// Attempts in flight at servers where that number has changed.
+    /// Servers whose number of attempts in flight has changed, with the new number.
     pub out: Vec<(Name, u32)>,
     /// Attempts and units in flight over all servers.
     pub in_flight: [f64; 2],
--- a/crates/gateway-decisions/src/lib.rs
+++ b/crates/gateway-decisions/src/lib.rs
@@ -1,7 +1,8 @@
-//! gateway-decisions makes the decisions of a gateway that keeps each customer of a shared back end to its plan.
+//! gateway-decisions makes the decisions of a gateway that keeps each customer of a shared back end to its
+//! plan.
 //!
-//! The caller owns the network. It hands [`Gateway::handle`] what happened, with the time, and carries out
-//! the [`Action`]s that come back:
+//! The caller owns the network. It passes events with the current time to [`Gateway::handle`] and carries out
+//! the [`Action`]s that it returns:
 //!
 //! ```
 //! use gateway_decisions::{Action, Class, Effect, Event, Gateway, Group, Health, Node, Plan, Request, Scope, Settings};
@@ -31,7 +32,7 @@
 pub use interface::*;
 pub use state::Snapshot;
 
-/// The README's example, compiled and run.
+/// Compiles and runs the example in the README.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/gateway-decisions/src/settings.rs
+++ b/crates/gateway-decisions/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as the wire and the configuration word them.
+//! The settings in the form of the wire protocol and of the configuration file.
 
 use crate::interface::{Class, Effect, Group, Plan, Settings};
 use schemars::JsonSchema;
@@ -28,7 +28,7 @@
     clients: Clients,
     #[serde(default)]
     extra: Extra,
-    // A doc comment would become part of the schema, which other programs read.
+    // Not a doc comment: it would become part of the schema, which other programs read.
     #[allow(missing_docs)]
     pub limits: Limits,
     obligations: Obligations,
@@ -69,7 +69,8 @@
     most_units: f64,
 }
 
-// Limits on attempts, on connections and on advice to clients. A doc comment would become part of the schema.
+// Limits on attempts, on connections and on retry advice to clients. Not a doc comment: it would become part
+// of the schema.
 #[allow(missing_docs)]
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct Limits {
@@ -210,11 +211,11 @@
     Cell,
 }
 
-/// Reads settings as the platform words them.
+/// Reads the settings from their JSON form.
 ///
 /// # Errors
 ///
-/// A key lacks or has a value of another kind; the text names it.
+/// A key is missing or has a value of the wrong type. The message names it.
 pub fn read(settings: &Value) -> Result<Settings, String> {
     Wire::deserialize(settings).map(Settings::from).map_err(|e| e.to_string())
 }
@@ -285,15 +286,15 @@
     }
 }
 
-/// Checks that all figures are within their sensible range.
+/// Checks that all numbers are in range.
 ///
 /// # Errors
 ///
-/// One is not; the text names it and its value.
+/// A number is out of range. The message names the setting and its value.
 pub fn check(s: &Settings) -> Result<(), String> {
-    let mut figures = Vec::new();
+    let mut numbers = Vec::new();
     let mut add =
-        |of: &str, all: &[(&str, f64)]| figures.extend(all.iter().map(|(n, v)| (format!("{of}{n}"), *v)));
+        |of: &str, all: &[(&str, f64)]| numbers.extend(all.iter().map(|(n, v)| (format!("{of}{n}"), *v)));
     add("", &[("cold_from", s.warm_up_from), ("fall_multiple", s.overload_multiple)]);
     add("", &[("most_units", s.most_units), ("cross_zone_price", s.cross_zone_price)]);
     for p in &s.plans {
@@ -305,9 +306,9 @@
     for c in &s.classes {
         add(&format!("class {}: ", c.name), &[("points", c.value), ("late_worth", c.late_value)]);
     }
-    match figures.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
-        Some((name, v)) => Err(format!("{name} is {v}: not a number of zero or more")),
-        None if s.gateways == 0 => Err("gateways is 0: at least one".to_string()),
+    match numbers.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
+        Some((name, v)) => Err(format!("{name} is {v}: must be a finite number of at least 0")),
+        None if s.gateways == 0 => Err("gateways is 0: must be at least 1".to_string()),
         None => Ok(()),
     }
 }
--- a/crates/gateway-decisions/src/state.rs
+++ b/crates/gateway-decisions/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decision module keeps: data structures alone, no decision.
+//! State of the decision module. Data structures only, no decisions.
 
 mod customer;
 mod request;
--- a/crates/gateway-decisions/src/state/request.rs
+++ b/crates/gateway-decisions/src/state/request.rs
@@ -3,25 +3,27 @@
 use crate::interface::names::{Name, Time};
 use crate::interface::requests::Request;
 
-/// What is kept of a request until its final answer.
+/// State of a request until its final answer.
 pub(crate) struct PendingRequest {
     pub(crate) class: usize,
     pub(crate) plan: usize,
     pub(crate) customer: Name,
     pub(crate) arrived: Time,
     pub(crate) deadline: Time,
-    /// Past this time an answer can no longer be within the latency target, so the request is not sent.
+    /// Time after which the request is not sent any more, because its answer could no longer arrive within
+    /// the latency target.
     pub(crate) latest_send: Time,
     pub(crate) units: f64,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub(crate) attempts: u32,
-    /// Uniform in 0..1: which server that is warming up, if any, may take the next attempt.
+    /// Random number in 0..1 that selects at most one of the servers that are warming up for the next
+    /// attempt.
     pub(crate) warm_up_draw: f64,
-    /// The attempt whose end is not known.
+    /// The attempt that is in flight.
     pub(crate) in_flight: Option<InFlightAttempt>,
-    /// An answer has begun to go to the client.
+    /// The gateway has started to forward an answer to the client.
     pub(crate) streaming: bool,
-    /// Its body goes to the server as it comes from the client.
+    /// The body is streamed to the server while the client uploads it.
     pub(crate) relayed: bool,
     pub(crate) client_gone: bool,
     /// The first attempt that may have run.
@@ -52,17 +54,17 @@
     }
 }
 
-/// An attempt that was sent and whose end is not known.
+/// An attempt that was sent and has not ended.
 pub(crate) struct InFlightAttempt {
     pub(crate) server: Name,
     pub(crate) sent_at: Time,
-    /// Its number within the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub(crate) attempt: u32,
     pub(crate) cancelled: bool,
 }
 
-/// The first attempt of a request that may have run: from its sending on, and in its zone or cell alone,
-/// servers recognise a retry by its key.
+/// The first attempt of a request that may have run. Servers of its zone or cell recognise a retry by the
+/// idempotency key, counted from the time at which this attempt was sent.
 #[derive(Clone, Copy)]
 pub(crate) struct FirstRun {
     pub(crate) sent_at: Time,
--- a/crates/gateway-decisions/src/state/snapshot.rs
+++ b/crates/gateway-decisions/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a process of a gateway hands over to its successor.
+//! The state that a process of a gateway hands over to its successor.
 
 use crate::interface::names::{Name, Time};
 use crate::state::customer::Customer;
@@ -6,9 +6,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a gateway has learnt, and its customers' quotas: all that a successor needs to go on as one with
-/// it. Times are on the clock that both processes read. The stored names are those of the first version:
-/// the other process may be of any.
+/// Everything that a successor process needs to continue: what the gateway has learned, and its customers'
+/// quotas. Times are on the clock that both processes read.
+///
+/// The serialized names are those of the first version, because the other process may run any version.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Snapshot {
     #[serde(rename = "born")]
@@ -21,15 +22,15 @@
     pub(crate) customers: BTreeMap<Name, Customer>,
     pub(crate) mean_units: f64,
     #[serde(rename = "usual")]
-    pub(crate) usual_seconds: Vec<f64>,
+    pub(crate) mean_answer_seconds: Vec<f64>,
     #[serde(rename = "open")]
     pub(crate) open_share: f64,
     #[serde(rename = "hold")]
-    pub(crate) attempt_seconds: f64,
+    pub(crate) mean_attempt_seconds: f64,
     #[serde(rename = "others")]
-    pub(crate) usual_load: f64,
+    pub(crate) mean_reported_load: f64,
     #[serde(rename = "calm")]
-    pub(crate) calm_seconds_per_unit: f64,
+    pub(crate) unloaded_seconds_per_unit: f64,
 }
 
 impl std::fmt::Debug for Snapshot {
--- a/crates/mqos/src/deficits.rs
+++ b/crates/mqos/src/deficits.rs
@@ -1,11 +1,12 @@
 //! Deficit counters and round-robin pointers.
 
-/// The counters and pointers of the sub-schedulers, one for each of `R` resources: what every plan may still
-/// take of the resource before its next quantum, and the plan whose turn it is.
+/// The deficit counters and round-robin pointers of the sub-schedulers, one sub-scheduler for each of `R`
+/// resources. A counter holds how much of a resource a plan may still take before its next quantum; a pointer
+/// holds the plan whose turn it is.
 ///
 /// # Panics
 ///
-/// All methods panic for plans or resources beyond those it was made for.
+/// All methods panic for a plan or resource that is out of range.
 #[derive(Clone, Debug)]
 pub struct DeficitRoundRobin<const R: usize> {
     counters: Vec<[f64; R]>,
@@ -13,7 +14,7 @@
 }
 
 impl<const R: usize> DeficitRoundRobin<R> {
-    /// Counters at zero and pointers at the first of so many plans.
+    /// Counters at zero and pointers at the first plan.
     pub fn new(plans: usize) -> Self {
         DeficitRoundRobin { counters: vec![[0.0; R]; plans], pointers: [0; R] }
     }
@@ -34,12 +35,12 @@
         self.counters[plan].iter().zip(need).all(|(counter, need)| counter >= need)
     }
 
-    /// Takes `need` from the plan's counters in every resource, whichever sub-scheduler sends.
+    /// Takes `need` from the plan's counters in every resource, whichever sub-scheduler sends the item.
     pub fn charge(&mut self, plan: usize, need: &[f64; R]) {
         self.counters[plan].iter_mut().zip(need).for_each(|(counter, need)| *counter -= need);
     }
 
-    /// Adds to a plan's counter in one resource, which then is `max` at most.
+    /// Adds a quantum to a plan's counter of one resource, up to at most `max`.
     pub fn gain(&mut self, resource: usize, plan: usize, quantum: f64, max: f64) {
         let counter = &mut self.counters[plan][resource];
         *counter = (*counter + quantum).min(max);
--- a/crates/mqos/src/queues.rs
+++ b/crates/mqos/src/queues.rs
@@ -1,46 +1,47 @@
-//! The queues of waiting items, the sub-schedulers over them and the main scheduler.
+//! The queues of waiting items, the sub-schedulers and the main scheduler.
 
 use crate::deficits::DeficitRoundRobin;
 use std::collections::BTreeMap;
 
-/// What the plan of the largest weight gains a round, as a share of each resource's total.
-const LARGEST_QUANTUM: f64 = 0.01;
-/// The least weight beside the largest one.
+/// Quantum of the plan with the largest weight, as a share of each resource's total.
+const MAX_QUANTUM_SHARE: f64 = 0.01;
+/// Smallest weight relative to the largest one.
 const MIN_RELATIVE_WEIGHT: f64 = 1e-6;
-/// Quanta that a counter may hold beyond the largest need that waits.
+/// Number of quanta that a counter may hold beyond the largest waiting need.
 const SPARE_QUANTA: f64 = 2.0;
-/// Availabilities closer than this count as equal.
+/// Availabilities that differ by less than this count as equal.
 const AVAILABILITY_TOLERANCE: f64 = 1e-9;
-/// What a counter must have beyond a need, as a fraction of it, so that sums of quanta which are rounded down
-/// cover it too.
+/// Relative margin by which a counter has to exceed a need, so that sums of quanta cover it even if they are
+/// rounded down.
 const ROUNDING_MARGIN: f64 = 1e-12;
 
-/// Settings of a plan.
+/// Options of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlanOptions {
-    /// The plan's share beside the other plans' weights. One that is not above zero counts as least.
+    /// The plan's weight relative to the other plans. A weight that is not above zero counts as the smallest
+    /// one.
     pub weight: f64,
 }
 
-/// An item that the scheduler released, and what was charged for it.
+/// An item that the scheduler released, with what was charged for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Released<K, const R: usize> {
-    /// The plan under which it was queued.
+    /// The plan under which the item was queued.
     pub plan: usize,
     /// The caller's key of the item.
     pub key: K,
-    /// What it needs of each resource, as a share of the total.
+    /// What the item needs of each resource, as a share of the total.
     pub need: [f64; R],
 }
 
-/// An item that waits.
+/// A waiting item.
 #[derive(Clone, Copy, Debug)]
 struct Waiting<K, const R: usize> {
     key: K,
     need: [f64; R],
 }
 
-/// Where an item waits: its queue, and its position there.
+/// The location of a waiting item: its queue and its position there.
 #[derive(Clone, Copy, Debug)]
 struct QueueEntry {
     resource: usize,
@@ -48,36 +49,38 @@
     position: i64,
 }
 
-/// The items of one plan that need one resource most, by position.
+/// The items of one plan whose dominant resource is the same, by position.
 type Queue<K, const R: usize> = BTreeMap<i64, Waiting<K, R>>;
 
-/// What a scan over the heads of the queues found.
+/// The result of a scan over the heads of the queues.
 enum ScanResult {
-    /// An item that may be released.
+    /// An item that can be released.
     Item(QueueEntry),
-    /// None yet; after so many rounds the deficits cover one that the availability covers already.
+    /// No item yet. After this many rounds, the deficits cover an item that the availability already covers.
     Rounds(f64),
-    /// None that the availability covers and the caller accepts.
+    /// No item that the availability covers and the caller accepts.
     Nothing,
 }
 
-/// Queues per plan and dominant resource, with the main scheduler and the sub-schedulers over them.
+/// Queues per plan and dominant resource, with the main scheduler and the sub-schedulers.
 ///
-/// `K` is the key of an item, `R` the number of resources. Needs and availabilities are shares of the total of a
-/// resource (1.0 is all of it). A key waits at most once.
+/// `K` is the key of an item, `R` the number of resources. Needs and availabilities are shares of the total
+/// of a resource (1.0 is all of it). A key can wait only once.
 #[derive(Clone, Debug)]
 pub struct Queues<K: Copy + Ord, const R: usize> {
-    /// For each resource, a queue of each plan.
+    /// For each resource, one queue per plan.
     queues: [Vec<Queue<K, R>>; R],
-    turns: DeficitRoundRobin<R>,
-    /// What each plan gains of every resource a round.
+    deficits: DeficitRoundRobin<R>,
+    /// What each plan gains of every resource per round.
     quanta: Vec<f64>,
     index: BTreeMap<K, QueueEntry>,
     plan_lengths: Vec<usize>,
-    /// The next positions at the two ends of every queue.
-    first_position: i64,
-    last_position: i64,
-    /// The resource whose sub-scheduler sent last: of equally available ones the next has its turn.
+    /// Position of the next item that is queued at the front.
+    next_front_position: i64,
+    /// Position of the next item that is queued at the back.
+    next_back_position: i64,
+    /// The resource whose sub-scheduler sent last. Among equally available resources, the following one is
+    /// served next.
     last_served_resource: usize,
 }
 
@@ -87,42 +90,43 @@
         const { assert!(R > 0, "mQoS needs a resource") };
         Queues {
             queues: std::array::from_fn(|_| vec![Queue::new(); plans.len()]),
-            turns: DeficitRoundRobin::new(plans.len()),
+            deficits: DeficitRoundRobin::new(plans.len()),
             quanta: quanta(plans),
             index: BTreeMap::new(),
             plan_lengths: vec![0; plans.len()],
-            first_position: -1,
-            last_position: 0,
+            next_front_position: -1,
+            next_back_position: 0,
             last_served_resource: R - 1,
         }
     }
 
     /// Queues an item behind those of its plan and dominant resource. Returns false, and changes nothing, if
-    /// there is no such plan or the key waits already.
+    /// the plan does not exist or the key is already waiting.
     pub fn push(&mut self, plan: usize, key: K, need: [f64; R]) -> bool {
-        let position = self.last_position;
-        self.last_position += 1;
+        let position = self.next_back_position;
+        self.next_back_position += 1;
         self.insert(plan, key, need, position)
     }
 
-    /// Queues an item before those of its plan and dominant resource: one that was released and is to be
-    /// scheduled again. Returns false, and changes nothing, if there is no such plan or the key waits already.
+    /// Queues an item before those of its plan and dominant resource. Meant for an item that was released and
+    /// has to be scheduled again. Returns false, and changes nothing, if the plan does not exist or the key
+    /// is already waiting.
     pub fn push_front(&mut self, plan: usize, key: K, need: [f64; R]) -> bool {
-        let position = self.first_position;
-        self.first_position -= 1;
+        let position = self.next_front_position;
+        self.next_front_position -= 1;
         self.insert(plan, key, need, position)
     }
 
-    /// Queues an item at a position that the caller gives: behind the items of its plan and dominant resource with
-    /// lower positions. Returns false, and changes nothing, if there is no such plan, the key waits already, or
-    /// another item has the position.
+    /// Queues an item at a position that the caller chooses, behind the items of its plan and dominant
+    /// resource with lower positions. Returns false, and changes nothing, if the plan does not exist, the key
+    /// is already waiting, or another item has the position.
     ///
-    /// A caller that uses this gives all positions itself, and queues nothing by [`Queues::push`] or
+    /// A caller that uses this method chooses all positions itself and does not call [`Queues::push`] or
     /// [`Queues::push_front`].
     pub fn push_at(&mut self, plan: usize, key: K, need: [f64; R], position: i64) -> bool {
         let resource = dominant(&need.map(non_negative));
-        let is_taken = self.queues[resource].get(plan).is_some_and(|queue| queue.contains_key(&position));
-        !is_taken && self.insert(plan, key, need, position)
+        let is_occupied = self.queues[resource].get(plan).is_some_and(|queue| queue.contains_key(&position));
+        !is_occupied && self.insert(plan, key, need, position)
     }
 
     fn insert(&mut self, plan: usize, key: K, need: [f64; R], position: i64) -> bool {
@@ -138,7 +142,7 @@
         true
     }
 
-    /// Takes an item out of its queue. Returns whether it waited.
+    /// Takes an item out of its queue. Returns whether it was waiting.
     pub fn remove(&mut self, key: &K) -> bool {
         let Some(entry) = self.index.get(key).copied() else { return false };
         self.take(entry);
@@ -151,23 +155,23 @@
         self.index.remove(&waiting.key);
         self.plan_lengths[entry.plan] -= 1;
         if self.plan_lengths[entry.plan] == 0 {
-            // Nothing of the plan waits: it accumulates no deficit.
-            (0..R).for_each(|resource| self.turns.gain(resource, entry.plan, 0.0, 0.0));
+            // Nothing of the plan waits, so it accumulates no deficit.
+            (0..R).for_each(|resource| self.deficits.gain(resource, entry.plan, 0.0, 0.0));
         }
         Some(waiting)
     }
 
-    /// The item that is released next, taken out and charged, or none if `availability` (the free share of each
-    /// resource) covers no head of a queue.
+    /// Takes out and charges the next item to release. Returns `None` if `availability` (the free share of
+    /// each resource) covers no head of a queue.
     pub fn next(&mut self, availability: &[f64; R]) -> Option<Released<K, R>> {
         self.next_where(availability, 1, |_, _, _| true)
     }
 
-    /// As [`Queues::next`], but an item is released only if `accept` (plan, key, need) agrees, and up to `depth`
-    /// items of each queue are looked at in order. Those that the availability or `accept` excludes are
-    /// passed over and stay where they are.
+    /// Like [`Queues::next`], but releases an item only if `accept` (plan, key, need) returns true, and looks
+    /// at up to `depth` items of each queue, in order. Items that the availability or `accept` excludes are
+    /// skipped and keep their places.
     ///
-    /// `accept` may be asked more than once for an item in one call.
+    /// `accept` may be called more than once for an item in one call.
     pub fn next_where<F>(
         &mut self,
         availability: &[f64; R],
@@ -190,28 +194,28 @@
         };
         let waiting = self.queues[entry.resource][entry.plan].get(&entry.position)?;
         let need = waiting.need;
-        self.turns.charge(entry.plan, &need);
+        self.deficits.charge(entry.plan, &need);
         let waiting = self.take(entry)?;
         self.last_served_resource = entry.resource;
         Some(Released { plan: entry.plan, key: waiting.key, need })
     }
 
-    /// Returns the deficit that was charged for a released item which was not used after all.
+    /// Returns the deficit that was charged for a released item that was not used.
     pub fn refund(&mut self, released: &Released<K, R>) {
         if self.plan_lengths.get(released.plan).is_some_and(|length| *length > 0) {
             for (resource, need) in released.need.iter().enumerate() {
-                self.turns.gain(resource, released.plan, *need, f64::INFINITY);
+                self.deficits.gain(resource, released.plan, *need, f64::INFINITY);
             }
         }
     }
 
-    /// The main scheduler: wakes the sub-schedulers, that of the most available resource first, until one finds an item.
+    /// The main scheduler: runs the sub-schedulers in order of availability until one finds an item.
     fn find_candidate<F>(&mut self, availability: &[f64; R], depth: usize, accept: &mut F) -> ScanResult
     where
         F: FnMut(usize, &K, &[f64; R]) -> bool,
     {
         let mut least_rounds = f64::INFINITY;
-        for resource in self.waking_order(availability) {
+        for resource in self.resource_order(availability) {
             match self.visit_plans(resource, availability, depth, accept) {
                 ScanResult::Item(entry) => return ScanResult::Item(entry),
                 ScanResult::Rounds(rounds) => least_rounds = least_rounds.min(rounds),
@@ -225,16 +229,18 @@
         }
     }
 
-    /// The resources by falling availability; of equal ones first that whose turn it is.
-    fn waking_order(&self, availability: &[f64; R]) -> [usize; R] {
-        let mut order: [usize; R] = std::array::from_fn(|turn| (self.last_served_resource + 1 + turn) % R);
+    /// The resources by descending availability. Equally available ones come in round-robin order.
+    fn resource_order(&self, availability: &[f64; R]) -> [usize; R] {
+        let mut order: [usize; R] =
+            std::array::from_fn(|offset| (self.last_served_resource + 1 + offset) % R);
         let level =
             |resource: &usize| (non_negative(availability[*resource]) / AVAILABILITY_TOLERANCE).round();
         order.sort_by(|a, b| level(b).total_cmp(&level(a)));
         order
     }
 
-    /// A sub-scheduler's turn: the pointer passes every plan once and stays where an item may be released.
+    /// One turn of a sub-scheduler: the pointer visits every plan once and stops at an item that can be
+    /// released.
     fn visit_plans<F>(
         &mut self,
         resource: usize,
@@ -248,20 +254,20 @@
         let plans = self.plan_lengths.len();
         let mut least_rounds = f64::INFINITY;
         for _ in 0..plans {
-            let plan = self.turns.plan(resource);
+            let plan = self.deficits.plan(resource);
             for (position, waiting) in self.queues[resource][plan].iter().take(depth) {
                 if !fits(&waiting.need, availability) || !accept(plan, &waiting.key, &waiting.need) {
                     continue;
                 }
-                if self.turns.covers(plan, &waiting.need) {
+                if self.deficits.covers(plan, &waiting.need) {
                     return ScanResult::Item(QueueEntry { resource, plan, position: *position });
                 }
-                let counters = self.turns.counters(plan);
+                let counters = self.deficits.counters(plan);
                 least_rounds =
                     least_rounds.min(rounds_until_covered(counters, &waiting.need, self.quanta[plan]));
                 break;
             }
-            self.turns.advance(resource);
+            self.deficits.advance(resource);
         }
         if least_rounds.is_finite() {
             ScanResult::Rounds(least_rounds)
@@ -270,8 +276,8 @@
         }
     }
 
-    /// Lets all pointers wrap `rounds` times at once: the plans that have something waiting gain their
-    /// quanta. The needs of the first `depth` items of each queue bound what a counter may hold.
+    /// Lets all pointers wrap `rounds` times at once: plans with waiting items gain their quanta. The needs
+    /// of the first `depth` items of each queue limit what a counter may hold.
     fn wrap(&mut self, rounds: f64, depth: usize) {
         for plan in 0..self.plan_lengths.len() {
             if self.plan_lengths[plan] == 0 {
@@ -285,58 +291,59 @@
             }
             let quantum = self.quanta[plan];
             for (resource, largest) in largest.iter().enumerate() {
-                self.turns.gain(resource, plan, rounds * quantum, largest + SPARE_QUANTA * quantum);
+                self.deficits.gain(resource, plan, rounds * quantum, largest + SPARE_QUANTA * quantum);
             }
         }
     }
 
-    /// How many items wait.
+    /// Number of waiting items.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no item is waiting.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// How many items of a plan wait.
+    /// Number of waiting items of a plan.
     pub fn plan_len(&self, plan: usize) -> usize {
         self.plan_lengths.get(plan).copied().unwrap_or(0)
     }
 
-    /// Whether an item waits.
+    /// Whether an item is waiting.
     pub fn contains(&self, key: &K) -> bool {
         self.index.contains_key(key)
     }
 
-    /// All items that wait, in the order of their keys, with their plans.
+    /// All waiting items in the order of their keys, with their plans.
     pub fn iter(&self) -> impl Iterator<Item = (K, usize)> + '_ {
         self.index.iter().map(|(key, entry)| (*key, entry.plan))
     }
 
-    /// What a plan may still take of each resource before its next quantum.
+    /// What a plan may still take of each resource before its next quantum; `None` if the plan does not
+    /// exist.
     pub fn deficits(&self, plan: usize) -> Option<[f64; R]> {
-        (plan < self.plan_lengths.len()).then(|| *self.turns.counters(plan))
+        (plan < self.plan_lengths.len()).then(|| *self.deficits.counters(plan))
     }
 }
 
-/// What each plan gains a round: proportional to its weight.
+/// What each plan gains per round, proportional to its weight.
 fn quanta(plans: &[PlanOptions]) -> Vec<f64> {
-    let sound = |plan: &PlanOptions| if plan.weight.is_finite() { plan.weight.max(0.0) } else { 0.0 };
-    let largest = plans.iter().map(sound).fold(f64::MIN_POSITIVE, f64::max);
-    let relative = |plan: &PlanOptions| (sound(plan) / largest).max(MIN_RELATIVE_WEIGHT);
-    plans.iter().map(|plan| LARGEST_QUANTUM * relative(plan)).collect()
+    let valid_weight = |plan: &PlanOptions| if plan.weight.is_finite() { plan.weight.max(0.0) } else { 0.0 };
+    let largest = plans.iter().map(valid_weight).fold(f64::MIN_POSITIVE, f64::max);
+    let relative = |plan: &PlanOptions| (valid_weight(plan) / largest).max(MIN_RELATIVE_WEIGHT);
+    plans.iter().map(|plan| MAX_QUANTUM_SHARE * relative(plan)).collect()
 }
 
-/// How many rounds must pass until a plan's counters cover a need.
+/// Number of rounds until a plan's counters cover a need.
 fn rounds_until_covered<const R: usize>(counters: &[f64; R], need: &[f64; R], quantum: f64) -> f64 {
-    let short =
+    let rounds =
         |(need, counter): (&f64, &f64)| ((need + ROUNDING_MARGIN * (1.0 + need) - counter) / quantum).ceil();
-    need.iter().zip(counters).map(short).fold(0.0, f64::max)
+    need.iter().zip(counters).map(rounds).fold(0.0, f64::max)
 }
 
-/// A share made usable in sums: at least zero, and a number.
+/// The share as a number of at least zero; 0 for NaN.
 fn non_negative(share: f64) -> f64 {
     if share.is_nan() {
         0.0
@@ -356,7 +363,7 @@
     dominant
 }
 
-/// Whether every resource's availability covers the need.
+/// Whether the availability of every resource covers the need.
 fn fits<const R: usize>(need: &[f64; R], availability: &[f64; R]) -> bool {
     need.iter().zip(availability).all(|(need, free)| *need <= *free + AVAILABILITY_TOLERANCE)
 }
