--- a/crates/gateway-decisions/src/decide/concurrency_limit.rs
+++ b/crates/gateway-decisions/src/decide/concurrency_limit.rs
@@ -5,7 +5,7 @@
 use crate::interface::Ending;
 use crate::state::{nanos, Server};
 
-/// Factor by which a rejection or a late answer lowers a limit.
+/// Factor by which a limit is multiplied after a rejection or a late answer.
 const DECREASE_FACTOR: f64 = 0.75;
 /// A limit is raised only if at least this share of it is in use.
 const MIN_UTILIZATION: f64 = 0.5;
--- a/crates/gateway-decisions/src/decide/connections.rs
+++ b/crates/gateway-decisions/src/decide/connections.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, AttemptEnd, Ending, Via};
 use crate::state::{Server, NO_CONNECTION_LIMIT};
 
-/// Factor by which a refused connection lowers a server's connection limit below the open connections.
+/// A refused connection sets the server's connection limit to this share of its open connections.
 const DECREASE_FACTOR: f64 = 0.75;
 /// A server may have this many equal shares of all connections.
 const MAX_EQUAL_SHARES: f64 = 2.0;
--- a/crates/gateway-decisions/src/decide/customer_estimates.rs
+++ b/crates/gateway-decisions/src/decide/customer_estimates.rs
@@ -28,7 +28,7 @@
 const MIN_EQUAL_SHARE_FRACTION: f64 = 0.25;
 /// Lower bound of the admission probability that converts a reading of use into one of demand.
 pub(super) const MIN_ADMISSION_PROBABILITY: f64 = 0.1;
-/// Bounds of the memory of a customer's averages, in seconds. A longer meter period exceeds the upper one.
+/// Bounds of the memory of a customer's averages, in seconds. A longer meter period overrides the upper one.
 const MEMORY_BOUNDS_SECONDS: (f64, f64) = (0.1, 10.0);
 
 /// The memory of a customer's averages, in seconds: the time to fill its bucket, but at least a meter period.
--- a/crates/gateway-decisions/src/decide/outlier_detection.rs
+++ b/crates/gateway-decisions/src/decide/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: the expected share of bad ends at a server. Not in the paper.
+//! Outlier detection: the expected rate of bad outcomes at a server. Not in the paper.
 //!
 //! A gateway sends few attempts to one server, so a few observations have an immediate effect, and the
 //! fleet's mean replaces missing ones. Protects against servers that fail, hang or are full for one class,
@@ -11,15 +11,16 @@
 use crate::interface::{Ending, Health, Time};
 use crate::state::{secs, DecayedRate, Server};
 
-/// How long ends are remembered, in multiples of the longest latency target: faults last for many of them.
+/// How long outcomes are remembered, in multiples of the longest latency target, because faults last for many
+/// of these.
 const MEMORY_LATENCY_TARGETS: f64 = 10.0;
 /// Weight of the fleet's rate in the rate of one server, in observations.
 const FLEET_WEIGHT: f64 = 0.5;
-/// A server is ejected if its rate of bad ends in a class exceeds the fleet's by more than this. It then gets
-/// only requests that find no other server.
+/// A server is ejected if its rate of bad outcomes in a class exceeds the fleet's by more than this. It then
+/// gets only requests that find no other server.
 const EJECTION_MARGIN: f64 = 0.4;
 
-/// What a rate of bad ends is counted over.
+/// What a rate of bad outcomes is counted over.
 #[derive(Clone, Copy)]
 pub(super) enum OutcomeOf {
     /// Requests of a class. Bad: the attempt failed.
@@ -57,7 +58,7 @@
         (-secs(now - self.outcomes_at) / memory_seconds).exp()
     }
 
-    /// Records an end, after the earlier ones have decayed up to now.
+    /// Records the outcome of an attempt, after the earlier outcomes have decayed up to now.
     pub(super) fn observe_outcome(&mut self, end: &ObservedEnd, memory_seconds: f64, classes: usize) {
         let kept = self.kept_share(end.now, memory_seconds);
         self.outcomes_at = end.now;
@@ -77,7 +78,7 @@
         self.settings.classes.len() + self.settings.plans.len()
     }
 
-    /// How long ends are remembered, in seconds.
+    /// How long outcomes are remembered, in seconds.
     pub(super) fn memory_seconds(&self) -> f64 {
         MEMORY_LATENCY_TARGETS
             * self.settings.classes.iter().map(|class| secs(class.latency_target)).fold(0.0, f64::max)
@@ -89,13 +90,13 @@
         server.outcomes[of.index(self.settings.classes.len())].decayed(kept)
     }
 
-    /// The expected share of bad ends at a server, from its recent ends and the fleet's mean.
+    /// The expected rate of bad outcomes at a server, from its recent outcomes and the fleet's mean.
     pub(super) fn bad_rate(&self, server: &Server, of: OutcomeOf, fleet_rate: f64) -> f64 {
         let recent = self.outcomes_by_now(server, of);
         (recent.bad + FLEET_WEIGHT * fleet_rate) / (recent.observations + FLEET_WEIGHT)
     }
 
-    /// The mean share of bad ends over the fleet, weighting each server by how much is known of it.
+    /// The mean rate of bad outcomes over the fleet, weighting each server by how much is known of it.
     pub(super) fn fleet_bad_rate(&self, of: OutcomeOf) -> f64 {
         let mut fleet = DecayedRate::default();
         for server in self.servers.values() {
--- a/crates/gateway-decisions/src/decide/scheduler.rs
+++ b/crates/gateway-decisions/src/decide/scheduler.rs
@@ -4,8 +4,8 @@
 use crate::decide::gateway::{Gateway, SubScheduler, ATTEMPTS, RESOURCES, TIMER_SCHEDULER, UNITS};
 use crate::interface::{Action, Name, RequestId};
 
-/// After this many rounds of the main scheduler without a send, capacity is what lacks, not deficit: one
-/// quantum covers any request.
+/// After this many rounds of the main scheduler without a send, the waiting requests lack capacity rather
+/// than deficit, because one quantum covers any request.
 const IDLE_ROUNDS: u32 = 3;
 /// Maximum of a deficit counter, in quanta.
 const MAX_QUANTA: f64 = 2.0;
@@ -93,7 +93,7 @@
                 *short_of_deficit = true;
             }
             // If no plan lacked deficit, a wrap leaves the counters unchanged. Otherwise they would grow
-            // while capacity lacks.
+            // while capacity is short.
             if self.deficits.advance(resource) && *short_of_deficit {
                 self.add_quanta(resource);
             }
--- a/crates/gateway-decisions/src/decide/server_choice.rs
+++ b/crates/gateway-decisions/src/decide/server_choice.rs
@@ -12,10 +12,10 @@
 const NEAR_EQUAL_MARGIN: f64 = 0.3;
 /// If at most this many gateways use a server, only the best server is chosen.
 const FEW_GATEWAYS: f64 = 2.0;
-/// Cost of a bad end, as waiting time in latency targets.
-const BAD_END_COST_TARGETS: f64 = 2.0;
-/// Cost of a bad end if the request cannot be retried, as waiting time in latency targets.
-const UNREPEATABLE_BAD_END_COST_TARGETS: f64 = 2.0 * BAD_END_COST_TARGETS;
+/// Cost of a bad outcome, as waiting time in latency targets.
+const BAD_OUTCOME_COST_TARGETS: f64 = 2.0;
+/// Cost of a bad outcome if the request cannot be retried, as waiting time in latency targets.
+const UNREPEATABLE_BAD_OUTCOME_COST_TARGETS: f64 = 2.0 * BAD_OUTCOME_COST_TARGETS;
 
 /// The servers among which to choose.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     name: &'a Name,
     /// Whether an attempt of the request has already been sent to the server.
     tried: bool,
-    /// Expected wait plus the cost of the expected bad ends, in mean answer times of the class.
+    /// Expected wait plus the cost of the expected bad outcomes, in mean answer times of the class.
     cost: f64,
     /// Expected wait, in mean answer times of the class.
     wait: f64,
@@ -61,9 +61,9 @@
     NearEqual(Vec<Name>),
 }
 
-/// The cost of bad ends for one request, and their rates over the fleet.
-struct BadEnds {
-    /// Cost of one bad end, in mean answer times of the class.
+/// The cost of bad outcomes for one request, and their rates over the fleet.
+struct BadOutcomes {
+    /// Cost of one bad outcome, in mean answer times of the class.
     cost: f64,
     fleet_class_rate: f64,
     fleet_plan_rate: f64,
@@ -102,7 +102,7 @@
     }
 
     fn candidates(&self, request: &PendingRequest, set: CandidateSet) -> Candidates<'_> {
-        let bad_ends = self.bad_ends(request);
+        let bad_outcomes = self.bad_outcomes(request);
         let servers = || {
             let ready = ready(&self.servers, &self.disabled);
             ready.filter(move |(_, server)| set == CandidateSet::AllReady || server.in_subset)
@@ -123,22 +123,22 @@
                 found.warming_up = Some(found.all.len());
             }
             let wait = self.expected_wait(server, request.class, share);
-            let bad = self.bad_rate(server, OutcomeOf::Class(request.class), bad_ends.fleet_class_rate)
-                + self.bad_rate(server, OutcomeOf::Plan(request.plan), bad_ends.fleet_plan_rate);
+            let bad = self.bad_rate(server, OutcomeOf::Class(request.class), bad_outcomes.fleet_class_rate)
+                + self.bad_rate(server, OutcomeOf::Plan(request.plan), bad_outcomes.fleet_plan_rate);
             let tried = request.tried_servers.contains(name);
-            found.all.push(Candidate { name, tried, cost: wait + bad_ends.cost * bad, wait });
+            found.all.push(Candidate { name, tried, cost: wait + bad_outcomes.cost * bad, wait });
         }
         found
     }
 
-    fn bad_ends(&self, request: &PendingRequest) -> BadEnds {
+    fn bad_outcomes(&self, request: &PendingRequest) -> BadOutcomes {
         let class = &self.settings.classes[request.class];
         let cost = if class.effect == Effect::Unsafe {
-            UNREPEATABLE_BAD_END_COST_TARGETS
+            UNREPEATABLE_BAD_OUTCOME_COST_TARGETS
         } else {
-            BAD_END_COST_TARGETS
+            BAD_OUTCOME_COST_TARGETS
         };
-        BadEnds {
+        BadOutcomes {
             cost: cost * secs(class.latency_target) / self.mean_answer_seconds[request.class].max(1e-9),
             fleet_class_rate: self.fleet_bad_rate(OutcomeOf::Class(request.class)),
             fleet_plan_rate: self.fleet_bad_rate(OutcomeOf::Plan(request.plan)),
--- a/crates/gateway-decisions/tests/module.rs
+++ b/crates/gateway-decisions/tests/module.rs
@@ -208,7 +208,7 @@
 
 #[test]
 fn unmetered_burst_is_divided_among_gateways() {
-    let passed = |spread| {
+    let admitted = |spread| {
         let mut harness = Harness::new(settings(), 40);
         harness.spread = spread;
         (0..20)
@@ -218,24 +218,24 @@
             })
             .count()
     };
-    assert_eq!(passed(1), 20);
-    assert!((10..=14).contains(&passed(2)), "{}", passed(2));
+    assert_eq!(admitted(1), 20);
+    assert!((10..=14).contains(&admitted(2)), "{}", admitted(2));
 }
 
 #[test]
 fn admission_probability_keeps_a_heavy_customer_near_its_rate() {
     let mut harness = Harness::new(settings(), 10);
-    let mut passed = Vec::new();
+    let mut admitted = Vec::new();
     for _ in 0..1500 {
         harness.now += 20 * MS;
         let (id, out) = harness.request(0, 0, "a", 1.0);
         if let Some(server) = sent_to(&out).first() {
-            passed.push(harness.now);
-            let used = passed.iter().filter(|t| **t + SEC > harness.now).count();
+            admitted.push(harness.now);
+            let used = admitted.iter().filter(|t| **t + SEC > harness.now).count();
             harness.end_attempt_with(id, 0, server, Ending::Pass, 10 * MS, Some(used as f64 / 10.0));
         }
     }
-    let steady = passed.iter().filter(|t| **t > 110 * SEC).count();
+    let steady = admitted.iter().filter(|t| **t > 110 * SEC).count();
     assert!(
         (170..=230).contains(&steady),
         "{steady} units in 20 s at a rate of 10 per second, 50 per second requested"
@@ -257,22 +257,22 @@
 fn metered_use_at_other_gateways_reduces_admission() {
     // This gateway gets the same requests in both cases, 8 per second at a rate of 10. According to the
     // meter, other gateways use nothing, or three times as much again.
-    let passed = |factor: f64| {
+    let admitted = |factor: f64| {
         let mut harness = Harness::new(settings(), 10);
         harness.spread = 4;
-        let mut passed = Vec::new();
+        let mut admitted = Vec::new();
         for _ in 0..400 {
             harness.now += 125 * MS;
             let (id, out) = harness.request(0, 0, "a", 1.0);
             if let Some(server) = sent_to(&out).first() {
-                passed.push(harness.now);
-                let used = passed.iter().filter(|t| **t + SEC > harness.now).count() as f64 * factor;
+                admitted.push(harness.now);
+                let used = admitted.iter().filter(|t| **t + SEC > harness.now).count() as f64 * factor;
                 harness.end_attempt_with(id, 0, server, Ending::Pass, 10 * MS, Some(used / 10.0));
             }
         }
-        passed.iter().filter(|t| **t > 110 * SEC).count()
+        admitted.iter().filter(|t| **t > 110 * SEC).count()
     };
-    let (alone, shared) = (passed(1.0), passed(4.0));
+    let (alone, shared) = (admitted(1.0), admitted(4.0));
     assert!(alone > 280, "{alone} of 320 requests admitted while only this gateway uses the quota");
     assert!(
         (60..=130).contains(&shared),
@@ -322,7 +322,7 @@
 /// A customer that uses up its quota at other gateways must not find a full bucket at the next one.
 #[test]
 fn admissions_at_other_gateways_drain_the_bucket() {
-    let passed = |metered: f64| {
+    let admitted = |metered: f64| {
         let mut harness = Harness::new(settings(), 40);
         harness.spread = 2;
         for _ in 0..20 {
@@ -334,7 +334,7 @@
         }
         (0..20).filter(|_| !sends(&harness.request(0, 0, "a", 1.0).1).is_empty()).count()
     };
-    let (alone, shared) = (passed(0.2), passed(1.3));
+    let (alone, shared) = (admitted(0.2), admitted(1.3));
     assert!(
         alone >= 16 && shared <= 9,
         "of a burst of 20, {alone} admitted alone, {shared} with the quota in use elsewhere"
@@ -609,8 +609,11 @@
         }
         (0..60).filter(|i| !sends(&harness.request(0, 0, &format!("d{i}"), 1.0).1).is_empty()).count()
     };
-    let (calm, overloaded) = (sent_at_once(50 * MS), sent_at_once(900 * MS));
-    assert!(overloaded * 4 < calm, "{overloaded} sent at once after late answers, {calm} after timely ones");
+    let (timely, overloaded) = (sent_at_once(50 * MS), sent_at_once(900 * MS));
+    assert!(
+        overloaded * 4 < timely,
+        "{overloaded} sent at once after late answers, {timely} after timely ones"
+    );
 }
 
 #[test]
@@ -672,14 +675,14 @@
 #[test]
 fn subscribes_to_discovery_and_again_after_a_failure() {
     let s = Settings { subscribe: true, ..settings() };
-    let mut g = Gateway::new(s, 1, SEC).expect("settings in range");
+    let mut gateway = Gateway::new(s, 1, SEC).expect("settings in range");
     let mut out = Vec::new();
-    g.handle(SEC, vec![Event::Fleet { seq: 0, scope: Scope::Cached, nodes: vec![] }], &mut out);
+    gateway.handle(SEC, vec![Event::Fleet { seq: 0, scope: Scope::Cached, nodes: vec![] }], &mut out);
     assert_eq!(out, [Action::Subscribe { on: true }]);
     out.clear();
-    g.handle(2 * SEC, vec![Event::Fleet { seq: 0, scope: Scope::Failed, nodes: vec![] }], &mut out);
+    gateway.handle(2 * SEC, vec![Event::Fleet { seq: 0, scope: Scope::Failed, nodes: vec![] }], &mut out);
     let Some(Action::Timer { token, at }) = out.pop() else { panic!("{out:?}") };
-    g.handle(at, vec![Event::Timer { token }], &mut out);
+    gateway.handle(at, vec![Event::Timer { token }], &mut out);
     assert_eq!(out, [Action::Subscribe { on: true }]);
 }
 
@@ -727,13 +730,13 @@
     let mut sent = 0;
     for seed in 0..200 {
         let s = Settings { gateways: 200, gateway_index: seed as u32, ..settings() };
-        let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
+        let mut gateway = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let mut nodes: Vec<_> = (0..20).map(|i| Harness::node(i, Health::Up)).collect();
         nodes[0].since = 100 * SEC;
-        g.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
         let r = Request::new(1, 0, 0, "a", 104 * SEC, 1.0);
-        g.handle(100 * SEC, vec![Event::Request(r)], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Request(r)], &mut out);
         sent += sent_to(&out).iter().filter(|s| *s == "s0").count();
     }
     assert!(sent <= 6, "{sent} of 200 sends to one of 20 servers at a fifth of its capacity");
@@ -744,12 +747,12 @@
     let mut hits = std::collections::BTreeMap::new();
     for seed in 0..200 {
         let s = Settings { gateways: 200, gateway_index: seed as u32, ..settings() };
-        let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
+        let mut gateway = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let nodes = (0..20).map(|i| Harness::node(i, Health::Up)).collect();
-        g.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
         let r = Request::new(1, 0, 0, "a", 104 * SEC, 1.0);
-        g.handle(100 * SEC, vec![Event::Request(r)], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Request(r)], &mut out);
         sent_to(&out).into_iter().for_each(|s| *hits.entry(s).or_insert(0) += 1);
     }
     let most = hits.values().max().copied().unwrap_or(0);
@@ -865,16 +868,16 @@
 #[test]
 fn disabled_server_stays_disabled_over_list_updates_and_warms_up_when_enabled() {
     let mut harness = Harness::new(settings(), 2);
-    let share = |harness: &mut Harness| {
+    let requests_to_s1 = |harness: &mut Harness| {
         let mut sent = 0;
         for n in 0..200u64 {
             let (id, actions) = harness.request(0, 0, &format!("c{n}"), 1.0);
-            let server = sent_to(&actions);
-            sent += usize::from(server == ["s1"]);
+            let servers = sent_to(&actions);
+            sent += usize::from(servers == ["s1"]);
             harness.handle(Event::AttemptEnd(AttemptEnd {
                 id,
                 attempt: 0,
-                server: server[0].as_str().into(),
+                server: servers[0].as_str().into(),
                 ending: Ending::Pass,
                 request_finished: true,
                 body_discarded: false,
@@ -896,23 +899,23 @@
         let nodes = (0..2).map(|i| Harness::node(i, Health::Up)).collect();
         harness.handle(Event::Fleet { seq: 2, scope, nodes });
         assert_eq!(harness.gateway.ejected(), 1);
-        assert_eq!(share(&mut harness), 0);
+        assert_eq!(requests_to_s1(&mut harness), 0);
     }
     harness.handle(Event::Enable { server: name.clone() });
     assert_eq!(harness.gateway.ejected(), 0);
     // An update of the list that does not report a restart does not end the warm-up.
     let nodes = (0..2).map(|i| Harness::node(i, Health::Up)).collect();
     harness.handle(Event::Fleet { seq: 3, scope: Scope::Full, nodes });
-    let warming = share(&mut harness);
+    let warming = requests_to_s1(&mut harness);
     assert!((5..=60).contains(&warming), "{warming} of 200 sent to a server at a fifth of its capacity");
     // Enabling a server that is not disabled does not restart its warm-up.
     harness.now += 11 * SEC;
     harness.handle(Event::Enable { server: name });
     // A warm server is not limited: of two concurrent requests, each server gets one.
     for n in 0..10 {
-        let processes: Vec<_> = (0..2).map(|i| harness.request(0, 0, &format!("d{n}{i}"), 1.0)).collect();
-        let mut to: Vec<String> = processes.iter().flat_map(|(_, actions)| sent_to(actions)).collect();
-        for (id, out) in &processes {
+        let pair: Vec<_> = (0..2).map(|i| harness.request(0, 0, &format!("d{n}{i}"), 1.0)).collect();
+        let mut to: Vec<String> = pair.iter().flat_map(|(_, actions)| sent_to(actions)).collect();
+        for (id, out) in &pair {
             harness.end_attempt_with(*id, 0, &sent_to(out)[0], Ending::Pass, 10 * MS, None);
         }
         to.sort();
@@ -977,9 +980,7 @@
         let before = (0..10).filter(|_| {
             let (id, actions) = harness.request(0, 0, "c", 1.0);
             let to = sent_to(&actions);
-            to.iter().for_each(|server| {
-                drop(harness.end_attempt_with(id, 0, server, Ending::Pass, 10 * MS, None))
-            });
+            to.iter().for_each(|s| drop(harness.end_attempt_with(id, 0, s, Ending::Pass, 10 * MS, None)));
             !to.is_empty()
         });
         let before = before.count();
@@ -1020,7 +1021,7 @@
 
 #[test]
 fn fast_warming_server_gets_more_than_the_ramp_and_a_slow_one_does_not() {
-    let sent_to_warming = |pace: Time| {
+    let sent_to_warming = |answer_time: Time| {
         let mut harness = Harness::new(settings(), 4);
         let answer = |harness: &mut Harness, id: u64, server: &str, elapsed: Time| {
             harness.handle(Event::AttemptEnd(AttemptEnd {
@@ -1049,7 +1050,7 @@
         for n in 0..14 {
             let (id, out) = harness.request(0, 0, &format!("w{n}"), 1.0);
             if sent_to(&out) == ["s0"] {
-                answer(&mut harness, id, "s0", pace);
+                answer(&mut harness, id, "s0", answer_time);
             }
         }
         let mut warming = 0;
@@ -1058,7 +1059,7 @@
             let (id, out) = harness.request(0, 0, &format!("c{n}"), 1.0);
             for server in sent_to(&out) {
                 warming += usize::from(server == "s0");
-                answer(&mut harness, id, &server, if server == "s0" { pace } else { 40 * MS });
+                answer(&mut harness, id, &server, if server == "s0" { answer_time } else { 40 * MS });
             }
         }
         warming
@@ -1320,11 +1321,11 @@
 
 /// The connection limits that the actions announce: over all servers (`None`) and for each.
 fn connection_limits(actions: &[Action]) -> Vec<(Option<String>, u32)> {
-    let tells = |a: &Action| match a {
+    let limit = |a: &Action| match a {
         Action::Connections { server, limit } => Some((server.as_ref().map(ToString::to_string), *limit)),
         _ => None,
     };
-    actions.iter().filter_map(tells).collect()
+    actions.iter().filter_map(limit).collect()
 }
 
 fn connection_limit_of(actions: &[Action], server: &str) -> Option<u32> {
@@ -1332,19 +1333,13 @@
         .into_iter()
         .rev()
         .find(|(of, _)| of.as_deref() == Some(server))
-        .map(|(_, most)| most)
+        .map(|(_, limit)| limit)
 }
 
 /// A gateway with 40 file descriptors and one plan without a quota.
-fn harness_with_pool(servers: usize, connections_each: u32) -> (Harness, Vec<Action>) {
+fn harness_with_pool(servers: usize, connections_per_server: u32) -> (Harness, Vec<Action>) {
     let plans = vec![Plan::new("free", 0.0, 0.0)];
-    let s = Settings {
-        connections: 40,
-        connections_per_server: connections_each,
-        plans,
-        gateways: 1,
-        ..settings()
-    };
+    let s = Settings { connections: 40, connections_per_server, plans, gateways: 1, ..settings() };
     let mut harness = Harness {
         gateway: Gateway::new(s, 1, 100 * SEC).expect("settings in range"),
         now: 100 * SEC,
@@ -1357,14 +1352,14 @@
 }
 
 impl Harness {
-    /// Ends an attempt that used this kind of connection, with `links` connections open.
+    /// Ends an attempt that used this kind of connection, with this number of open connections.
     fn end_attempt_via(
         &mut self,
         id: u64,
         server: &str,
         ending: Ending,
         via: Via,
-        links: u32,
+        open_connections: u32,
     ) -> Vec<Action> {
         self.handle(Event::AttemptEnd(AttemptEnd {
             id,
@@ -1378,15 +1373,20 @@
             metered_share: None,
             load: None,
             via,
-            open_connections: links,
+            open_connections,
         }))
     }
 
     /// Sends one request and ends its attempt. Returns the server and the actions.
-    fn serve_one_request(&mut self, ending: Ending, via: Via, links: u32) -> (String, Vec<Action>) {
+    fn serve_one_request(
+        &mut self,
+        ending: Ending,
+        via: Via,
+        open_connections: u32,
+    ) -> (String, Vec<Action>) {
         let (id, out) = self.request(0, 0, "c", 1.0);
         let server = sent_to(&out).pop().expect("the request is sent");
-        let actions = self.end_attempt_via(id, &server, ending, via, links);
+        let actions = self.end_attempt_via(id, &server, ending, via, open_connections);
         (server, actions)
     }
 }
@@ -1454,8 +1454,7 @@
     let out = harness.handle(Event::PeerProcess { running: true });
     assert_eq!(connection_limit_of(&out, &server), Some(3));
     assert!(connection_limits(&out).contains(&(None, 20)), "{out:?}");
-    // The successor continues with the number of connections that the server can bear. Hundreds of gateways
-    // start within a second, each with more to send than it may: what they have out at one
+    // The successor continues with the number of connections that the server can bear.
     let s = Settings { connections: 40, gateways: 1, plans: vec![Plan::new("free", 0.0, 0.0)], ..settings() };
     let mut successor = Gateway::new(s, 2, harness.now).expect("settings in range");
     let mut out = Vec::new();
@@ -1472,7 +1471,6 @@
     assert!(connection_limits(&out).contains(&(None, 40)), "{out:?}");
 }
 
-/// Hundreds of gateways start within a second, each with more to send than it may: what they have out at one
 /// Hundreds of gateways start within a second, each with more requests than it may send. Together they have
 /// only a few attempts, and thus connections, at one server.
 #[test]
