--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -27,7 +27,7 @@
 //!
 //! Where the core is cut in two for longer than the delay, and the seeds are exchanged meanwhile, each part may found a
 //! group. At most one of them has the voters that it needs to take commands. Once they reach one another, the other gives
-//! way ([`Founding::gives_way`]): a leader tells seeds that are no members of its group.
+//! way ([`Founding::should_abandon_group`]): a leader tells seeds that are no members of its group.
 //!
 //! Input and output are the caller's, as with [`crate::Node`]. Times are nanoseconds of the process's steady clock.
 
@@ -67,8 +67,8 @@
     /// Core processes that are connected: identity and address.
     pub connected: BTreeSet<(NodeId, String)>,
     /// Addresses of the voters of a group that may have taken commands without this process:
-    /// [`crate::Node::possible_group`].
-    pub possible_group: BTreeSet<String>,
+    /// [`crate::Node::possible_group_voters`].
+    pub possible_group_voters: BTreeSet<String>,
 }
 
 /// Another group that has a leader.
@@ -172,7 +172,7 @@
     /// than that. If the other takes no commands yet, a voter of a group that may have taken some stays, unless a majority
     /// of those voters is in the other; one without a leader gives way once it has waited for one; of two groups with
     /// leaders the one with fewer voters gives way, of equal ones that with the lesser identities.
-    pub fn gives_way(&self, now: u64, node: &Node, other: &OtherGroup) -> bool {
+    pub fn should_abandon_group(&self, now: u64, node: &Node, other: &OtherGroup) -> bool {
         let members = &other.membership;
         let is_listed = members.contains(node.id()) || self.has_proposed(members);
         // A process that has just joined names a leader before it has the membership.
@@ -292,9 +292,9 @@
         let is_silent =
             |address: &String| self.heard_at.get(address).is_some_and(|heard_at| now >= heard_at + SILENCE);
         let mut connected = status.connected.iter().map(|(_, address)| address);
-        let of_group = status.possible_group.iter().filter(|address| offers(address)).count();
+        let of_group = status.possible_group_voters.iter().filter(|address| offers(address)).count();
         let group_has_no_majority =
-            status.possible_group.is_empty() || of_group > status.possible_group.len() / 2;
+            status.possible_group_voters.is_empty() || of_group > status.possible_group_voters.len() / 2;
         self.hears_of_no_group(now, status)
             && now >= self.refused_until
             && group_has_no_majority
@@ -355,7 +355,7 @@
 /// Whether this node may have been confirmed as a voter of a group that took commands without it, and whose voters are
 /// for the most part not among these members.
 fn may_be_needed(node: &Node, members: &Membership) -> bool {
-    let group = node.possible_group();
+    let group = node.possible_group_voters();
     let is_member = |address: &&String| members.members.iter().any(|member| member.address == **address);
     let moved = group.iter().filter(is_member).count();
     !group.is_empty() && moved <= group.len() / 2
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -38,10 +38,10 @@
     },
     /// Transfer leadership to another process (before this one stops).
     Transfer,
-    /// The connection to a process broke: what was in flight may be lost.
-    PeerLost {
-        /// The process.
-        to: NodeId,
+    /// The connection to another process broke. Messages in flight may be lost.
+    PeerDisconnected {
+        /// The process at the other end of the connection.
+        peer: NodeId,
     },
     /// Nothing listens at the address of a process that was connected before: its process has ended, or a filter on
     /// the way answers for it. A hint: if it led, this process campaigns as soon as the lease must have
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -161,7 +161,7 @@
             Event::SnapshotTaken { snapshot } => self.on_snapshot_taken(snapshot),
             Event::Join { member } => self.on_join(member, out),
             Event::Transfer => self.start_transfer(out),
-            Event::PeerLost { to } => self.on_peer_lost(to, out),
+            Event::PeerDisconnected { peer } => self.on_peer_disconnected(peer, out),
             Event::PeerDown { peer } => self.on_peer_down(peer),
         }
         self.durability.flush(self.now, self.log.last_index(), out);
@@ -232,7 +232,7 @@
 
     /// Addresses of the voters of the group that this process, without a command itself, may have been confirmed for:
     /// they have had a leader, and are as many as the group wants. Empty if there is no such group.
-    pub fn possible_group(&self) -> BTreeSet<String> {
+    pub fn possible_group_voters(&self) -> BTreeSet<String> {
         let voters = self.membership().members.iter().filter(|member| member.voter);
         let addresses: BTreeSet<String> = voters.map(|member| member.address.clone()).collect();
         let had_leader = self.log.last_index() > BOOTSTRAP_INDEX;
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -224,11 +224,11 @@
         }
     }
 
-    pub(crate) fn on_peer_lost(&mut self, to: NodeId, out: &mut Vec<Output>) {
+    pub(crate) fn on_peer_disconnected(&mut self, peer: NodeId, out: &mut Vec<Output>) {
         let Some(leadership) = self.leadership() else { return };
-        if let Some(progress) = leadership.progress.get_mut(&to) {
+        if let Some(progress) = leadership.progress.get_mut(&peer) {
             progress.become_probe();
-            self.replicate_to(to, out);
+            self.replicate_to(peer, out);
         }
     }
 
--- a/crates/consensus/tests/compaction.rs
+++ b/crates/consensus/tests/compaction.rs
@@ -47,7 +47,7 @@
     let mut leader = leader_of_large_entries(20);
     let sent_index = take_snapshot(&mut leader);
     leader.wait(10);
-    leader.handle(Event::PeerLost { to: 2 });
+    leader.handle(Event::PeerDisconnected { peer: 2 });
     let refusal = append_refusal(leader.node.term(), 2, leader.now);
     let outputs = leader.receive(2, refusal);
     let is_chunk = |(_, message): &(u64, Message)| matches!(message, Message::SnapshotChunk(_));
--- a/crates/consensus/tests/founding.rs
+++ b/crates/consensus/tests/founding.rs
@@ -83,7 +83,7 @@
                 .map(|other| (other.id, address(other.machine)))
                 .chain(own.open_connections.iter().cloned())
                 .collect(),
-            possible_group: node(own.id, own.restored.clone()).possible_group(),
+            possible_group_voters: node(own.id, own.restored.clone()).possible_group_voters(),
         }
     }
 
@@ -376,16 +376,22 @@
 fn a_lone_founder_gives_way_once_it_has_waited_for_a_leader() {
     let founding = ready_founding();
     let (lone, other) = (voter_two(false), group(&[4, 5], false));
-    assert!(!founding.gives_way(SECOND, &lone, &other));
-    assert!(founding.gives_way(3 * SECOND, &lone, &other));
-    assert!(founding.gives_way(SECOND, &lone, &group(&[4, 5], true)));
-    assert!(!founding.gives_way(3 * SECOND, &node(2, with_command()), &group(&[4, 5], true)));
-    assert!(!founding.gives_way(3 * SECOND, &node(7, Restored::default()), &other), "it is in no group");
+    assert!(!founding.should_abandon_group(SECOND, &lone, &other));
+    assert!(founding.should_abandon_group(3 * SECOND, &lone, &other));
+    assert!(founding.should_abandon_group(SECOND, &lone, &group(&[4, 5], true)));
+    assert!(!founding.should_abandon_group(3 * SECOND, &node(2, with_command()), &group(&[4, 5], true)));
+    assert!(
+        !founding.should_abandon_group(3 * SECOND, &node(7, Restored::default()), &other),
+        "it is in no group"
+    );
     let mut listing = group(&[4, 5], true);
     listing.membership.members.push(member(2, 2));
-    assert!(!founding.gives_way(3 * SECOND, &lone, &listing), "it is a member");
+    assert!(!founding.should_abandon_group(3 * SECOND, &lone, &listing), "it is a member");
     let not_known = OtherGroup { leader: 999, ..group(&[4, 5], true) };
-    assert!(!founding.gives_way(3 * SECOND, &lone, &not_known), "these are not the leader's members");
+    assert!(
+        !founding.should_abandon_group(3 * SECOND, &lone, &not_known),
+        "these are not the leader's members"
+    );
 }
 
 /// Voters 1 and 3 may have taken commands with what voter 2 acknowledged.
@@ -393,10 +399,10 @@
 fn a_confirmed_voter_stays_unless_the_others_have_moved() {
     let founding = ready_founding();
     let confirmed = voter_two(true);
-    assert!(!founding.gives_way(3 * SECOND, &confirmed, &group(&[4, 5], false)));
-    assert!(!founding.gives_way(3 * SECOND, &confirmed, &group(&[1, 4, 5], false)));
-    assert!(founding.gives_way(3 * SECOND, &confirmed, &group(&[1, 3, 4], false)));
-    assert!(founding.gives_way(3 * SECOND, &confirmed, &group(&[4, 5], true)));
+    assert!(!founding.should_abandon_group(3 * SECOND, &confirmed, &group(&[4, 5], false)));
+    assert!(!founding.should_abandon_group(3 * SECOND, &confirmed, &group(&[1, 4, 5], false)));
+    assert!(founding.should_abandon_group(3 * SECOND, &confirmed, &group(&[1, 3, 4], false)));
+    assert!(founding.should_abandon_group(3 * SECOND, &confirmed, &group(&[4, 5], true)));
 }
 
 /// Of two groups with leaders and without commands exactly one gives way.
@@ -422,11 +428,11 @@
     let founding = ready_founding();
     for (one, other) in [(vec![1, 2, 3], vec![4, 5, 6]), (vec![1, 2, 3, 7], vec![4, 5, 6])] {
         let (one, other) = (group(&one, false), group(&other, false));
-        let gives_way = |own: &OtherGroup, other: &OtherGroup| {
-            founding.gives_way(SECOND, &follower_of(own.leader, own.membership.clone()), other)
+        let should_abandon_group = |own: &OtherGroup, other: &OtherGroup| {
+            founding.should_abandon_group(SECOND, &follower_of(own.leader, own.membership.clone()), other)
         };
-        assert_ne!(gives_way(&one, &other), gives_way(&other, &one));
-        assert!(!gives_way(&one, &one), "it is its own group");
+        assert_ne!(should_abandon_group(&one, &other), should_abandon_group(&other, &one));
+        assert!(!should_abandon_group(&one, &one), "it is its own group");
     }
 }
 
--- a/crates/consensus/tests/hostile_messages.rs
+++ b/crates/consensus/tests/hostile_messages.rs
@@ -101,7 +101,7 @@
                 },
             },
             4 => Event::Transfer,
-            5 => Event::PeerLost { to: id },
+            5 => Event::PeerDisconnected { peer: id },
             _ => Event::Message { from: id, message: message(gen) },
         };
         Hostile { event, wait_milliseconds: u64::from(u8::arbitrary(gen)) }
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -139,7 +139,7 @@
         }
         Action::LoseConnection { slot, other } => {
             let to = cluster.id(other);
-            cluster.handle(slot, Event::PeerLost { to });
+            cluster.handle(slot, Event::PeerDisconnected { peer: to });
         }
         Action::Refuse { slot, other } => {
             let peer = cluster.id(other);
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -189,7 +189,7 @@
     let mut leader = Single::leader(3);
     let acknowledged = leader.node.last_index();
     (0..2).for_each(|_| drop(leader.handle(Event::Propose { payload: vec![1] })));
-    let outputs = leader.handle(Event::PeerLost { to: 2 });
+    let outputs = leader.handle(Event::PeerDisconnected { peer: 2 });
     assert_eq!(appends(&outputs, 2), [(acknowledged, 2)]);
 }
 
--- a/crates/consensus/tests/support/first_start.rs
+++ b/crates/consensus/tests/support/first_start.rs
@@ -495,7 +495,11 @@
             return FoundingStatus::default();
         }
         let connected = this.accepted.iter().map(|(other, id)| (*id, address(*other))).collect();
-        FoundingStatus { is_uninitialized: true, connected, possible_group: process.node.possible_group() }
+        FoundingStatus {
+            is_uninitialized: true,
+            connected,
+            possible_group_voters: process.node.possible_group_voters(),
+        }
     }
 
     fn found(&mut self, machine: usize, membership: Membership) {
@@ -611,7 +615,9 @@
 
     fn give_way(&mut self, machine: usize, other: &OtherGroup) {
         let process = self.machines[machine].process.as_ref();
-        if process.is_some_and(|process| process.founding.gives_way(self.now, &process.node, other)) {
+        if process
+            .is_some_and(|process| process.founding.should_abandon_group(self.now, &process.node, other))
+        {
             self.join_anew(machine);
         }
     }
--- a/crates/control/src/driver/event_handlers.rs
+++ b/crates/control/src/driver/event_handlers.rs
@@ -118,7 +118,7 @@
         if connection < FIRST_ACCEPTED {
             for to in self.peers.ids_of(connection) {
                 self.relay_unreachable(now, to);
-                self.step_consensus(now, Event::PeerLost { to });
+                self.step_consensus(now, Event::PeerDisconnected { peer: to });
             }
             return;
         }
--- a/crates/control/src/driver/founding.rs
+++ b/crates/control/src/driver/founding.rs
@@ -51,7 +51,7 @@
     /// Abandons this process's own founding, which holds no commands, in favor of `other` if the founding
     /// rules say so.
     fn yield_to_group(&mut self, now: u64, other: &OtherGroup) {
-        if self.founding.gives_way(now, self.replica.node(), other) {
+        if self.founding.should_abandon_group(now, self.replica.node(), other) {
             log::warn!(
                 "another group has a leader: abandoning the group founded here, which holds no commands"
             );
@@ -135,7 +135,7 @@
         FoundingStatus {
             is_uninitialized: true,
             connected: self.clients.core_processes(),
-            possible_group: node.possible_group(),
+            possible_group_voters: node.possible_group_voters(),
         }
     }
 }
--- a/crates/simulation/src/core_process/peers.rs
+++ b/crates/simulation/src/core_process/peers.rs
@@ -25,7 +25,7 @@
 
     pub(super) fn peer_lost(&mut self, machine: usize) {
         for to in self.ids_at(machine) {
-            self.node_event(Event::PeerLost { to });
+            self.node_event(Event::PeerDisconnected { peer: to });
         }
     }
 
