--- a/crates/consensus/examples/three_nodes.rs
+++ b/crates/consensus/examples/three_nodes.rs
@@ -1,4 +1,4 @@
-//! Three processes in one: messages and writes take no time, and the clock is a counter.
+//! Runs a group of three nodes in one process: messages and writes take no time, and the clock is a counter.
 
 use consensus::{Event, Member, Membership, Node, Options, Output};
 
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -1,4 +1,4 @@
-//! Pending writes to the disk, and messages that wait for them.
+//! Pending disk writes, and the messages that are held back until these writes are durable.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 use crate::message::Message;
 use crate::types::{Entry, HardState, Index, NodeId, Snapshot};
 
-/// What the current call of `handle` adds to the next write.
+/// The next write, as collected during the current call of `handle`.
 #[derive(Clone, Debug, Default)]
 struct Write {
     hard_state: Option<HardState>,
@@ -22,16 +22,16 @@
     }
 }
 
-/// A write that was handed out and is not durable yet.
+/// A write that has been output and is not durable yet.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     ticket: u64,
-    /// The log is durable up to here once the write is, unless it was truncated since.
+    /// Index up to which the log is durable once this write is durable. A later truncation lowers this index.
     last_index: Index,
     issued_at: u64,
 }
 
-/// A message that may be sent once a write is durable.
+/// A message that may be sent once the write with this ticket is durable.
 #[derive(Clone, Debug)]
 struct PendingMessage {
     ticket: u64,
@@ -39,11 +39,11 @@
     message: Message,
 }
 
-/// Tickets of writes, and how far the log is durable.
+/// Tracks the tickets of writes and the index up to which the log is durable.
 ///
-/// Writes become durable in the order of their tickets. A message that depends on a write (a vote, an acknowledgement)
-/// carries its ticket and leaves only when that write is durable; `durable_index` never counts an entry that was
-/// truncated since it was written.
+/// Writes become durable in the order of their tickets. A message that depends on a write (a vote or an
+/// acknowledgement) is stored with the write's ticket and is sent only once that write is durable.
+/// `durable_index` never includes an entry that has been truncated since it was written.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Durability {
     write: Write,
@@ -55,17 +55,17 @@
 }
 
 impl Durability {
-    /// All up to this index is durable at start.
+    /// Creates the state for a log that is durable up to this index at startup.
     pub fn new(durable_index: Index) -> Durability {
         Durability { durable_index, ..Durability::default() }
     }
 
-    /// The log is durable up to here.
+    /// Index up to which the log is durable.
     pub fn durable_index(&self) -> Index {
         self.durable_index
     }
 
-    /// The ticket under which all that was added so far will be durable.
+    /// Ticket of the write that includes everything added so far.
     pub fn ticket(&self) -> u64 {
         self.last_ticket + u64::from(!self.write.is_empty())
     }
@@ -83,7 +83,7 @@
         self.write.entries.push(entry);
     }
 
-    /// Entries from this index on are replaced.
+    /// Adds a truncation: the entries from this index on are removed.
     pub fn add_truncation(&mut self, from: Index) {
         self.write.entries.retain(|entry| entry.index < from);
         let earlier = self.write.truncate_from.unwrap_or(from);
@@ -95,22 +95,25 @@
         }
     }
 
-    /// A snapshot from the leader replaces the log up to its index; `keeps_log` if entries after it stay.
+    /// Adds a snapshot from the leader that replaces the log up to the snapshot's index. `keeps_log` says
+    /// whether the entries after this index are kept.
     pub fn add_snapshot(&mut self, snapshot: Snapshot, keeps_log: bool) {
         if !keeps_log {
-            // In memory all entries are gone; the disk keeps what the snapshot covers until it is durable itself.
+            // All entries are removed from memory. The disk keeps the entries that the snapshot covers until
+            // the snapshot is durable.
             self.add_truncation(1);
             self.write.truncate_from = Some(snapshot.meta.index);
         }
         self.write.snapshot = Some(snapshot);
     }
 
-    /// A snapshot of this process's own state machine is durable, and with it the log up to its index.
+    /// Records that a snapshot of the local state machine is durable, which makes the log durable up to the
+    /// snapshot's index.
     pub fn record_snapshot(&mut self, index: Index) {
         self.durable_index = self.durable_index.max(index);
     }
 
-    /// Hands out what was added as one write.
+    /// Outputs everything added so far as one write.
     pub fn flush(&mut self, now: u64, last_index: Index, out: &mut Vec<Output>) {
         if self.write.is_empty() {
             return;
@@ -127,7 +130,8 @@
         });
     }
 
-    /// Writes up to this ticket are durable: sends the messages that waited for them.
+    /// Records that the writes up to this ticket are durable, and sends the messages that were held back for
+    /// them.
     pub fn record_persisted(&mut self, ticket: u64, out: &mut Vec<Output>) {
         let ticket = ticket.min(self.last_ticket);
         self.durable_ticket = self.durable_ticket.max(ticket);
@@ -141,7 +145,7 @@
         self.release_messages(out);
     }
 
-    /// Sends now if the write with this ticket is durable, else once it is.
+    /// Sends the message immediately if the write with this ticket is durable, otherwise once it is durable.
     pub fn send_after(&mut self, ticket: u64, to: NodeId, message: Message, out: &mut Vec<Output>) {
         if self.is_durable(ticket) {
             out.push(Output::Send { to, message });
@@ -170,18 +174,19 @@
         }
     }
 
-    /// How long the oldest pending write has taken so far, in nanoseconds; 0 if none is pending.
+    /// Age of the oldest pending write in nanoseconds; 0 if no write is pending.
     pub fn oldest_write_age(&self, now: u64) -> u64 {
         self.pending_writes.front().map_or(0, |pending| now.saturating_sub(pending.issued_at))
     }
 
-    /// The last index of the oldest pending write.
+    /// Last log index of the oldest pending write.
     pub fn oldest_write_index(&self) -> Option<Index> {
         self.pending_writes.front().map(|pending| pending.last_index)
     }
 }
 
-/// Sends a message, in place of an acknowledgement just before it if it includes that one.
+/// Sends a message. If the last output is an acknowledgement to the same receiver that this message
+/// supersedes, the message replaces it.
 fn send_newest(to: NodeId, message: Message, out: &mut Vec<Output>) {
     if let Some(Output::Send { to: last_to, message: last }) = out.last_mut() {
         if *last_to == to && supersedes(&message, last) {
@@ -192,7 +197,8 @@
     out.push(Output::Send { to, message });
 }
 
-/// Whether the newer message says all that the older one does: both acknowledge entries, the newer no fewer.
+/// Whether the newer message makes the older one redundant: both are acknowledgements in the same term, and
+/// the newer one does not acknowledge less.
 fn supersedes(newer: &Message, older: &Message) -> bool {
     let (Message::AppendReply(newer), Message::AppendReply(older)) = (newer, older) else {
         return false;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,12 +1,15 @@
-//! Elections: pre-votes, votes, and the rejection of both while a leader may hold a lease.
+//! Elections: pre-votes and votes, and how both are rejected while a leader may hold a lease.
 //!
-//! A restarted process may have acknowledged a leader right before it ended, and that leader's lease then still holds.
-//! So it rejects vote requests for the leader stickiness, unless the election is unanimous: such an election takes the
-//! vote of every voter, and a process that leads or hears from a leader gives none. Whoever wins it knows that no lease
-//! is held: after a loss of power on all machines the next leader need not wait for one to expire.
+//! A restarted process may have acknowledged a leader right before it stopped, and that leader's lease may
+//! still be valid. After a restart, a process therefore rejects vote requests for the duration of the leader
+//! stickiness, unless the election is unanimous. A unanimous election needs the vote of every voter, and a
+//! process that leads or follows a leader does not grant its vote. The winner of such an election knows that
+//! no lease is held, so after a power loss on all machines the next leader does not have to wait for a lease
+//! to expire.
 //!
-//! Only the leader's own message or time ends a lease. What a connection shows, such as a refused connection or another
-//! identity at the leader's address, may come from a filter or late, and changes only when this process campaigns.
+//! A lease ends only by a message from the leader itself or by the passage of time. Connection errors, such
+//! as a refused connection or another identity at the leader's address, may be caused by a packet filter or
+//! be outdated. They only influence when this process campaigns.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -19,21 +22,21 @@
 use crate::step_down::{StepDown, StepDownReason};
 use crate::types::{HardState, NodeId, Term};
 
-/// Why a process campaigns.
+/// Reason for a campaign.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CampaignReason {
-    /// It has not heard from a leader in time, or has restarted.
+    /// The process has not heard from a leader in time, or has restarted.
     Timeout,
-    /// The leader asked it to.
+    /// The leader requested the campaign (leadership transfer).
     Transfer,
 }
 
 impl Node {
-    /// No leader was heard from in time, or an election had no winner.
+    /// Handles an election timeout: no leader was heard from in time, or an election had no winner.
     pub(crate) fn on_election_timeout(&mut self, out: &mut Vec<Output>) {
         self.reset_election_timer();
         if self.now < self.leader_down_until {
-            // The voters that remain campaign in turn.
+            // The remaining voters campaign one after another.
             let remaining = self.membership().voters().count().saturating_sub(1).max(1) as u64;
             self.election_at = self.now + remaining * nanoseconds(self.options.campaign_stagger);
         }
@@ -44,7 +47,8 @@
         }
     }
 
-    /// This process has restarted and heard from no leader since: others may have restarted at the same time.
+    /// Starts a unanimous election. This process has restarted and has not heard from a leader since; the
+    /// other processes may have restarted at the same time.
     pub(crate) fn on_unanimous_election_due(&mut self, out: &mut Vec<Output>) {
         self.unanimous_election_at = Some(self.now + nanoseconds(self.options.unanimous_election_interval));
         let other_election = match self.role {
@@ -56,17 +60,17 @@
         }
     }
 
-    /// Whether this process could lead: its disk finishes writes, and it is a voter, or was one before a change that is
-    /// not known to be committed.
+    /// Whether this process may campaign: its disk is not stalled, and it is a voter, or was a voter before
+    /// the latest membership change and that change is not known to be committed.
     ///
-    /// A voter that has written its own demotion or removal, and nobody else has, may be needed to elect a leader: its
-    /// log is the longest, so it rejects the others (section 4.2.2 of the thesis). It counts no vote of its own, since it
-    /// is no voter of its newest membership.
+    /// If a voter is the only process that has written its own demotion or removal, it may be needed to elect
+    /// a leader: its log is the longest, so it rejects all other candidates (section 4.2.2 of the thesis).
+    /// Its own vote does not count, because it is not a voter in its latest membership.
     pub(crate) fn may_campaign(&self) -> bool {
-        !self.disk_stalls() && (self.is_voter() || self.was_voter_before_uncommitted_change())
+        !self.is_disk_stalled() && (self.is_voter() || self.was_voter_before_uncommitted_change())
     }
 
-    pub(crate) fn disk_stalls(&self) -> bool {
+    pub(crate) fn is_disk_stalled(&self) -> bool {
         self.durability.oldest_write_age(self.now) > nanoseconds(self.options.disk_stall_timeout)
     }
 
@@ -82,7 +86,7 @@
     fn start_pre_vote(&mut self, rule: ElectionRule, out: &mut Vec<Output>) {
         self.role = Role::PreCandidate { rule, granted: BTreeSet::from([self.options.id]) };
         if self.votes.has_replies(self.options.id) {
-            self.earlier_votes = std::mem::take(&mut self.votes);
+            self.previous_votes = std::mem::take(&mut self.votes);
         }
         if self.has_won() {
             self.campaign(rule, CampaignReason::Timeout, out);
@@ -95,8 +99,9 @@
         }
     }
 
-    /// Votes for itself in the next term. The requests leave once that vote is durable: else, after a crash, this
-    /// process could campaign in the same term with a shorter log and win with the votes for the longer one.
+    /// Starts an election in the next term and votes for itself. The vote requests are sent once this vote is
+    /// durable. Otherwise, after a crash, this process could campaign in the same term with a shorter log and
+    /// win with votes that were granted to the longer log.
     fn campaign(&mut self, rule: ElectionRule, reason: CampaignReason, out: &mut Vec<Output>) {
         self.reset_election_timer();
         self.set_leader(None, out);
@@ -135,7 +140,7 @@
         }
     }
 
-    /// The candidate's own vote counts once it is durable.
+    /// Counts the candidate's own vote if it is durable.
     pub(crate) fn count_own_vote(&mut self, out: &mut Vec<Output>) {
         if !self.durability.is_durable(self.hard_state_ticket) {
             return;
@@ -169,12 +174,12 @@
             return;
         }
         let may_vote = self.may_vote_for(from, request);
-        if request.term > self.hard_state.term && self.may_leave_leader(from, request) {
+        if request.term > self.hard_state.term && self.may_disregard_leader(from, request) {
             self.become_follower(request.term, None, out);
         }
         let term = self.hard_state.term;
-        let free = self.hard_state.vote.is_none_or(|voted| voted == from);
-        let granted = may_vote && request.term == term && free && !self.is_leader();
+        let vote_available = self.hard_state.vote.is_none_or(|voted| voted == from);
+        let granted = may_vote && request.term == term && vote_available && !self.is_leader();
         if granted && self.hard_state.vote.is_none() {
             self.set_hard_state(HardState { term, vote: Some(from) });
         }
@@ -185,40 +190,43 @@
         self.reply_to_vote(from, VoteReply { term, granted, pre_vote: false }, out);
     }
 
-    /// Another process is about to campaign: a campaign at the same time would split the votes.
+    /// Postpones this process's campaign because another process is about to campaign. Simultaneous campaigns
+    /// would split the votes.
     fn postpone_campaign(&mut self) {
         let later = self.now + nanoseconds(self.options.election_timeout) / 2;
         self.election_at = self.election_at.max(later);
     }
 
-    /// A granted vote leaves once it is durable, a rejection at once.
+    /// Sends a granted vote once it is durable. Sends a rejection or a pre-vote immediately.
     fn reply_to_vote(&mut self, to: NodeId, reply: VoteReply, out: &mut Vec<Output>) {
         let ticket = if reply.granted && !reply.pre_vote { self.hard_state_ticket } else { 0 };
         self.durability.send_after(ticket, to, Message::VoteReply(reply), out);
     }
 
     fn may_vote_for(&self, candidate: NodeId, request: &VoteRequest) -> bool {
-        let log = (self.log.last_term(), self.log.last_index());
-        (request.last_term, request.last_index) >= log && self.may_leave_leader(candidate, request)
+        let own_log = (self.log.last_term(), self.log.last_index());
+        (request.last_term, request.last_index) >= own_log && self.may_disregard_leader(candidate, request)
     }
 
-    /// Whether no leader can count on this process, or the election is unanimous and the candidate ranks above it.
-    fn may_leave_leader(&self, candidate: NodeId, request: &VoteRequest) -> bool {
-        self.hears_no_other_leader(candidate, request)
+    /// Whether this process may vote although a leader may exist: either no leader's lease depends on this
+    /// process's vote, or the election is unanimous and the candidate ranks above this process.
+    fn may_disregard_leader(&self, candidate: NodeId, request: &VoteRequest) -> bool {
+        self.no_lease_depends_on_vote(candidate, request)
             || request.unanimous && self.ranks_below(candidate, request)
     }
 
-    /// The order of candidates in a unanimous election, of which one must win: by the log, then the least identity.
-    /// False for a process that leads or follows a leader.
+    /// Whether this process ranks below the candidate in a unanimous election. Candidates are ranked by their
+    /// log, then by the lowest identity, so that exactly one can win. Returns false if this process leads or
+    /// follows a leader.
     fn ranks_below(&self, candidate: NodeId, request: &VoteRequest) -> bool {
-        let own = (self.log.last_term(), self.log.last_index(), Reverse(self.options.id));
-        let its = (request.last_term, request.last_index, Reverse(candidate));
-        self.leader.is_none() && !self.is_leader() && its > own
+        let own_rank = (self.log.last_term(), self.log.last_index(), Reverse(self.options.id));
+        let candidate_rank = (request.last_term, request.last_index, Reverse(candidate));
+        self.leader.is_none() && !self.is_leader() && candidate_rank > own_rank
     }
 
-    /// Whether no leader can hold a lease that counts on this process. The leader's own vote request shows that its
-    /// lease has ended, and so does a transfer of leadership.
-    fn hears_no_other_leader(&self, candidate: NodeId, request: &VoteRequest) -> bool {
+    /// Whether no leader can hold a lease that depends on this process not voting for others. A vote request
+    /// from the leader itself or a leadership transfer shows that the leader's lease has ended.
+    fn no_lease_depends_on_vote(&self, candidate: NodeId, request: &VoteRequest) -> bool {
         let hears_leader = self.is_leader() || self.now < self.votes_rejected_until;
         let lease_ended = request.transfer && !request.pre_vote || self.leader == Some(candidate);
         !hears_leader || lease_ended
@@ -257,11 +265,11 @@
         }
     }
 
-    /// Becomes a follower in this term, which is not below its own.
+    /// Becomes a follower in this term, which must not be lower than the current term.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>, out: &mut Vec<Output>) {
         if term > self.hard_state.term {
             self.set_hard_state(HardState { term, vote: None });
-            self.incoming = None;
+            self.incoming_snapshot = None;
         }
         if self.is_leader() {
             self.step_down(StepDownReason::HigherTerm { term }, out);
@@ -271,7 +279,7 @@
         self.set_leader(leader, out);
     }
 
-    /// Becomes a follower after it led. Its own lease has ended, so it may vote at once.
+    /// Steps down from leader to follower. The process's own lease has ended, so it may vote immediately.
     pub(crate) fn step_down(&mut self, reason: StepDownReason, out: &mut Vec<Output>) {
         if let Role::Leader(leadership) = &self.role {
             let quorum_contact_at =
@@ -285,28 +293,29 @@
         self.set_leader(None, out);
     }
 
-    /// The leader's process seems to have ended. Voters campaign once its lease must have expired, in the order of
-    /// their identities, so that they do not split the votes.
+    /// Handles the hint that a peer's process has exited. If the peer is the leader, the voters campaign once
+    /// its lease must have expired, in the order of their identities, so that they do not split the votes.
     pub(crate) fn on_peer_down(&mut self, peer: NodeId) {
         if self.leader == Some(peer) && !self.is_leader() {
             self.campaign_after_lease_expiry();
         }
     }
 
-    /// No process seems to lead: this one campaigns as soon as the others may vote, without a random election timeout.
+    /// Schedules a campaign, without a random election timeout, for the time from which on the other
+    /// processes may vote. Used when no process seems to be the leader.
     pub(crate) fn campaign_after_lease_expiry(&mut self) {
         let (own_id, leader) = (self.options.id, self.leader);
-        let ahead =
+        let earlier_candidates =
             self.membership().voters().filter(|voter| Some(*voter) != leader && *voter < own_id).count();
-        // The margin: clocks of the other voters may run slower, and the leader's last message may have reached them a
-        // little later.
+        // The lease margin is added because the clocks of the other voters may run slower, and because the
+        // leader's last message may have reached them slightly later.
         let lease_end = self.votes_rejected_until.max(self.now) + nanoseconds(self.options.lease_margin);
         self.leader_down_until = lease_end + nanoseconds(self.options.election_timeout);
-        self.election_at = lease_end + ahead as u64 * nanoseconds(self.options.campaign_stagger);
+        self.election_at = lease_end + earlier_candidates as u64 * nanoseconds(self.options.campaign_stagger);
     }
 
-    /// A message of the leader of this term has arrived: follows it, and rejects vote requests for the leader
-    /// stickiness. False if the term is stale.
+    /// Handles a message from the leader of `term`: follows this leader and rejects vote requests for the
+    /// duration of the leader stickiness. Returns false if the term is stale.
     pub(crate) fn accept_leader(&mut self, from: NodeId, term: Term, out: &mut Vec<Output>) -> bool {
         if term < self.hard_state.term || (term == self.hard_state.term && self.is_leader()) {
             return false;
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,47 +1,49 @@
-//! Errors of what the caller hands in at start.
+//! Errors in the settings and the restored state that the caller passes in at startup.
 
 use std::time::Duration;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Options that cannot work together.
+    /// Inconsistent options.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum OptionsError {
-        /// Followers would time out between two heartbeats.
+        /// The heartbeat interval is so long that followers could time out between two heartbeats.
         Heartbeat(heartbeat: Duration, election_timeout: Duration) {
             display("heartbeat interval of {heartbeat:?} is over a third of the election timeout of \
                 {election_timeout:?}: shorten the interval or lengthen the timeout")
         }
-        /// Leases would expire between two heartbeats, or voters would campaign while they reject votes.
+        /// The leader stickiness is so short that leases could expire between two heartbeats, or so long that
+        /// voters would campaign while other voters still reject vote requests.
         LeaderStickiness(stickiness: Duration, heartbeat: Duration, election_timeout: Duration) {
-            display("leader stickiness of {stickiness:?} is not between two heartbeat intervals of {heartbeat:?} and \
-                the election timeout of {election_timeout:?}: choose one that is")
+            display("leader stickiness of {stickiness:?} must be at least two heartbeat intervals of {heartbeat:?} \
+                and at most the election timeout of {election_timeout:?}")
         }
-        /// The lease would never begin, or end too late for clocks that run at different rates.
+        /// The lease margin leaves no time for a lease, or is too small for clocks that run at different
+        /// rates.
         LeaseMargin(margin: Duration, stickiness: Duration) {
-            display("lease margin of {margin:?} is not between a twenty-fifth of the leader stickiness of \
-                {stickiness:?} and all of it: choose one that is")
+            display("lease margin of {margin:?} must be at least 1/25 of the leader stickiness of {stickiness:?} \
+                and less than it")
         }
-        /// A bound that must be positive is 0.
+        /// An option that must be positive is 0.
         Zero(name: &'static str) {
-            display("{name} is 0: set it to at least 1")
+            display("{name} is 0 but must be at least 1")
         }
     }
 }
 
 quick_error! {
-    /// A disk's contents that are not one log.
+    /// The restored entries do not form a valid log.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum RestoredError {
-        /// An entry does not follow the one before it.
+        /// The index of an entry does not follow the index of the previous entry.
         Gap(expected: u64, found: u64) {
-            display("log has entry {found} where entry {expected} is due: \
-                start with an empty disk and join the group anew")
+            display("log contains entry {found} where entry {expected} is expected: \
+                start with an empty disk and rejoin the group")
         }
-        /// An entry's term is below that of the one before it.
+        /// The term of an entry is lower than the term of the previous entry.
         TermDecreases(index: u64) {
-            display("term decreases at entry {index}: start with an empty disk and join the group anew")
+            display("term decreases at entry {index}: start with an empty disk and rejoin the group")
         }
     }
 }
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: entries of the leader, and their acknowledgement.
+//! Follower side of replication: appends and acknowledges entries from the leader.
 
 use crate::clock::nanoseconds;
 use crate::interface::Output;
@@ -6,13 +6,14 @@
 use crate::node::Node;
 use crate::types::{Entry, Index, NodeId, Term};
 
-/// How the entries of a request match the log.
+/// Result of matching the entries of a request against the log.
 enum MatchResult {
-    /// All entries up to here are now in the log.
+    /// All entries up to this index are now in the log.
     Matches(Index),
-    /// The entry before them differs or is missing; where the leader is to try again.
+    /// The entry before the sent entries differs or is missing. Contains the index from which the leader
+    /// should retry.
     Conflict(Index),
-    /// Not sent by any correct leader.
+    /// No correct leader sends such a request.
     Malformed,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Replies to a leader of an old term that there is a newer one.
+    /// Tells a leader with a stale term that there is a higher term.
     pub(crate) fn reject_stale_leader(
         &mut self,
         to: NodeId,
@@ -72,7 +73,7 @@
                 None => return MatchResult::Conflict(self.log.last_index() + 1),
             }
         } else if last <= base {
-            // All of it is committed here and compacted away.
+            // All of the entries are already committed and compacted here.
             return MatchResult::Matches(self.commit);
         }
         if !self.append_missing(request.entries, base, out) {
@@ -81,7 +82,8 @@
         MatchResult::Matches(last)
     }
 
-    /// Appends what the log lacks, after it removed what differs. False if that would change a committed entry.
+    /// Removes conflicting entries and appends the missing ones. Returns false if a committed entry would
+    /// change or the entries would leave a gap.
     fn append_missing(&mut self, entries: Vec<Entry>, base: Index, out: &mut Vec<Output>) -> bool {
         for entry in entries.into_iter().filter(|entry| entry.index > base) {
             match self.log.term_at(entry.index) {
@@ -98,8 +100,8 @@
         true
     }
 
-    /// Acknowledges entries up to an index once they are durable. While the disk stalls it acknowledges at once what is
-    /// durable already, so that the leader keeps its lease.
+    /// Acknowledges entries up to an index once they are durable. If the disk is slow, the entries that are
+    /// already durable are acknowledged immediately, so that the leader keeps its lease.
     pub(crate) fn acknowledge(&mut self, to: NodeId, index: Index, leader_clock: u64, out: &mut Vec<Output>) {
         let term = self.hard_state.term;
         let reply = |match_index| {
--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -1,97 +1,103 @@
-//! Founding of a group by agreement of the seeds, where the first start did not found it.
+//! Founds a group by agreement of the seeds, for the case that the first start of the system did not found
+//! one.
 //!
-//! On the very first start of the system each seed founds the group by itself: all write the same first log. A seed that
-//! ends before that log is durable is told at its next start that this is not the first one, and cannot know by itself
-//! whether the others have founded the group since, or whether it has lost its disk. If a majority of the seeds is in
-//! that place, nobody would ever lead.
+//! On the first start of the system, each seed founds the group on its own: all seeds write the same first
+//! log. If a seed stops before that log is durable, its next start no longer counts as the first one. The
+//! seed cannot know on its own whether the other seeds have founded the group in the meantime, or whether it
+//! has lost its disk. If this happened to a majority of the seeds, no leader could ever be elected.
 //!
-//! The same holds where the disks of a majority of the founders are lost before the group has grown to the voters that
-//! it needs to bear such a loss.
+//! The same applies if the disks of a majority of the founders are lost before the group has grown to the
+//! number of voters that it needs to survive such a loss.
 //!
-//! So a process that holds nothing of any group ([`crate::Node::is_uninitialized`]) and hears of none offers, after a
-//! delay and then at intervals, to found one with its seeds, under an identity that was never used. The seed with the
-//! least address proposes the members once
+//! A process without commands and without a leader ([`crate::Node::is_uninitialized`]) that hears of no group
+//! therefore offers, after a delay and then periodically, to found a group with its seeds, under a new
+//! identity. The seed with the lowest address proposes the members once all of these conditions hold:
 //!
-//! - every seed offers, with the same seeds in its settings,
-//! - as many processes offer as disks may be lost at one time, and one more: a group that ever was would have a member
-//!   with its disk among them, which never offers,
-//! - every core process that is connected and answers offers, too. One that holds commands, or has a leader, refuses;
-//! - a voter of a group that had a leader and the voters that it wants hears offers of a majority of them: the others
-//!   may have taken commands without it.
+//! - Every seed offers, with the same seeds in its settings.
+//! - More processes offer than disks may be lost at one time. If a group had existed, at least one of these
+//!   processes would be a member that still has its disk, and such a process never offers.
+//! - Every connected and responsive core process offers as well. A process that holds commands or has a
+//!   leader refuses.
+//! - A voter of a group that has had a leader and its target number of voters receives offers from a majority
+//!   of these voters. Otherwise the other voters may have accepted commands without this one.
 //!
-//! Each other seed checks the same when the proposal arrives, writes the first log and starts anew as that member. The
-//! proposer does so last, when all others have connected under their new identities: so it never is the only one, and a
-//! founding that was interrupted leaves seeds that offer again. A member of a founding that came to nothing offers too.
-//! The other members may have gone on without it, but only while its machine counted among those that are lost: then
-//! they and it are more than may be lost at one time, and one of them is connected and does not offer.
+//! Each other seed checks the same conditions when the proposal arrives, writes the first log and restarts as
+//! the proposed member. The proposer does so last, when all other seeds have connected under their new
+//! identities. It is therefore never the only founder, and after an interrupted founding the seeds offer
+//! again. A member of a founding that did not complete offers as well. The other members may have continued
+//! without this member, but only while its machine counted as lost. In this case, the other members and this
+//! member are together more than may be lost at one time, and one of them is connected and does not offer.
 //!
-//! Where the core is cut in two for longer than the delay, and the seeds are exchanged meanwhile, each part may found a
-//! group. At most one of them has the voters that it needs to take commands. Once they reach one another, the other gives
-//! way ([`Founding::should_abandon_group`]): a leader tells seeds that are no members of its group.
+//! If a network partition lasts longer than the delay and the seeds are replaced meanwhile, each side may
+//! found a group. At most one of them has the voters that it needs to accept commands. When the sides can
+//! reach each other again, a leader notifies the seeds that are not members of its group, and the processes
+//! of the other group abandon it ([`Founding::should_abandon_group`]).
 //!
-//! Input and output are the caller's, as with [`crate::Node`]. Times are nanoseconds of the process's steady clock.
+//! The caller does all I/O, as with [`crate::Node`]. Times are nanoseconds of the process's monotonic clock.
 
 use crate::node::Node;
 use crate::types::{Member, Membership, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MILLISECOND: u64 = 1_000_000;
-/// A process without a group waits this long before it offers: a group that exists reaches it within that time.
-const OFFER_DELAY: u64 = 2_000 * MILLISECOND;
-/// Time between two offers.
-const OFFER_INTERVAL: u64 = 300 * MILLISECOND;
-/// An offer or a refusal that was not repeated within this time does not count any more.
-const OFFER_LIFETIME: u64 = 1_000 * MILLISECOND;
-/// A proposal that is not carried out within this time is given up.
-const PROPOSAL_LIFETIME: u64 = 2_000 * MILLISECOND;
-/// A connected process that neither offers nor refuses for this long is taken to be out of reach: connections to a machine
-/// without power stay open.
-const SILENCE: u64 = 1_500 * MILLISECOND;
-/// A process that heard of a leader does not offer for this long.
-const LEADER_MEMORY: u64 = 10_000 * MILLISECOND;
+/// Delay before a process without a group makes its first offer. An existing group contacts the process
+/// within this time.
+const OFFER_DELAY_NS: u64 = 2_000 * MILLISECOND;
+/// Interval between two offers.
+const OFFER_INTERVAL_NS: u64 = 300 * MILLISECOND;
+/// Time after which an offer or a refusal expires unless it is repeated.
+const OFFER_LIFETIME_NS: u64 = 1_000 * MILLISECOND;
+/// Time after which a proposal that the other seeds have not adopted is dropped.
+const PROPOSAL_TIMEOUT_NS: u64 = 2_000 * MILLISECOND;
+/// Time after which a connected process that has neither offered nor refused counts as unreachable.
+/// Connections to a machine that has lost power stay open.
+const SILENCE_TIMEOUT_NS: u64 = 1_500 * MILLISECOND;
+/// Time for which a process makes no offers after it has heard of a leader.
+const LEADER_NOTICE_LIFETIME_NS: u64 = 10_000 * MILLISECOND;
 
 /// An offer to found a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FoundingOffer {
-    /// The member that the process would be.
+    /// The member that the offering process would become.
     pub member: Member,
-    /// Addresses of the seeds in its settings.
+    /// Addresses of the seeds in the offering process's settings.
     pub seeds: BTreeSet<String>,
 }
 
-/// What the process knows of itself and its surroundings.
+/// What the process knows about itself and about the processes connected to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FoundingStatus {
-    /// Whether it holds nothing of any group: [`crate::Node::is_uninitialized`].
+    /// Whether the process may take part in a founding: [`crate::Node::is_uninitialized`].
     pub is_uninitialized: bool,
-    /// Core processes that are connected: identity and address.
+    /// Identities and addresses of the connected core processes.
     pub connected: BTreeSet<(NodeId, String)>,
-    /// Addresses of the voters of a group that may have taken commands without this process:
+    /// Addresses of the voters of a group that may have accepted commands without this process:
     /// [`crate::Node::possible_group_voters`].
     pub possible_group_voters: BTreeSet<String>,
 }
 
-/// Another group that has a leader.
+/// Another group, which has a leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OtherGroup {
-    /// Its leader.
+    /// Identity of the group's leader.
     pub leader: NodeId,
-    /// Its members.
+    /// Members of the group.
     pub membership: Membership,
-    /// Whether it holds commands, or its leader takes them.
+    /// Whether the group holds commands or its leader accepts commands.
     pub takes_commands: bool,
 }
 
-/// What is due.
+/// The next action of a process without a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FoundingStep {
-    /// Nothing yet.
+    /// There is nothing to do yet.
     Wait,
     /// Send this offer to all seeds.
     SendOffer(FoundingOffer),
     /// Send this proposal to all other seeds.
     Propose(Membership),
-    /// Write the first log of a group of these members, and start anew as the member at the own address.
+    /// Write the first log of a group of these members, and restart as the member with this process's
+    /// address.
     Found(Membership),
 }
 
@@ -105,33 +111,33 @@
 struct Proposal {
     membership: Membership,
     expires_at: u64,
-    /// A leader of the proposed group is known.
-    is_carried_out: bool,
+    /// Whether a leader of the proposed group is known.
+    is_adopted: bool,
 }
 
-/// Decides when a process founds a group by agreement, and with whom.
+/// Decides when a process founds a group by agreement, and with which members.
 #[derive(Clone, Debug)]
 pub struct Founding {
     candidate: Member,
     seeds: BTreeSet<String>,
     required_offers: usize,
-    /// Since when this process has no group; `None` while it has one.
+    /// Time since which this process has no group; `None` while it has one.
     waiting_since: Option<u64>,
     next_offer_at: u64,
-    /// Until then a leader that this process heard of counts.
+    /// Until this time, a leader that this process has heard of counts as known.
     leader_known_until: u64,
-    /// Offers of other processes, by address.
+    /// Unexpired offers of other processes, by address.
     offers: BTreeMap<String, ReceivedOffer>,
-    /// Until then a process that refused to found a group counts.
+    /// Until this time, another process's refusal to found a group counts.
     refused_until: u64,
-    /// When each connected process, by address, was first seen, or last offered.
+    /// Time at which each connected process was first seen or last offered, by address.
     heard_at: BTreeMap<String, u64>,
     proposal: Option<Proposal>,
 }
 
 impl Founding {
-    /// For a process that would be `candidate`, whose identity must be new. `tolerated_losses`: disks that may be lost
-    /// at one time.
+    /// Creates the state of a process that would become the member `candidate`, whose identity must never
+    /// have been used. `tolerated_losses` is the number of disks that may be lost at one time.
     pub fn new(candidate: Member, seeds: BTreeSet<String>, tolerated_losses: usize) -> Founding {
         Founding {
             candidate: Member { voter: true, ..candidate },
@@ -147,35 +153,39 @@
         }
     }
 
-    /// Replaces the seeds.
+    /// Replaces the addresses of the seeds.
     pub fn set_seeds(&mut self, seeds: BTreeSet<String>) {
         self.seeds = seeds;
     }
 
-    /// Another process offers to found a group.
+    /// Handles another process's offer to found a group.
     pub fn handle_offer(&mut self, now: u64, offer: FoundingOffer) {
         if offer.member.address != self.candidate.address {
             self.offers.insert(offer.member.address.clone(), ReceivedOffer { offer, received_at: now });
         }
     }
 
-    /// The process at this address tells of its group, and so refuses to found another.
+    /// Handles a notice from the process at this address about its group. The notice is also a refusal to
+    /// found another group.
     pub fn handle_group(&mut self, now: u64, address: &str, group: Option<&OtherGroup>) {
         self.offers.remove(address);
-        self.refused_until = now + OFFER_LIFETIME;
-        group.into_iter().for_each(|group| self.record_carried_out(&group.membership));
+        self.refused_until = now + OFFER_LIFETIME_NS;
+        group.into_iter().for_each(|group| self.record_adoption(&group.membership));
     }
 
-    /// Whether the process, this node, gives its own group up to join another that has a leader.
+    /// Whether this process, which runs `node`, should abandon its group and join another one that has a
+    /// leader.
     ///
-    /// Its log holds no command, the other group does not list it, and its own leader, if it has one, leads another group
-    /// than that. If the other takes no commands yet, a voter of a group that may have taken some stays, unless a majority
-    /// of those voters is in the other; one without a leader gives way once it has waited for one; of two groups with
-    /// leaders the one with fewer voters gives way, of equal ones that with the lesser identities.
+    /// This requires that the process's log holds no command, that the process is not a member of the other
+    /// group, and that its own leader, if any, is not a member of the other group. If the other group accepts
+    /// commands, the process joins it. Otherwise a voter of a group that may have accepted commands stays,
+    /// unless a majority of that group's voters is in the other group. A process without a leader leaves its
+    /// group once it has waited long enough for one. If both groups have leaders, the group with fewer voters
+    /// is abandoned, and between groups of equal size the one with the lower identities.
     pub fn should_abandon_group(&self, now: u64, node: &Node, other: &OtherGroup) -> bool {
         let members = &other.membership;
         let is_listed = members.contains(node.id()) || self.has_proposed(members);
-        // A process that has just joined names a leader before it has the membership.
+        // A process that has just joined reports a leader before it has the membership.
         let is_known = members.contains(other.leader);
         if !node.is_member() || node.holds_commands() || is_listed || !is_known {
             return false;
@@ -183,34 +193,36 @@
         match node.leader() {
             Some(leader) if members.contains(leader) => false,
             _ if other.takes_commands => true,
-            _ if may_be_needed(node, members) => false,
+            _ if may_be_needed_by_own_group(node, members) => false,
             None => self.is_ready(now),
-            Some(_) => group_order(node.membership()) < group_order(members),
+            Some(_) => group_rank(node.membership()) < group_rank(members),
         }
     }
 
-    /// Whether this process has proposed a group in which it is one of these members, and may still found it.
+    /// Whether this process has proposed a group, is one of these members under its new identity, and may
+    /// still found the group.
     fn has_proposed(&self, membership: &Membership) -> bool {
         self.proposal.is_some() && membership.contains(self.candidate.id)
     }
 
-    /// A process names a leader, and these members.
+    /// Handles a notice that a group of these members has a leader.
     pub fn handle_leader(&mut self, now: u64, membership: &Membership) {
-        self.leader_known_until = now + LEADER_MEMORY;
-        self.record_carried_out(membership);
+        self.leader_known_until = now + LEADER_NOTICE_LIFETIME_NS;
+        self.record_adoption(membership);
     }
 
-    /// The proposal is carried out if a leader's members are those of it.
-    fn record_carried_out(&mut self, membership: &Membership) {
+    /// Marks the proposal as adopted if a group with a leader lists this process under its new identity.
+    fn record_adoption(&mut self, membership: &Membership) {
         let is_listed = membership.contains(self.candidate.id);
         if let Some(proposal) = self.proposal.as_mut().filter(|_| is_listed) {
-            proposal.is_carried_out = true;
+            proposal.is_adopted = true;
         }
     }
 
-    /// Another seed proposes a group of these members. Returns whether to found it now.
+    /// Handles another seed's proposal of a group of these members. Returns whether this process should found
+    /// the group now.
     pub fn accepts(&mut self, now: u64, status: &FoundingStatus, proposed: &Membership) -> bool {
-        self.forget_old_offers(now);
+        self.expire_offers(now);
         self.record_connected(now, status);
         let addresses: BTreeSet<String> =
             proposed.members.iter().map(|member| member.address.clone()).collect();
@@ -226,7 +238,8 @@
             && proposed.members.iter().all(is_offered)
     }
 
-    /// What is due at `now`. To be called again after each step that is not [`FoundingStep::Wait`].
+    /// Returns the next action. The caller must call this again after each step other than
+    /// [`FoundingStep::Wait`].
     pub fn poll(&mut self, now: u64, status: &FoundingStatus) -> FoundingStep {
         if !status.is_uninitialized {
             self.waiting_since = None;
@@ -235,40 +248,41 @@
             self.proposal = None;
             return FoundingStep::Wait;
         }
-        if let Some(membership) = self.carried_out_proposal(now, status) {
+        if let Some(membership) = self.adopted_proposal(now, status) {
             return FoundingStep::Found(membership);
         }
         self.waiting_since.get_or_insert(now);
-        self.forget_old_offers(now);
+        self.expire_offers(now);
         self.record_connected(now, status);
-        if !self.is_ready(now) || !self.hears_of_no_group(now, status) {
+        if !self.is_ready(now) || !self.knows_no_group(now, status) {
             return FoundingStep::Wait;
         }
         if now >= self.next_offer_at {
-            self.next_offer_at = now + OFFER_INTERVAL;
+            self.next_offer_at = now + OFFER_INTERVAL_NS;
             return FoundingStep::SendOffer(self.own_offer());
         }
-        if self.proposal.is_some() || !self.is_proposer() || !self.is_agreed(now, status) {
+        if self.proposal.is_some() || !self.is_proposer() || !self.all_seeds_agree(now, status) {
             return FoundingStep::Wait;
         }
         let membership = self.proposed_membership();
-        let expires_at = now + PROPOSAL_LIFETIME;
-        self.proposal = Some(Proposal { membership: membership.clone(), expires_at, is_carried_out: false });
+        let expires_at = now + PROPOSAL_TIMEOUT_NS;
+        self.proposal = Some(Proposal { membership: membership.clone(), expires_at, is_adopted: false });
         FoundingStep::Propose(membership)
     }
 
-    /// When [`Founding::poll`] is due next at the latest, if nothing arrives before.
+    /// Latest time at which [`Founding::poll`] is due next if no event arrives before.
     pub fn next_timer(&self) -> u64 {
         let Some(waiting_since) = self.waiting_since else { return u64::MAX };
-        self.next_offer_at.max(waiting_since + OFFER_DELAY).max(self.leader_known_until)
+        self.next_offer_at.max(waiting_since + OFFER_DELAY_NS).max(self.leader_known_until)
     }
 
-    /// The proposal, if all other members carry it out: then this process does so too. One that is too old is dropped.
-    fn carried_out_proposal(&mut self, now: u64, status: &FoundingStatus) -> Option<Membership> {
+    /// Returns the own proposal if all other members have adopted it, so that this process adopts it too.
+    /// Drops a proposal that has expired.
+    fn adopted_proposal(&mut self, now: u64, status: &FoundingStatus) -> Option<Membership> {
         let proposal = self.proposal.as_ref()?;
         let is_connected = |member: &Member| status.connected.contains(&(member.id, member.address.clone()));
         let mut others = proposal.membership.members.iter().filter(|member| member.id != self.candidate.id);
-        if proposal.is_carried_out || others.all(is_connected) {
+        if proposal.is_adopted || others.all(is_connected) {
             return Some(proposal.membership.clone());
         }
         if now >= proposal.expires_at {
@@ -277,9 +291,9 @@
         None
     }
 
-    /// Whether this process has waited long enough for a group to reach it.
+    /// Whether this process has waited long enough for an existing group to contact it.
     fn is_ready(&self, now: u64) -> bool {
-        self.waiting_since.is_some_and(|since| now >= since + OFFER_DELAY)
+        self.waiting_since.is_some_and(|since| now >= since + OFFER_DELAY_NS)
     }
 
     fn is_proposer(&self) -> bool {
@@ -289,19 +303,21 @@
     fn may_found(&self, now: u64, status: &FoundingStatus) -> bool {
         let offers =
             |address: &String| *address == self.candidate.address || self.offers.contains_key(address);
-        let is_silent =
-            |address: &String| self.heard_at.get(address).is_some_and(|heard_at| now >= heard_at + SILENCE);
+        let is_silent = |address: &String| {
+            self.heard_at.get(address).is_some_and(|heard_at| now >= heard_at + SILENCE_TIMEOUT_NS)
+        };
         let mut connected = status.connected.iter().map(|(_, address)| address);
-        let of_group = status.possible_group_voters.iter().filter(|address| offers(address)).count();
-        let group_has_no_majority =
-            status.possible_group_voters.is_empty() || of_group > status.possible_group_voters.len() / 2;
-        self.hears_of_no_group(now, status)
+        let offering_group_voters =
+            status.possible_group_voters.iter().filter(|address| offers(address)).count();
+        let group_majority_offers = status.possible_group_voters.is_empty()
+            || offering_group_voters > status.possible_group_voters.len() / 2;
+        self.knows_no_group(now, status)
             && now >= self.refused_until
-            && group_has_no_majority
+            && group_majority_offers
             && connected.all(|address| offers(address) || is_silent(address))
     }
 
-    /// Notes since when each process has been connected, or has offered last.
+    /// Records when each connected process was first seen or last offered.
     fn record_connected(&mut self, now: u64, status: &FoundingStatus) {
         let is_connected =
             |address: &String| status.connected.iter().any(|(_, connected)| connected == address);
@@ -313,11 +329,11 @@
         }
     }
 
-    fn hears_of_no_group(&self, now: u64, status: &FoundingStatus) -> bool {
+    fn knows_no_group(&self, now: u64, status: &FoundingStatus) -> bool {
         status.is_uninitialized && now >= self.leader_known_until
     }
 
-    fn is_agreed(&self, now: u64, status: &FoundingStatus) -> bool {
+    fn all_seeds_agree(&self, now: u64, status: &FoundingStatus) -> bool {
         let others = self.seeds.iter().filter(|seed| **seed != self.candidate.address);
         let agrees =
             |seed: &String| self.offers.get(seed).is_some_and(|received| received.offer.seeds == self.seeds);
@@ -331,7 +347,7 @@
         FoundingOffer { member: self.candidate.clone(), seeds: self.seeds.clone() }
     }
 
-    /// The seeds as members, in the order of their addresses. Only for a proposer to whom all seeds offer.
+    /// Returns the seeds as members, in address order. Must only be called when all other seeds have offered.
     fn proposed_membership(&self) -> Membership {
         let offered = self.offers.values().map(|received| &received.offer.member);
         let members = offered.filter(|member| self.seeds.contains(&member.address)).cloned();
@@ -341,22 +357,22 @@
         Membership { members }
     }
 
-    fn forget_old_offers(&mut self, now: u64) {
-        self.offers.retain(|_, received| now < received.received_at + OFFER_LIFETIME);
+    fn expire_offers(&mut self, now: u64) {
+        self.offers.retain(|_, received| now < received.received_at + OFFER_LIFETIME_NS);
     }
 }
 
-/// Ranks groups without commands: by the number of voters, then by their identities.
-fn group_order(membership: &Membership) -> (usize, BTreeSet<NodeId>) {
+/// Rank of a group without commands: first by the number of voters, then by their identities.
+fn group_rank(membership: &Membership) -> (usize, BTreeSet<NodeId>) {
     let voters: BTreeSet<NodeId> = membership.voters().collect();
     (voters.len(), voters)
 }
 
-/// Whether this node may have been confirmed as a voter of a group that took commands without it, and whose voters are
-/// for the most part not among these members.
-fn may_be_needed(node: &Node, members: &Membership) -> bool {
+/// Whether this node may have been confirmed as a voter of a group that accepted commands without it, and at
+/// most half of that group's voters are among these members.
+fn may_be_needed_by_own_group(node: &Node, members: &Membership) -> bool {
     let group = node.possible_group_voters();
     let is_member = |address: &&String| members.members.iter().any(|member| member.address == **address);
-    let moved = group.iter().filter(is_member).count();
-    !group.is_empty() && moved <= group.len() / 2
+    let voters_in_other_group = group.iter().filter(is_member).count();
+    !group.is_empty() && voters_in_other_group <= group.len() / 2
 }
--- a/crates/consensus/src/group_growth.rs
+++ b/crates/consensus/src/group_growth.rs
@@ -1,14 +1,15 @@
-//! When the leader of a new group takes the first command.
+//! Decides when the leader of a new group may accept the first command.
 //!
-//! What a group acknowledges has to outlive the loss of as many disks as may be lost at one time, whatever else happens
-//! meanwhile. So a group takes its first command only once it has as many voters as it wants, and every one of them is
-//! confirmed: it has acknowledged an entry of the leader's own term, which shows that its identity and the log are on its
-//! disk. A founder may have ended before its first log was durable; its machine then runs another identity, which counts
-//! for no majority of the founders. Such a voter is never confirmed, and is replaced by the identity that its machine runs
-//! now, or by another machine.
+//! Every acknowledged command must survive the loss of as many disks as may be lost at one time, whatever
+//! else happens meanwhile. A group therefore accepts its first command only once it has its target number of
+//! voters and every voter is confirmed. A voter is confirmed once it has acknowledged an entry of the
+//! leader's own term, which shows that its identity and its log are on its disk. A founder may have stopped
+//! before its first log was durable. Its machine then runs a process with another identity, which does not
+//! count towards a majority of the founders. Such a voter is never confirmed; it is replaced by the identity
+//! that its machine runs now, or by another machine.
 //!
-//! No time limit stands in for a confirmation: a machine that cannot be reached may have nothing on its disk.
-//! `docs/control-safety.md` has the proof, and what it costs.
+//! There is no timeout after which a voter counts as confirmed, because an unreachable machine may have
+//! nothing on its disk. `docs/control-safety.md` contains the proof and the cost of this rule.
 
 use crate::interface::Output;
 use crate::leadership::Leadership;
@@ -17,8 +18,8 @@
 use crate::types::NodeId;
 
 impl Node {
-    /// Tells the caller that this process leads, once its state is complete, its lease shows that no other process has
-    /// committed more since, and commands may be taken.
+    /// Outputs `BecameLeader` once the leader has committed an entry of its own term, holds a lease, so that
+    /// no other process can have committed more since, and may accept commands.
     pub(crate) fn announce_leadership(&mut self, out: &mut Vec<Output>) {
         let Role::Leader(leadership) = &self.role else { return };
         if leadership.announced || leadership.lease_until() <= self.now {
@@ -38,7 +39,7 @@
         is_committed && voters >= self.options.target_voters && self.unconfirmed_voters(leadership).is_empty()
     }
 
-    /// Voters that have acknowledged no entry of this leader's term.
+    /// Returns the voters that have not acknowledged an entry of this leader's term.
     pub(crate) fn unconfirmed_voters(&self, leadership: &Leadership) -> Vec<NodeId> {
         let is_confirmed = |voter: &NodeId| match leadership.progress.get(voter) {
             Some(progress) => progress.match_index >= leadership.noop_index,
--- a/crates/consensus/src/incoming_snapshot.rs
+++ b/crates/consensus/src/incoming_snapshot.rs
@@ -1,10 +1,10 @@
-//! A snapshot that arrives in chunks.
+//! A snapshot that is being received in chunks.
 
 use crate::message::SnapshotChunk;
 use crate::types::{Index, NodeId, Term};
 
-/// A snapshot of which some bytes have arrived. All of them come from one leader and belong to one snapshot: a chunk
-/// of another leader or snapshot starts anew.
+/// A partially received snapshot. All of its bytes come from one leader and one snapshot. A chunk from
+/// another leader or of another snapshot starts a new transfer.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingSnapshot {
     from: NodeId,
@@ -15,7 +15,7 @@
 }
 
 impl IncomingSnapshot {
-    /// The snapshot that this chunk belongs to, before any of its bytes has arrived.
+    /// Starts to receive the snapshot that this chunk belongs to. The chunk's data is not added yet.
     pub fn new(from: NodeId, chunk: &SnapshotChunk) -> IncomingSnapshot {
         IncomingSnapshot {
             from,
@@ -32,7 +32,8 @@
         self.from == from && same_snapshot && self.total == chunk.total
     }
 
-    /// Adds the chunk's data if it follows what has arrived, and returns how many bytes have.
+    /// Adds the chunk's data if it directly follows the received bytes. Returns the number of bytes received
+    /// so far.
     pub fn add(&mut self, chunk: &SnapshotChunk) -> u64 {
         let received = self.data.len() as u64;
         let fits = received.saturating_add(chunk.data.len() as u64) <= chunk.total;
@@ -42,7 +43,7 @@
         self.data.len() as u64
     }
 
-    /// The bytes that have arrived.
+    /// Returns the received bytes.
     pub fn into_data(self) -> Vec<u8> {
         self.data
     }
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -1,124 +1,131 @@
-//! What goes into a [`crate::Node`] and what comes out: events and outputs.
+//! Inputs and outputs of a [`crate::Node`].
 
 use crate::message::Message;
 use crate::types::{Entry, HardState, Index, Member, Membership, NodeId, Snapshot, Term};
 
-/// What happened at this process.
+/// An input to the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The time of [`crate::Node::next_timer`] has come.
+    /// The time returned by [`crate::Node::next_timer`] has been reached.
     Tick,
-    /// A message that is addressed to this identity has arrived. The driver drops those for another identity at the
-    /// same address.
+    /// A message addressed to this identity has arrived. The caller drops messages addressed to another
+    /// identity at the same network address.
     Message {
-        /// Who sent it.
+        /// Identity of the sender.
         from: NodeId,
         /// The message.
         message: Message,
     },
-    /// Bytes for the log. Results in [`Output::Proposed`] or [`Output::ProposalDropped`] in the same call.
+    /// Proposes a command for the log. The same call outputs [`Output::Proposed`] or
+    /// [`Output::ProposalDropped`].
     Propose {
         /// The command.
         payload: Vec<u8>,
     },
-    /// All writes up to this ticket are durable. Writes are carried out in the order of their tickets.
+    /// All writes up to and including this ticket are durable. Writes are carried out in the order of their
+    /// tickets.
     Persisted {
-        /// Ticket of [`Output::Persist`].
+        /// Ticket from [`Output::Persist`].
         ticket: u64,
     },
-    /// A snapshot of the state machine is durable: the log may be compacted. See [`crate::Node::snapshot_meta`].
+    /// A snapshot of the local state machine is durable, so the log may be compacted. See
+    /// [`crate::Node::snapshot_meta`].
     SnapshotTaken {
         /// The snapshot.
         snapshot: Snapshot,
     },
-    /// A process asks to become a member. Has an effect at the leader only; the process repeats it until it is a member.
+    /// A process requests to become a member. Only the leader acts on the request; the process repeats the
+    /// request until it is a member.
     Join {
-        /// The process; `voter` is ignored.
+        /// The process that requests to join. Its `voter` field is ignored.
         member: Member,
     },
-    /// Transfer leadership to another process (before this one stops).
+    /// Transfer leadership to another process, for example before this process shuts down.
     Transfer,
     /// The connection to another process broke. Messages in flight may be lost.
     PeerDisconnected {
         /// The process at the other end of the connection.
         peer: NodeId,
     },
-    /// Nothing listens at the address of a process that was connected before: its process has ended, or a filter on
-    /// the way answers for it. A hint: if it led, this process campaigns as soon as the lease must have
-    /// expired, without a random election timeout. It ends no lease.
+    /// A connection to a previously connected process was refused: either that process has exited, or a
+    /// packet filter on the path refuses the connection. This is only a hint. If the peer was the leader,
+    /// this process campaigns as soon as the leader's lease must have expired, without a random election
+    /// timeout. The event itself does not end a lease.
     PeerDown {
         /// The process.
         peer: NodeId,
     },
 }
 
-/// What the driver is to do, in the order of the outputs.
+/// An action that the caller must carry out. Outputs are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message. The receiver may be no member any more: then the driver uses a connection on which that identity
-    /// has sent, or drops the message.
+    /// Send a message. If the receiver is no longer a member, the caller uses a connection on which that
+    /// identity has sent messages before, or drops the message.
     Send {
-        /// To whom.
+        /// Identity of the receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// Make this durable, then hand in [`Event::Persisted`]. Writes are carried out one after the other, and
-    /// within a write: hard state, truncation, snapshot (entries up to its index may be dropped), entries. A crash may
-    /// leave the first few of these.
+    /// Make this write durable, then pass in [`Event::Persisted`]. Writes are carried out one after the
+    /// other. The parts of a write are carried out in this order: hard state, truncation, snapshot (entries
+    /// up to its index may be dropped), entries. After a crash, only a prefix of these parts may be durable.
     Persist {
         /// Increases by one with each write.
         ticket: u64,
-        /// Term and vote, if they changed.
+        /// The new term and vote, if they changed.
         hard_state: Option<HardState>,
-        /// Entries from here on are removed first.
+        /// Entries from this index on are removed before `entries` are appended.
         truncate_from: Option<Index>,
         /// Entries to append.
         entries: Vec<Entry>,
-        /// A snapshot that came from the leader.
+        /// A snapshot received from the leader.
         snapshot: Option<Snapshot>,
     },
-    /// The proposal of this call is in the log at this index. It is committed if and only if this index is committed
-    /// with this term.
+    /// The command proposed in this call was appended at this index. The command is committed if and only if
+    /// the entry committed at this index has this term.
     Proposed {
-        /// Its index.
+        /// Index of the entry.
         index: Index,
         /// The leader's term.
         term: Term,
     },
-    /// The proposal of this call was not accepted: this process does not lead, transfers leadership, or leads a group
-    /// without commands that may not take the first one yet.
+    /// The command proposed in this call was not accepted because this process is not the leader, is
+    /// transferring leadership, or leads a new group that may not accept its first command yet.
     ProposalDropped,
-    /// Entries that are committed, in order, each once in an incarnation.
+    /// Newly committed entries, in log order. Each entry is output once per run of the process.
     Commit {
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// Replace the state machine's state by this; the next [`Output::Commit`] continues it.
+    /// Replace the state of the state machine by this snapshot. The next [`Output::Commit`] continues after
+    /// the snapshot.
     Restore {
-        /// The state.
+        /// The snapshot to restore.
         snapshot: Snapshot,
     },
-    /// Another leader, or none, is known.
+    /// The known leader has changed, or there is no known leader any more.
     LeaderChanged {
-        /// The leader.
+        /// The new leader.
         leader: Option<NodeId>,
-        /// Its term, or the newest known.
+        /// Term of the leader, or the highest known term if there is no leader.
         term: Term,
     },
-    /// This process leads, and [`Output::Commit`] has covered all that was committed before. Commands may be proposed
-    /// from here on: all voters that a group without commands wants are confirmed.
+    /// This process is the leader, and every entry committed in earlier terms has been output by
+    /// [`Output::Commit`]. Commands may be proposed from now on. In a group without commands, all voters are
+    /// confirmed at this point.
     BecameLeader {
-        /// Its term.
+        /// Term of the leader.
         term: Term,
     },
-    /// This process stepped down, perhaps before it came to [`Output::BecameLeader`].
+    /// This process has stopped being the leader. It may not have output [`Output::BecameLeader`] before.
     SteppedDown,
-    /// Other members are in force.
+    /// A new membership has taken effect.
     MembershipChanged {
-        /// The members.
+        /// The new membership.
         membership: Membership,
     },
-    /// The group has removed this identity. The process may ask to join again.
+    /// The group has removed this identity. The process may request to join again.
     Removed,
 }
--- a/crates/consensus/src/leadership_obstacle.rs
+++ b/crates/consensus/src/leadership_obstacle.rs
@@ -1,4 +1,4 @@
-//! Why this process knows no leader that takes commands, as far as it can tell.
+//! Diagnosis of why this process knows no leader that accepts commands.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -6,36 +6,39 @@
 use crate::role::Role;
 use crate::types::{Membership, NodeId};
 
-/// Why no leader is known, or why the one that this process is takes no commands yet.
+/// The reason why no leader is known, or why this process, as the leader, does not accept commands yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeadershipObstacle {
-    /// This process is no member of any group.
+    /// This process is not a member of any group.
     NotMember,
-    /// This process is a learner: it does not campaign.
+    /// This process is a learner and therefore does not campaign.
     Learner,
-    /// The writes of this process do not finish, so that it does not campaign.
+    /// This process does not campaign because its disk writes do not complete.
     DiskStalled,
-    /// Votes are missing for an election.
+    /// The last election did not get enough votes.
     VotesMissing {
-        /// Votes that win.
+        /// Number of votes that win an election.
         needed: usize,
-        /// Voters that would vote for this process.
+        /// Voters that granted their vote to this process, including itself.
         granted: Vec<NodeId>,
-        /// Voters that would not: their logs are longer, or they hear from a leader.
+        /// Voters that rejected the vote, because their logs are more up to date or because they hear from a
+        /// leader.
         rejected: Vec<NodeId>,
-        /// Voters that do not answer under their identity.
+        /// Voters that have not replied under this identity. The machine of such a voter may run a process
+        /// with another identity by now.
         unanswered: Vec<NodeId>,
     },
-    /// This process leads a group without commands, and these voters have not confirmed that they hold its log.
+    /// This process leads a group without commands that has too few voters, or some voters have not confirmed
+    /// that they store its log.
     VotersUnconfirmed {
-        /// Voters that the group wants.
+        /// Target number of voters.
         wanted: usize,
-        /// Voters that it has.
+        /// Current number of voters.
         voters: usize,
-        /// Those that have not confirmed.
+        /// Voters that have not confirmed.
         unconfirmed: Vec<NodeId>,
     },
-    /// This process leads, but a majority does not confirm so.
+    /// This process is the leader, but holds no lease because no majority has acknowledged it recently.
     LeaseMissing,
 }
 
@@ -48,22 +51,22 @@
             LeadershipObstacle::VotesMissing { needed, granted, rejected, unanswered } => write!(
                 formatter,
                 "obstacle=votes-missing needed={needed} granted={} rejected={} unanswered={}",
-                list(granted),
-                list(rejected),
-                list(unanswered)
+                format_ids(granted),
+                format_ids(rejected),
+                format_ids(unanswered)
             ),
             LeadershipObstacle::VotersUnconfirmed { wanted, voters, unconfirmed } => write!(
                 formatter,
                 "obstacle=voters-unconfirmed wanted={wanted} voters={voters} unconfirmed={}",
-                list(unconfirmed)
+                format_ids(unconfirmed)
             ),
             LeadershipObstacle::LeaseMissing => formatter.write_str("obstacle=lease-missing"),
         }
     }
 }
 
-/// Identities in hexadecimal, as the log has them; `none` if there are none.
-fn list(ids: &[NodeId]) -> String {
+/// Formats identities in hexadecimal, as in log lines, or `none` if the list is empty.
+fn format_ids(ids: &[NodeId]) -> String {
     if ids.is_empty() {
         return "none".to_owned();
     }
@@ -72,8 +75,8 @@
 }
 
 impl Node {
-    /// What keeps a leader from being elected, or this one from taking commands; `None` if another process is known to
-    /// lead, or this one may take commands.
+    /// Returns why no leader is elected, or why this process, as the leader, does not accept commands yet.
+    /// `None` if another process is known to be the leader or this process may accept commands.
     pub fn leadership_obstacle(&self) -> Option<LeadershipObstacle> {
         match &self.role {
             Role::Leader(leadership) if leadership.announced => None,
@@ -90,7 +93,7 @@
             }
             _ if self.leader.is_some() => None,
             _ if !self.is_member() => Some(LeadershipObstacle::NotMember),
-            _ if self.disk_stalls() => Some(LeadershipObstacle::DiskStalled),
+            _ if self.is_disk_stalled() => Some(LeadershipObstacle::DiskStalled),
             _ if !self.may_campaign() => Some(LeadershipObstacle::Learner),
             _ => Some(self.votes_missing()),
         }
@@ -98,15 +101,18 @@
 
     fn votes_missing(&self) -> LeadershipObstacle {
         let own_id = self.options.id;
-        let tally = if self.votes.has_replies(own_id) { &self.votes } else { &self.earlier_votes };
+        let tally = if self.votes.has_replies(own_id) { &self.votes } else { &self.previous_votes };
         let membership = self.membership();
         let (granted, others) =
-            partition(membership, |voter| voter == own_id || tally.granted.contains(&voter));
+            partition_voters(membership, |voter| voter == own_id || tally.granted.contains(&voter));
         let (rejected, unanswered) = others.into_iter().partition(|voter| tally.rejected.contains(voter));
         LeadershipObstacle::VotesMissing { needed: membership.quorum(), granted, rejected, unanswered }
     }
 }
 
-fn partition(membership: &Membership, condition: impl Fn(NodeId) -> bool) -> (Vec<NodeId>, Vec<NodeId>) {
+fn partition_voters(
+    membership: &Membership,
+    condition: impl Fn(NodeId) -> bool,
+) -> (Vec<NodeId>, Vec<NodeId>) {
     membership.voters().partition(|voter| condition(*voter))
 }
--- a/crates/consensus/src/leadership_transfer.rs
+++ b/crates/consensus/src/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! The leader: transfer of leadership to a follower.
+//! Leader side of leadership transfer.
 
 use crate::clock::nanoseconds;
 use crate::interface::Output;
@@ -9,7 +9,8 @@
 use crate::types::NodeId;
 
 impl Node {
-    /// Begins to transfer leadership to the follower with most of the log. The lease ends here.
+    /// Starts a leadership transfer to the recently responsive voter with the highest match index. The
+    /// leader's lease ends immediately.
     pub(crate) fn start_transfer(&mut self, out: &mut Vec<Output>) {
         let Role::Leader(leadership) = &mut self.role else { return };
         let contact_since = self.now.saturating_sub(nanoseconds(self.options.election_timeout));
@@ -18,13 +19,13 @@
             return;
         }
         let Some(target) = leadership.transfer_target(membership, contact_since) else { return };
-        let until = self.now + nanoseconds(self.options.election_timeout);
+        let deadline = self.now + nanoseconds(self.options.election_timeout);
         leadership.transfer =
-            Some(Transfer { target, until, timeout_now_sent: false, dropped_proposals: false });
+            Some(Transfer { target, deadline, timeout_now_sent: false, dropped_proposals: false });
         self.send_timeout_now(out);
     }
 
-    /// Asks the target of a transfer to campaign at once, as soon as it has the complete log.
+    /// Sends TimeoutNow to the target of the transfer once the target has the complete log.
     pub(crate) fn send_timeout_now(&mut self, out: &mut Vec<Output>) {
         let last_index = self.log.last_index();
         let term = self.hard_state.term;
@@ -39,7 +40,8 @@
         }
     }
 
-    /// A leader that its newest membership does not count as a voter hands over to one once that is committed.
+    /// Transfers leadership if this leader is not a voter of the latest membership and that membership is
+    /// committed.
     pub(crate) fn transfer_if_no_voter(&mut self, out: &mut Vec<Output>) {
         let is_committed = self.memberships.changed_at() <= self.commit;
         let may_serve = matches!(&self.role, Role::Leader(leadership) if leadership.noop_committed);
@@ -48,9 +50,10 @@
         }
     }
 
-    /// A leader whose own disk stalls transfers leadership if a follower has durable what waits for that disk.
+    /// Transfers leadership if this leader's disk is stalled and some voter has durably stored the entries of
+    /// the stalled write.
     pub(crate) fn transfer_if_disk_stalls(&mut self, out: &mut Vec<Output>) {
-        if !self.disk_stalls() {
+        if !self.is_disk_stalled() {
             return;
         }
         let Some(stalled) = self.durability.oldest_write_index() else { return };
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,16 +1,20 @@
-//! Replicated log: elections, replication, leases, snapshots and change of members, without input or output.
+//! Replicated log: elections, replication, leases, snapshots and membership changes, without any I/O.
 //!
-//! The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice") with pre-votes, check of quorum, leader
-//! leases, pipelined replication, transfer of leadership and single-server changes of members. The caller owns
-//! clock, network and disk: it hands [`Node::handle`] each [`Event`] with the time, and carries out the [`Output`]s.
-//! `examples/three_nodes.rs` shows the complete loop.
+//! The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice") with pre-votes, CheckQuorum,
+//! leader leases, pipelined replication, leadership transfer and single-server membership changes. The caller
+//! owns the clock, the network and the disk: it passes each [`Event`] and the current time to
+//! [`Node::handle`] and carries out the returned [`Output`]s. `examples/three_nodes.rs` shows the complete
+//! loop.
 //!
-//! # What the caller must keep
+//! # Requirements on the caller
 //!
-//! - Writes are carried out one after the other; [`Event::Persisted`] comes only when one is durable.
-//! - A process with an empty disk uses an identity that was never used before.
-//! - A message is delivered only to the identity that it names, also where another identity uses the address now.
-//! - Steady clocks of two processes differ in rate by less than the lease margin's fraction of the leader stickiness.
+//! - Writes are carried out one after the other. [`Event::Persisted`] is passed in only once a write is
+//!   durable.
+//! - A process that starts with an empty disk uses a new identity that no process has used before.
+//! - A message is delivered only to the identity it is addressed to, even if a process with another identity
+//!   now uses the same network address.
+//! - The monotonic clocks of two processes differ in rate by less than the ratio of the lease margin to the
+//!   leader stickiness.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,10 +1,11 @@
-//! The entries of the log that are in memory.
+//! The part of the log that is kept in memory.
 
 use std::collections::VecDeque;
 
 use crate::types::{Entry, Index, Payload, Term};
 
-/// Entries after a base, which is the last entry that was compacted away (0 at first).
+/// The log entries after the base. The base is the last compacted entry, or index 0 if nothing has been
+/// compacted.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     base_index: Index,
@@ -13,12 +14,12 @@
 }
 
 impl Log {
-    /// A log without entries after this base.
+    /// Creates a log with this base and no entries.
     pub fn new(base_index: Index, base_term: Term) -> Log {
         Log { base_index, base_term, entries: VecDeque::new() }
     }
 
-    /// The last entry that was compacted away.
+    /// Index of the last compacted entry.
     pub fn base_index(&self) -> Index {
         self.base_index
     }
@@ -31,7 +32,7 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// The entry's term; `None` before the base and after the end.
+    /// Returns the term of an entry, or `None` before the base and after the last entry.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -44,24 +45,25 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Appends an entry; its index must follow the last.
+    /// Appends an entry. Its index must be the last index plus 1.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push_back(entry);
     }
 
-    /// Whether an entry in memory holds a command.
+    /// Whether any entry in memory contains a command.
     pub fn has_command(&self) -> bool {
         self.entries.iter().any(|entry| matches!(entry.payload, Payload::Command(_)))
     }
 
-    /// Drops entries from this index on.
+    /// Removes the entries from this index on.
     pub fn truncate_from(&mut self, index: Index) {
         let remaining = index.saturating_sub(self.base_index + 1);
         self.entries.truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
     }
 
-    /// The index up to which entries can be compacted if, up to `last`, this many of them and these bytes are retained.
+    /// Returns the index up to which entries can be compacted such that, of the entries up to `last`, the
+    /// newest `retained_entries` stay, but no more than fit in `retained_bytes`.
     pub fn compaction_point(&self, last: Index, retained_entries: u64, retained_bytes: usize) -> Index {
         let earliest = last.saturating_sub(retained_entries).max(self.base_index);
         let mut point = last.min(self.last_index());
@@ -76,7 +78,7 @@
         point
     }
 
-    /// Drops entries up to this index, which must be in memory.
+    /// Removes the entries up to and including this index, which must be in memory.
     pub fn compact_to(&mut self, index: Index) {
         let Some(term) = self.term_at(index) else { return };
         let dropped = (index - self.base_index) as usize;
@@ -85,7 +87,8 @@
         self.base_term = term;
     }
 
-    /// Copies of entries from this index on: at least one if there is one, then as many as fit in the bytes.
+    /// Returns copies of the entries from this index on that fit in `max_bytes`, but at least one entry if
+    /// there is one.
     pub fn batch(&self, from: Index, max_bytes: usize) -> Vec<Entry> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -101,12 +104,13 @@
         batch
     }
 
-    /// Copies of the entries from `first` to `last`, both included.
+    /// Returns copies of the entries from `first` to `last`, inclusive.
     pub fn range(&self, first: Index, last: Index) -> Vec<Entry> {
         (first..=last).filter_map(|index| self.get(index).cloned()).collect()
     }
 
-    /// The first entry of the run of equal terms that includes this index, not before `least`.
+    /// Returns the first index, but not below `least`, from which on all entries up to `index` have the same
+    /// term.
     pub fn first_of_term(&self, index: Index, least: Index) -> Index {
         let term = self.term_at(index);
         let mut first = index;
--- a/crates/consensus/src/membership_changes.rs
+++ b/crates/consensus/src/membership_changes.rs
@@ -1,4 +1,5 @@
-//! The leader's changes of the membership: one at a time, each committed before the next.
+//! Membership changes by the leader. Changes are made one at a time, and each is committed before the next
+//! one starts.
 
 use crate::clock::nanoseconds;
 use crate::interface::Output;
@@ -8,7 +9,7 @@
 use crate::types::{Member, Membership, NodeId, Payload};
 
 impl Node {
-    /// A process asks to become a member.
+    /// Handles a process's request to become a member.
     pub(crate) fn on_join(&mut self, member: Member, out: &mut Vec<Output>) {
         if member.id == self.options.id {
             return;
@@ -25,7 +26,7 @@
         self.change_members(out);
     }
 
-    /// Begins the next change of members if one is due and none is under way.
+    /// Starts the next membership change if one is due and none is in progress.
     pub(crate) fn change_members(&mut self, out: &mut Vec<Output>) {
         self.drop_non_members();
         if !self.may_change_members() {
@@ -48,8 +49,9 @@
         self.send_heartbeats_to_all(out);
     }
 
-    /// A follower has replied: a change that was decided may be confirmed by that. One that is not due any more is given
-    /// up; what is due instead is decided at the next heartbeat, so that replies bring about no further messages.
+    /// Called after a follower's reply, which may confirm the pending change. A pending change that is no
+    /// longer due is dropped. Another change that is due instead is decided at the next heartbeat, so that
+    /// replies do not trigger further messages.
     pub(crate) fn confirm_pending_change(&mut self, out: &mut Vec<Output>) {
         let is_pending =
             matches!(&self.role, Role::Leader(leadership) if leadership.pending_change.is_some());
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Until an entry of its own term is committed, an earlier leader's change may still be under way.
+    /// Whether the leader may change the membership. Until an entry of the leader's own term is committed, a
+    /// change by an earlier leader may still be in progress.
     fn may_change_members(&self) -> bool {
         let Role::Leader(leadership) = &self.role else { return false };
         let is_committed = self.memberships.changed_at() <= self.commit;
@@ -87,7 +90,7 @@
         leadership.pending_change.as_ref().is_some_and(|pending| pending.membership == *next)
     }
 
-    /// Appends the change that was decided, if it is confirmed.
+    /// Appends the pending change if it is confirmed.
     fn append_if_confirmed(&mut self, next: Membership, out: &mut Vec<Output>) {
         if self.is_confirmed(&next) {
             self.set_pending_change(None);
@@ -95,11 +98,12 @@
         }
     }
 
-    /// Whether a majority of the voters of the pending change, and those that it adds, have replied to what was sent since
-    /// it was decided.
+    /// Whether a majority of the voters of the pending membership, and all voters that it adds, have replied
+    /// to messages sent since the change was decided.
     ///
-    /// A change that cannot be committed leaves its leader with a longer log than all others and a larger majority to
-    /// win, perhaps for good: a voter that is added must be known to have its disk still.
+    /// A change that cannot be committed would leave its leader with a longer log than all other processes
+    /// and a larger majority to win, possibly forever. An added voter must therefore be known to still have
+    /// its disk.
     fn is_confirmed(&self, next: &Membership) -> bool {
         let Role::Leader(leadership) = &self.role else { return false };
         let Some(pending) = &leadership.pending_change else { return false };
@@ -120,7 +124,7 @@
         self.replicate_to_all(out);
     }
 
-    /// What the membership lacks, most urgent first.
+    /// Returns the most urgent membership change that is needed, if any.
     fn next_membership(&self) -> Option<Membership> {
         let membership = self.membership();
         let unresponsive = self.longest_unresponsive_voter();
@@ -142,7 +146,7 @@
         self.unresponsive_learner().map(|learner| membership.without(learner))
     }
 
-    /// How long ago this member last responded, in nanoseconds; 0 for this process itself.
+    /// Time since this member last responded, in nanoseconds; 0 for this process itself.
     fn unresponsive_for(&self, id: NodeId) -> u64 {
         let Role::Leader(leadership) = &self.role else { return 0 };
         leadership.progress.get(&id).map_or(0, |progress| self.now.saturating_sub(progress.last_contact_at))
@@ -155,9 +159,9 @@
         unresponsive.max().map(|(_, voter)| voter)
     }
 
-    /// The voter that joined last, if all voters respond. When a replaced voter returns there is one voter more than
-    /// wanted: that tolerates no further loss and makes each commit wait for more responses, so one becomes a learner
-    /// again.
+    /// Returns the most recently joined voter other than the leader, if all voters respond. When a replaced
+    /// voter returns, there is one voter more than the target. The additional voter does not allow for any
+    /// further loss and makes each commit wait for more responses, so one voter is demoted to learner.
     fn newest_other_voter(&self) -> Option<NodeId> {
         let all_responsive = self
             .membership()
@@ -167,7 +171,8 @@
         newest.filter(|_| all_responsive)
     }
 
-    /// A learner that could be a voter now; one that replaces an unresponsive voter at its address comes first.
+    /// Returns a learner that is ready to be promoted. A learner that replaces an unresponsive voter at the
+    /// same address is preferred.
     fn caught_up_learner(&self) -> Option<&Member> {
         let Role::Leader(leadership) = &self.role else { return None };
         let last_index = self.log.last_index();
@@ -184,8 +189,9 @@
             .or_else(|| learners().next())
     }
 
-    /// The voter at a learner's address whose disk is gone. It is removed before the learner is promoted: were both done
-    /// in one change, a majority before and a majority after it need have no running voter in common.
+    /// Returns the unresponsive voter at the learner's address, whose disk is lost. This voter is removed
+    /// before the learner is promoted: if both happened in one change, a majority before the change and a
+    /// majority after it might have no running voter in common.
     fn unresponsive_predecessor(&self, learner: &Member) -> Option<NodeId> {
         let at_address = |member: &&Member| member.voter && member.address == learner.address;
         let predecessor = self.membership().members.iter().find(at_address)?.id;
@@ -201,7 +207,7 @@
             .find(|learner| self.unresponsive_for(*learner) >= nanoseconds(self.options.learner_timeout))
     }
 
-    /// Stops replication to processes that are no members and know so, or are unresponsive.
+    /// Stops replication to non-members that know of their removal or are unresponsive.
     fn drop_non_members(&mut self) {
         let (changed_at, membership) = (self.memberships.changed_at(), self.memberships.current());
         let committed = changed_at <= self.commit;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -2,49 +2,51 @@
 
 use crate::types::{Entry, Index, Membership, Term};
 
-/// A candidate asks for a vote, or whether it would get one (`pre_vote`): RequestVote of the paper.
+/// RequestVote of the Raft paper: a candidate asks for a vote or, with `pre_vote`, whether it would get one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoteRequest {
-    /// Term of the election; of a pre-vote the term that would follow.
+    /// Term of the election. For a pre-vote, the term in which the candidate would campaign.
     pub term: Term,
-    /// The candidate's last entry.
+    /// Index of the candidate's last log entry.
     pub last_index: Index,
     /// Term of that entry.
     pub last_term: Term,
-    /// Whether this is a pre-vote, which changes nothing at the receiver.
+    /// Whether this is a pre-vote, which does not change the receiver's term or vote.
     pub pre_vote: bool,
-    /// Whether the leader itself asked for this election: its lease has ended.
+    /// Whether the leader requested this election by a leadership transfer. The leader's lease has then
+    /// already ended.
     pub transfer: bool,
-    /// Whether the candidate wins with the votes of all voters only. A voter that may lead rejects it, so the candidate
-    /// need not wait for a lease to expire.
+    /// Whether the candidate needs the votes of all voters to win. A process that leads or follows a leader
+    /// rejects such a request, so the candidate does not have to wait for a lease to expire.
     pub unanimous: bool,
 }
 
 /// Reply to a [`VoteRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoteReply {
-    /// The requested term if granted, else the receiver's term.
+    /// The requested term if the vote is granted, otherwise the receiver's term.
     pub term: Term,
     /// Whether the vote is granted.
     pub granted: bool,
-    /// Whether it replies to a pre-vote.
+    /// Whether this is the reply to a pre-vote.
     pub pre_vote: bool,
 }
 
-/// Entries of a leader, or a heartbeat if there are none: AppendEntries of the paper.
+/// AppendEntries of the Raft paper: entries from the leader, or a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppendRequest {
     /// The leader's term.
     pub term: Term,
-    /// The entry before those sent.
+    /// Index of the entry immediately before `entries`.
     pub previous_index: Index,
     /// Term of that entry.
     pub previous_term: Term,
-    /// Entries that follow it.
+    /// The entries that follow `previous_index`.
     pub entries: Vec<Entry>,
-    /// What the leader knows to be committed.
+    /// The leader's commit index.
     pub commit: Index,
-    /// The leader's steady clock at sending, in nanoseconds. The reply echoes it: a lease counts from there.
+    /// The leader's monotonic clock when it sent the message, in nanoseconds. The reply echoes this value,
+    /// and the leader's lease is counted from it.
     pub leader_clock: u64,
 }
 
@@ -53,34 +55,37 @@
 pub struct AppendReply {
     /// The receiver's term.
     pub term: Term,
-    /// Whether the log holds the entry before those sent.
+    /// Whether the receiver's log contains the entry at `previous_index` with the same term.
     pub success: bool,
-    /// If so: entries up to here match the leader's and are durable.
+    /// On success: the receiver's entries up to this index match the leader's and are durable.
     pub match_index: Index,
-    /// If not: the entry that the leader is to send next; 0 if its term is stale.
+    /// On failure: the index of the entry that the leader should send next, or 0 if the leader's term is
+    /// stale.
     pub conflict_index: Index,
-    /// The leader's clock of the request.
+    /// `leader_clock` of the request, echoed.
     pub leader_clock: u64,
 }
 
-/// A chunk of a snapshot, or a question how much has arrived if it has no data: InstallSnapshot of the paper.
+/// InstallSnapshot of the Raft paper: a chunk of a snapshot. A chunk without data asks how much of the
+/// snapshot the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
-    /// Last entry that the snapshot includes.
+    /// Index of the last entry that the snapshot includes.
     pub last_index: Index,
     /// Term of that entry.
     pub last_term: Term,
-    /// Members as of that entry.
+    /// The membership as of that entry.
     pub membership: Membership,
-    /// Offset of the data in the snapshot, in bytes.
+    /// Offset of `data` in the snapshot, in bytes.
     pub offset: u64,
     /// Size of the complete snapshot, in bytes.
     pub total: u64,
-    /// The bytes from the offset on.
+    /// The bytes of the snapshot starting at `offset`.
     pub data: Vec<u8>,
-    /// The leader's steady clock at sending, in nanoseconds. The reply echoes it: a lease counts from there.
+    /// The leader's monotonic clock when it sent the message, in nanoseconds. The reply echoes this value,
+    /// and the leader's lease is counted from it.
     pub leader_clock: u64,
 }
 
@@ -89,22 +94,23 @@
 pub struct SnapshotReply {
     /// The receiver's term.
     pub term: Term,
-    /// Bytes of this snapshot that have arrived without a gap.
+    /// Number of contiguous bytes of this snapshot that the receiver has.
     pub received: u64,
-    /// The last entry of that snapshot.
+    /// Index of the last entry that the snapshot includes.
     pub last_index: Index,
-    /// The leader's clock of the chunk.
+    /// `leader_clock` of the chunk, echoed.
     pub leader_clock: u64,
 }
 
-/// A leader asks a follower that has its complete log to campaign at once.
+/// The leader asks a follower that has the leader's complete log to campaign immediately (leadership
+/// transfer).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimeoutNow {
     /// The leader's term.
     pub term: Term,
 }
 
-/// A message between processes of the group. It may be lost, repeated, late and out of order.
+/// A message between processes of the group. Messages may be lost, duplicated, delayed and reordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// See [`VoteRequest`].
@@ -123,11 +129,11 @@
     TimeoutNow(TimeoutNow),
 }
 
-/// Terms and indexes from here on are not sent by any correct process: none counts as far.
-const IMPLAUSIBLE: u64 = 1 << 62;
+/// Upper limit (exclusive) for received terms and indexes. No correct process reaches this value.
+const TERM_AND_INDEX_LIMIT: u64 = 1 << 62;
 
 impl Message {
-    /// Whether terms and indexes can be added to without overflow.
+    /// Whether the term and index are low enough that arithmetic on them cannot overflow.
     pub(crate) fn is_plausible(&self) -> bool {
         let (term, index) = match self {
             Message::VoteRequest(request) => (request.term, request.last_index),
@@ -138,6 +144,6 @@
             Message::SnapshotReply(reply) => (reply.term, 0),
             Message::TimeoutNow(request) => (request.term, 0),
         };
-        term < IMPLAUSIBLE && index < IMPLAUSIBLE
+        term < TERM_AND_INDEX_LIMIT && index < TERM_AND_INDEX_LIMIT
     }
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One process of the group: its state, and the dispatch of events.
+//! The state machine of one process of the group, and the dispatch of its events.
 
 use std::collections::BTreeSet;
 
@@ -21,12 +21,13 @@
 };
 use crate::vote_tally::VoteTally;
 
-/// Bits by which identities are shifted when a term is drawn from them.
+/// Number of bits by which the mixed value is rotated for each identity when a term is derived from
+/// identities.
 const TERM_MIX_BITS: u32 = 7;
-/// The largest distance of the first term of a later founding from the usual one.
+/// Upper limit on how far the first term of a later founding lies above the lowest such term.
 const MAX_TERM_OFFSET: Term = 0x7fff_ffff;
 
-/// What a founder starts with, in this term.
+/// Initial state of a founder of a group whose first entry has this term.
 fn bootstrap_in_term(term: Term, membership: Membership) -> Restored {
     let payload = Payload::Membership(membership);
     Restored {
@@ -36,56 +37,57 @@
     }
 }
 
-/// Whether nobody can have led yet who counted on this process: no leader is elected in the usual first term, nor in
-/// that of a later founding.
+/// Whether no leader can have been elected yet that relies on this process. No leader is ever elected in the
+/// bootstrap term or in the first term of a later founding.
 fn is_fresh(restored: &Restored) -> bool {
     let HardState { term, vote } = restored.hard_state;
     let is_founding = matches!(restored.entries.as_slice(), [founding] if founding.term == term);
     restored.snapshot.is_none() && (term <= BOOTSTRAP_TERM || (is_founding && vote.is_none()))
 }
 
-/// One process of the group, without input and output: events and the time go in, outputs come out.
+/// One process of the group, without any I/O: it takes events and the time, and returns outputs.
 ///
-/// What holds between two calls of [`Node::handle`]: at most one vote is given in a term, and it leaves only when it is
-/// durable; entries up to `commit` never change; no entry is acknowledged before it is durable. Each concept of Raft
-/// adds its methods in the file of its name.
+/// Invariants between two calls of [`Node::handle`]: the process gives at most one vote per term and sends it
+/// only once it is durable; entries up to `commit` never change; no entry is acknowledged before it is
+/// durable. The methods are grouped into one module per Raft concept.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub(crate) options: Options,
     pub(crate) now: u64,
     rng: Rng,
     pub(crate) hard_state: HardState,
-    /// Write with which the hard state becomes durable.
+    /// Ticket of the write that makes the hard state durable.
     pub(crate) hard_state_ticket: u64,
     pub(crate) log: Log,
     pub(crate) snapshot: Option<Snapshot>,
-    pub(crate) incoming: Option<IncomingSnapshot>,
+    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) memberships: Memberships,
     pub(crate) commit: Index,
     pub(crate) durability: Durability,
     pub(crate) role: Role,
     pub(crate) leader: Option<NodeId>,
-    /// Until then vote requests are rejected: a leader may hold a lease.
+    /// Vote requests are rejected until this time, because a leader may hold a lease.
     pub(crate) votes_rejected_until: u64,
-    /// When this process campaigns unless it hears from a leader.
+    /// Time at which this process campaigns unless it hears from a leader.
     pub(crate) election_at: u64,
-    /// When a restarted process that has heard no leader asks all voters to elect it at once.
+    /// Time at which a restarted process that has not heard from a leader starts a unanimous election.
     pub(crate) unanimous_election_at: Option<u64>,
-    /// Until then the leader's process is taken to have ended: campaigns follow one another at short intervals.
+    /// Until this time the leader's process is assumed to have exited, and campaigns follow each other at
+    /// short intervals.
     pub(crate) leader_down_until: u64,
-    /// Replies of the election under way.
+    /// Replies in the current election.
     pub(crate) votes: VoteTally,
-    /// Replies of the one before.
-    pub(crate) earlier_votes: VoteTally,
-    /// How this process last stopped leading.
+    /// Replies in the previous election.
+    pub(crate) previous_votes: VoteTally,
+    /// How this process last stepped down as leader.
     pub(crate) last_step_down: Option<StepDown>,
-    /// Whether a membership with this process was in force and its removal has not been reported yet.
+    /// Whether this process has been a member and its removal has not been reported yet.
     pub(crate) was_member: bool,
 }
 
 impl Node {
-    /// A process that starts, at this time of the steady clock in nanoseconds, with what its disk gave back. `seed`
-    /// determines its random timeouts.
+    /// Creates the node of a process that starts with the state restored from its disk. `now` is the time of
+    /// the monotonic clock, in nanoseconds. `seed` determines the random timeouts.
     pub fn new(options: Options, restored: Restored, now: u64, seed: u64) -> Node {
         let fresh = is_fresh(&restored);
         let hard_state = restored.hard_state;
@@ -99,7 +101,7 @@
             hard_state_ticket: 0,
             log,
             snapshot: restored.snapshot,
-            incoming: None,
+            incoming_snapshot: None,
             memberships,
             commit,
             durability: Durability::new(last_index),
@@ -110,13 +112,13 @@
             unanimous_election_at: None,
             leader_down_until: 0,
             votes: VoteTally::default(),
-            earlier_votes: VoteTally::default(),
+            previous_votes: VoteTally::default(),
             last_step_down: None,
             was_member,
             options,
         };
         if fresh {
-            // Nobody can have led yet: no lease to wait for.
+            // No leader can have been elected yet, so there is no lease to wait for.
             node.election_at = now
                 + node.rng.u64(
                     nanoseconds(node.options.heartbeat_interval) / 2
@@ -131,23 +133,24 @@
         node
     }
 
-    /// What each founder of a group starts with. The caller makes it durable before [`Node::new`]. All founders must
-    /// name the same members in the same order, and have never been part of a group.
+    /// Initial state of each founder of a group. The caller makes it durable before it calls [`Node::new`].
+    /// All founders must use the same members in the same order, and must never have been part of a group.
     pub fn bootstrap(membership: Membership) -> Restored {
         bootstrap_in_term(BOOTSTRAP_TERM, membership)
     }
 
-    /// As [`Node::bootstrap`], for a group that is founded after a former founding may have left logs somewhere. Its
-    /// terms are such that none of its entries is taken for one of another founding: a log that holds others is
-    /// found to differ.
+    /// Like [`Node::bootstrap`], for a group that is founded after an earlier founding may have left logs on
+    /// some disks. The first term is derived from the identities of the members, so that no entry of this
+    /// founding is mistaken for an entry of another founding: the log matching check detects logs of other
+    /// foundings as different.
     pub fn bootstrap_again(membership: Membership) -> Restored {
         let mix = |mixed: Term, id: NodeId| mixed.rotate_left(TERM_MIX_BITS) ^ id ^ (id >> u32::BITS);
         let mixed = membership.members.iter().map(|member| member.id).fold(0, mix);
         bootstrap_in_term(BOOTSTRAP_TERM + 1 + (mixed & MAX_TERM_OFFSET), membership)
     }
 
-    /// Takes an event at a time of the steady clock, in nanoseconds, and appends what is to be done. Times never
-    /// decrease.
+    /// Handles an event and appends the resulting outputs to `out`. `now` is the time of the monotonic clock
+    /// in nanoseconds and must never decrease.
     pub fn handle(&mut self, now: u64, event: Event, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         if !self.resets_timeout(&event) {
@@ -167,7 +170,7 @@
         self.durability.flush(self.now, self.log.last_index(), out);
     }
 
-    /// When [`Event::Tick`] is due at the latest, in nanoseconds of the steady clock.
+    /// Latest time at which [`Event::Tick`] is due, in nanoseconds of the monotonic clock.
     pub fn next_timer(&self) -> u64 {
         match &self.role {
             Role::Leader(leadership) => leadership.next_heartbeat,
@@ -175,9 +178,9 @@
         }
     }
 
-    /// End of the lease, in nanoseconds of the steady clock: until then no other process can have committed anything,
-    /// and what is committed here is the newest. 0 unless this process leads, has committed an entry of its own term,
-    /// and is not transferring leadership.
+    /// Expiry time of the leader lease, in nanoseconds of the monotonic clock. Until then no other process
+    /// can have committed anything, so the commit index of this process is the latest. 0 unless this process
+    /// is the leader, has committed an entry of its own term and is not transferring leadership.
     pub fn lease_until(&self) -> u64 {
         match &self.role {
             Role::Leader(leadership) => leadership.lease_until(),
@@ -190,48 +193,50 @@
         self.options.id
     }
 
-    /// Whether this process leads, as far as it knows.
+    /// Whether this process believes that it is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// How this process last stopped leading; `None` if it never did since its start.
+    /// How this process last stepped down as leader; `None` if it has not stepped down since it started.
     pub fn last_step_down(&self) -> Option<&StepDown> {
         self.last_step_down.as_ref()
     }
 
-    /// The leader that this process follows, or itself.
+    /// The known leader, which may be this process itself.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The newest term seen.
+    /// The highest term seen.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The members in force.
+    /// The membership in effect.
     pub fn membership(&self) -> &Membership {
         self.memberships.current()
     }
 
-    /// Whether this process is a member, as far as it knows.
+    /// Whether this process is a member according to its own log.
     pub fn is_member(&self) -> bool {
         self.membership().contains(self.options.id)
     }
 
-    /// Whether this process may be given up for another founding, as one whose disk is lost: it follows and leads
-    /// nobody, and its log holds no command.
+    /// Whether this process may abandon its state and take part in another founding, as a process whose disk
+    /// is lost does: it neither leads nor follows a leader, and its log contains no command.
     ///
-    /// What a group acknowledged is on the disks of a majority of the voters that it wants, less those that are lost at
-    /// this time. So a process without a command counts for nothing that was acknowledged, whatever it voted for, and
-    /// [`crate::Founding`] asks more of them than may be lost.
+    /// Every command that a group has acknowledged is on the disks of a majority of its target number of
+    /// voters, minus the disks that are lost at this time. A process without commands is therefore not needed
+    /// for any acknowledged command, whatever it voted for. [`crate::Founding`] requires offers from more
+    /// such processes than disks may be lost at one time.
     pub fn is_uninitialized(&self) -> bool {
         self.leader.is_none() && !self.is_leader() && !self.holds_commands()
     }
 
-    /// Addresses of the voters of the group that this process, without a command itself, may have been confirmed for:
-    /// they have had a leader, and are as many as the group wants. Empty if there is no such group.
+    /// Addresses of the voters of a group that may have counted this process, which has no commands itself,
+    /// as a confirmed voter. Such a group has had a leader and has the target number of voters. Empty if
+    /// there is no such group.
     pub fn possible_group_voters(&self) -> BTreeSet<String> {
         let voters = self.membership().members.iter().filter(|member| member.voter);
         let addresses: BTreeSet<String> = voters.map(|member| member.address.clone()).collect();
@@ -243,29 +248,31 @@
         }
     }
 
-    /// Whether the log holds commands, or has ever been compacted, which takes a snapshot of their effects.
+    /// Whether the log contains commands, or has ever been compacted, which requires a snapshot of their
+    /// effects.
     pub fn holds_commands(&self) -> bool {
         self.snapshot.is_some() || self.log.base_index() > 0 || self.log.has_command()
     }
 
-    /// Whether the caller should send, now and then, a join request to the process that is said to lead, which hands
-    /// it in as [`Event::Join`]: this process is no member, or it hears from no leader and may have been removed.
+    /// Whether the caller should periodically send a join request to the supposed leader, which passes it to
+    /// its node as [`Event::Join`]. This is the case if this process is not a member, or if it hears from no
+    /// leader and may therefore have been removed.
     pub fn should_join(&self) -> bool {
         self.leader.is_none() || !self.is_member()
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit
     }
 
-    /// The last entry of the log.
+    /// Index of the last entry of the log.
     pub fn last_index(&self) -> Index {
         self.log.last_index()
     }
 
-    /// What a snapshot of the state machine as of this committed entry carries; `None` if the entry is not committed
-    /// or compacted away.
+    /// Returns the metadata for a snapshot of the state machine as of this entry, or `None` if the entry is
+    /// not committed or has already been compacted.
     pub fn snapshot_meta(&self, index: Index) -> Option<SnapshotMeta> {
         if index > self.commit {
             return None;
@@ -275,8 +282,8 @@
         Some(SnapshotMeta { index, term, membership })
     }
 
-    /// Whether the event shows that a follower's leader, or a leader's follower, is alive: it counts before the timers,
-    /// which a busy process runs late.
+    /// Whether the event shows that the leader of this follower, or a follower of this leader, is alive. Such
+    /// an event is handled before the timers run, because a busy process runs its timers late.
     fn resets_timeout(&self, event: &Event) -> bool {
         let Event::Message { from, message } = event else { return false };
         match &self.role {
@@ -338,25 +345,26 @@
         }
     }
 
-    /// Up to where the log can be compacted now that a snapshot covers it up to `index`, and no follower that responds
-    /// needs more.
+    /// Returns the index up to which the log can be compacted when a snapshot covers it up to `index`.
+    /// Entries that responsive followers still need are kept, within `retained_bytes_for_followers`.
     fn compaction_point(&self, index: Index) -> Index {
         let options = &self.options;
-        let usual = self.log.compaction_point(index, options.retained_entries, options.retained_bytes);
-        let Role::Leader(leadership) = &self.role else { return usual };
+        let default_point =
+            self.log.compaction_point(index, options.retained_entries, options.retained_bytes);
+        let Role::Leader(leadership) = &self.role else { return default_point };
         let contact_since = self.now.saturating_sub(nanoseconds(options.replacement_timeout));
-        let needed = leadership.least_expected_match(contact_since, self.log.base_index());
-        let furthest = self.log.compaction_point(index, u64::MAX, options.retained_bytes_for_followers);
-        usual.min(needed.unwrap_or(usual).max(furthest))
+        let needed = leadership.min_expected_match_index(contact_since, self.log.base_index());
+        let lowest_point = self.log.compaction_point(index, u64::MAX, options.retained_bytes_for_followers);
+        default_point.min(needed.unwrap_or(default_point).max(lowest_point))
     }
 
-    /// Draws when this process campaigns unless it hears from a leader.
+    /// Draws a new random election timeout.
     pub(crate) fn reset_election_timer(&mut self) {
         let least = nanoseconds(self.options.election_timeout);
         self.election_at = self.now + self.rng.u64(least..=least.saturating_mul(2));
     }
 
-    /// Changes term or vote; the change goes into the next write.
+    /// Sets term and vote. The change becomes part of the next write.
     pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
         self.hard_state = hard_state;
         self.durability.add_hard_state(hard_state);
@@ -370,7 +378,7 @@
         }
     }
 
-    /// Appends an entry to the log and to the next write. A membership is in force from here.
+    /// Appends an entry to the log and to the next write. A membership takes effect immediately.
     pub(crate) fn append(&mut self, entry: Entry, out: &mut Vec<Output>) {
         if let Payload::Membership(membership) = &entry.payload {
             self.memberships.push(entry.index, membership.clone());
@@ -381,7 +389,7 @@
         self.log.push(entry);
     }
 
-    /// Removes entries from this index on, which must not be committed.
+    /// Removes the entries from this index on. They must not be committed.
     pub(crate) fn truncate(&mut self, from: Index, out: &mut Vec<Output>) {
         self.log.truncate_from(from);
         self.durability.add_truncation(from);
@@ -390,7 +398,7 @@
         }
     }
 
-    /// Hands out entries that have become committed.
+    /// Advances the commit index to `index` and outputs the newly committed entries.
     pub(crate) fn commit_to(&mut self, index: Index, out: &mut Vec<Output>) {
         let index = index.min(self.log.last_index());
         if index <= self.commit {
@@ -402,7 +410,7 @@
         self.report_removal(out);
     }
 
-    /// Reports once that a membership without this process is committed.
+    /// Outputs [`Output::Removed`] once when a membership without this process is committed.
     pub(crate) fn report_removal(&mut self, out: &mut Vec<Output>) {
         let (index, membership) = (self.memberships.changed_at(), self.memberships.current());
         if self.was_member && index <= self.commit && !membership.contains(self.options.id) {
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -5,58 +5,66 @@
 use crate::error::OptionsError;
 use crate::types::NodeId;
 
-/// The least lease margin is the leader stickiness divided by this: the leader's clock may run 2% slow, and a voter's
-/// 2% fast.
+/// The smallest permitted lease margin is the leader stickiness divided by this number. It allows for a
+/// leader's clock that runs 2% slow and a voter's clock that runs 2% fast.
 const CLOCK_RATE_DIVISOR: u32 = 25;
 
-/// Settings of one process. Durations are measured on its steady clock.
+/// Settings of one process. Durations are measured on its monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Identity of this process.
     pub id: NodeId,
-    /// Time between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// Least election timeout; each is drawn from it up to twice it. The same on all processes.
+    /// Minimum election timeout. Each election timeout is drawn at random between this value and twice this
+    /// value. Must be the same on all processes.
     pub election_timeout: Duration,
-    /// How long a process rejects vote requests after it heard from a leader, and after its own start. A lease is
-    /// shorter by the margin. The same on all processes.
+    /// How long a process rejects vote requests after it last heard from a leader, and after its own restart.
+    /// A lease is shorter than this by `lease_margin`. Must be the same on all processes.
     pub leader_stickiness: Duration,
-    /// Time between two attempts of a restarted process to be elected by all voters.
+    /// Interval between two unanimous elections that a restarted process starts.
     pub unanimous_election_interval: Duration,
-    /// Time between the campaigns of two voters after the leader's process has ended.
+    /// Delay between the campaigns of successive voters after the leader's process has exited.
     pub campaign_stagger: Duration,
-    /// How much shorter a lease is than the leader stickiness, for clocks that run at different rates.
+    /// How much shorter a lease is than `leader_stickiness`, to allow for clocks that run at different rates.
     pub lease_margin: Duration,
-    /// Voters the group wants: a majority of them must outlive the disks that may be lost at one time. Learners are
-    /// promoted up to it, unresponsive voters beyond it removed, and no command is taken before they are confirmed.
+    /// Target number of voters. A majority of them must survive the loss of as many disks as may be lost at
+    /// one time. Learners are promoted until the group has this many voters, and surplus unresponsive voters
+    /// are removed. A new group accepts no command before it has this many confirmed voters.
     pub target_voters: usize,
-    /// Bytes of entries in one message, except that one entry always fits.
+    /// Maximum size of the entries in one message, in bytes. A single entry is sent even if it is larger.
     pub max_entries_bytes: usize,
-    /// Bytes of entries in flight to one follower, except that one message always fits.
+    /// Maximum size of the entries in flight to one follower, in bytes. One message may be in flight even if
+    /// it is larger.
     pub max_inflight_bytes: usize,
-    /// Messages with entries in flight to one follower. What is proposed meanwhile goes out as one batch.
+    /// Maximum number of messages with entries in flight to one follower. Commands proposed while this limit
+    /// is reached are sent later as one batch.
     pub max_inflight_messages: usize,
-    /// Bytes of a snapshot in one message.
+    /// Maximum size of the snapshot data in one message, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Entries retained behind a snapshot, so that a follower a little behind needs no snapshot.
+    /// Number of entries before a snapshot's index that stay in the log, so that a follower that is slightly
+    /// behind needs no snapshot.
     pub retained_entries: u64,
-    /// Bytes of entries retained behind a snapshot: large entries must not fill the memory.
+    /// Maximum size of the entries retained before a snapshot's index, in bytes, so that large entries do not
+    /// fill the memory.
     pub retained_bytes: usize,
-    /// Bytes of entries retained for followers that are behind but respond, or are receiving an older snapshot: else
-    /// they would be sent one snapshot after the other.
+    /// Maximum size of the entries retained for followers that respond but are behind, or that are receiving
+    /// an older snapshot, in bytes. Without these entries, such a follower would need another snapshot after
+    /// each one.
     pub retained_bytes_for_followers: usize,
-    /// Entries that a learner may lack when it is promoted.
+    /// Maximum number of entries that a learner may lack when it is promoted to voter.
     pub promotion_gap: u64,
     /// A voter that has not responded for this long may be replaced.
     pub replacement_timeout: Duration,
     /// A learner that has not responded for this long is removed.
     pub learner_timeout: Duration,
-    /// Time without a finished write after which a leader transfers leadership.
+    /// Age of the oldest pending write from which on the disk counts as stalled. A leader then transfers
+    /// leadership, and the process does not campaign.
     pub disk_stall_timeout: Duration,
 }
 
 impl Options {
-    /// The usual settings for this identity in a group of three voters.
+    /// Default settings for this identity in a group of three voters.
     pub fn new(id: NodeId) -> Options {
         Options {
             id,
@@ -81,11 +89,11 @@
         }
     }
 
-    /// Checks that the settings can work together.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
     ///
-    /// The first rule that they break.
+    /// Returns the first violated rule.
     pub fn check(&self) -> Result<(), OptionsError> {
         let (heartbeat, election_timeout) = (self.heartbeat_interval, self.election_timeout);
         let (stickiness, margin) = (self.leader_stickiness, self.lease_margin);
@@ -112,7 +120,8 @@
         }
     }
 
-    /// How long a lease lasts, counted from the sending of the message that a majority acknowledged.
+    /// Duration of a lease, counted from the time at which the leader sent the messages that a majority
+    /// acknowledged.
     pub(crate) fn lease(&self) -> Duration {
         self.leader_stickiness.saturating_sub(self.lease_margin)
     }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one follower, and what it sends it next.
+//! Replication progress of one follower, and the choice of the next message to it.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use crate::options::Options;
 use crate::types::{Entry, Index, Snapshot, Term};
 
-/// The leader's side that messages are built from.
+/// The leader state from which messages to followers are built.
 pub(crate) struct LeaderView<'a> {
     pub now: u64,
     pub term: Term,
@@ -17,70 +17,74 @@
     pub options: &'a Options,
 }
 
-/// A message with entries in flight.
+/// A message with entries that is in flight.
 #[derive(Clone, Debug)]
 struct Inflight {
     last_index: Index,
     bytes: usize,
 }
 
-/// A snapshot in transfer to a follower, one chunk at a time.
+/// A snapshot that is being transferred to a follower, one chunk at a time.
 #[derive(Clone, Debug)]
 struct SnapshotTransfer {
     snapshot: Snapshot,
-    /// Bytes that the follower has received.
+    /// Number of bytes that the follower has received.
     received: u64,
-    /// The leader's clock when the chunk in flight was sent.
+    /// The leader's clock when the chunk in flight was sent; `None` if no chunk is in flight.
     chunk_sent_at: Option<u64>,
 }
 
-/// When a message is sent.
+/// Condition under which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendMode {
-    /// If something is due and may be in flight.
+    /// Send only if data is due and the limits on messages in flight permit it.
     IfDue,
-    /// In any case, without data if none is due: a heartbeat.
+    /// Always send: a message without data (a heartbeat) if no data is due.
     Always,
 }
 
-/// How the leader replicates to a follower.
+/// Replication state of a follower.
 #[derive(Clone, Debug)]
 enum State {
-    /// Up to where the logs match is not known: one message at a time.
+    /// The index up to which the logs match is unknown: one message is sent at a time.
     Probe { sent: bool },
-    /// Entries follow one another without waiting for replies.
+    /// Entries are pipelined without waiting for replies.
     Replicate { inflight: VecDeque<Inflight>, bytes: usize },
-    /// The entries that the follower lacks are compacted away.
+    /// The entries that the follower needs have been compacted, so a snapshot is sent.
     Snapshot(SnapshotTransfer),
 }
 
-/// What a leader knows of one follower.
+/// Replication progress of one follower.
 ///
-/// `match_index < next`: entries up to `match_index` are durable at the follower, those before `next` are sent or known
-/// to be there. `match_index` falls only if the follower shows that its disk is an older one.
+/// Invariant: `match_index < next_index`. Entries up to `match_index` are durable at the follower; entries
+/// before `next_index` have been sent or are known to be present. `match_index` decreases only if the
+/// follower shows that its disk has been replaced by an older copy.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     state: State,
-    /// The next entry to send.
-    next: Index,
-    /// Its durable log is the leader's up to here.
+    /// Index of the next entry to send.
+    next_index: Index,
+    /// The follower's durable log matches the leader's log up to this index.
     pub match_index: Index,
-    /// The last entry of the newest snapshot that it has received, perhaps not durably yet.
+    /// Index of the last entry in the latest snapshot that the follower has received. The snapshot may not be
+    /// durable yet.
     received_snapshot: Index,
-    /// When it last responded.
+    /// Time of the follower's last response.
     pub last_contact_at: u64,
-    /// The leader's clock when it sent the newest message that the follower has replied to; 0 before the first reply.
+    /// The leader's clock when it sent the most recent message that the follower has replied to; 0 before the
+    /// first reply.
     pub acknowledged_clock: u64,
-    /// When something was last sent.
+    /// Time at which a message was last sent to the follower.
     pub sent_at: u64,
 }
 
 impl Progress {
-    /// A follower of which nothing is known: it is probed at the entry before `next`.
-    pub fn new(next: Index, now: u64) -> Progress {
+    /// Creates the progress of a follower whose log is unknown. Probing starts at the entry before
+    /// `next_index`.
+    pub fn new(next_index: Index, now: u64) -> Progress {
         Progress {
             state: State::Probe { sent: false },
-            next,
+            next_index,
             match_index: 0,
             received_snapshot: 0,
             last_contact_at: now,
@@ -89,19 +93,20 @@
         }
     }
 
-    /// Goes back to probing: what is in flight may be lost.
+    /// Returns to probing, because the messages in flight may be lost.
     pub fn become_probe(&mut self) {
         match &mut self.state {
             State::Probe { sent } => *sent = false,
             State::Replicate { .. } => {
-                self.next = self.match_index + 1;
+                self.next_index = self.match_index + 1;
                 self.state = State::Probe { sent: false };
             }
             State::Snapshot(transfer) => transfer.chunk_sent_at = None,
         }
     }
 
-    /// Its match index, or what that will be with the snapshot that it is receiving.
+    /// The follower's match index, or the match index that it will have after the snapshot that it is
+    /// receiving.
     pub fn expected_match_index(&self) -> Index {
         match &self.state {
             State::Snapshot(transfer) => transfer.snapshot.meta.index,
@@ -109,14 +114,14 @@
         }
     }
 
-    /// Whether it has replied in this term and lacks at most this many of the leader's entries.
+    /// Whether the follower has replied in this term and lacks at most `gap` of the leader's entries.
     pub fn is_caught_up(&self, last_index: Index, gap: u64) -> bool {
         matches!(self.state, State::Replicate { .. }) && self.match_index.saturating_add(gap) >= last_index
     }
 
-    /// The next message, if there is one to send in this mode.
+    /// Returns the next message to send in this mode, if there is one.
     pub fn next_message(&mut self, view: &LeaderView, mode: SendMode) -> Option<Message> {
-        if !matches!(self.state, State::Snapshot(_)) && self.next <= view.log.base_index() {
+        if !matches!(self.state, State::Snapshot(_)) && self.next_index <= view.log.base_index() {
             self.start_snapshot(view)?;
         }
         let message = match &mut self.state {
@@ -126,8 +131,8 @@
                 }
                 let bytes = if *sent { 0 } else { view.options.max_entries_bytes };
                 *sent = true;
-                let entries = if bytes > 0 { view.log.batch(self.next, bytes) } else { Vec::new() };
-                append_request(view, self.next, entries)?
+                let entries = if bytes > 0 { view.log.batch(self.next_index, bytes) } else { Vec::new() };
+                append_request(view, self.next_index, entries)?
             }
             State::Replicate { .. } => self.next_entries(view, mode)?,
             State::Snapshot(transfer) => transfer.next_chunk(view, mode)?,
@@ -140,18 +145,18 @@
         let State::Replicate { inflight, bytes } = &mut self.state else { return None };
         let within_bytes = inflight.is_empty() || *bytes < view.options.max_inflight_bytes;
         let window_open = within_bytes && inflight.len() < view.options.max_inflight_messages;
-        if self.next > view.log.last_index() || !window_open {
+        if self.next_index > view.log.last_index() || !window_open {
             return match mode {
-                SendMode::Always => append_request(view, self.next, Vec::new()),
+                SendMode::Always => append_request(view, self.next_index, Vec::new()),
                 SendMode::IfDue => None,
             };
         }
-        let entries = view.log.batch(self.next, view.options.max_entries_bytes);
+        let entries = view.log.batch(self.next_index, view.options.max_entries_bytes);
         let size = entries.iter().map(Entry::size).sum();
         let count = entries.len() as u64;
-        let request = append_request(view, self.next, entries)?;
-        self.next += count;
-        inflight.push_back(Inflight { last_index: self.next - 1, bytes: size });
+        let request = append_request(view, self.next_index, entries)?;
+        self.next_index += count;
+        inflight.push_back(Inflight { last_index: self.next_index - 1, bytes: size });
         *bytes += size;
         Some(request)
     }
@@ -162,7 +167,7 @@
         Some(())
     }
 
-    /// Records a reply of the leader's own term.
+    /// Records a reply from the leader's current term.
     pub fn on_append_reply(&mut self, now: u64, reply: &AppendReply, last_index: Index) {
         let newest = reply.leader_clock > self.acknowledged_clock;
         self.record_contact(now, reply.leader_clock);
@@ -175,7 +180,7 @@
 
     fn on_match(&mut self, match_index: Index) {
         self.match_index = self.match_index.max(match_index);
-        self.next = self.next.max(self.match_index + 1);
+        self.next_index = self.next_index.max(self.match_index + 1);
         match &mut self.state {
             State::Probe { .. } => self.state = State::Replicate { inflight: VecDeque::new(), bytes: 0 },
             State::Replicate { inflight, bytes } => {
@@ -195,15 +200,16 @@
         if matches!(self.state, State::Snapshot(_)) {
             return;
         }
-        // A reply to the newest message that asks for acknowledged entries: the follower's disk is an older one.
+        // The follower's reply to the most recent message requests entries that it had acknowledged: its disk
+        // has been replaced by an older copy.
         if newest && conflict_index <= self.match_index {
             self.match_index = conflict_index - 1;
         }
-        self.next = conflict_index.min(self.next).max(self.match_index + 1);
+        self.next_index = conflict_index.min(self.next_index).max(self.match_index + 1);
         self.state = State::Probe { sent: false };
     }
 
-    /// Records how much of a snapshot has arrived.
+    /// Records how much of a snapshot the follower has received.
     pub fn on_snapshot_reply(&mut self, now: u64, reply: &SnapshotReply) {
         self.record_contact(now, reply.leader_clock);
         let State::Snapshot(transfer) = &mut self.state else { return };
@@ -213,11 +219,11 @@
         let total = transfer.snapshot.data.len() as u64;
         if reply.received >= total {
             self.received_snapshot = transfer.snapshot.meta.index;
-            self.next = self.received_snapshot + 1;
+            self.next_index = self.received_snapshot + 1;
             self.state = State::Probe { sent: false };
             return;
         }
-        // A reply to a message sent later has come without this chunk.
+        // A reply to a later message shows that this chunk has not arrived.
         let lost = transfer.chunk_sent_at.is_some_and(|leader_clock| reply.leader_clock > leader_clock);
         if lost || reply.received > transfer.received {
             transfer.received = reply.received;
@@ -225,7 +231,7 @@
         }
     }
 
-    /// Records a reply to what was sent at `leader_clock`.
+    /// Records a reply to a message that was sent at `leader_clock`.
     fn record_contact(&mut self, now: u64, leader_clock: u64) {
         self.last_contact_at = now;
         if leader_clock <= now {
@@ -260,8 +266,8 @@
     }
 }
 
-fn append_request(view: &LeaderView, next: Index, entries: Vec<Entry>) -> Option<Message> {
-    let previous_index = next.saturating_sub(1);
+fn append_request(view: &LeaderView, next_index: Index, entries: Vec<Entry>) -> Option<Message> {
+    let previous_index = next_index.saturating_sub(1);
     let previous_term = view.log.term_at(previous_index)?;
     Some(Message::AppendRequest(AppendRequest {
         term: view.term,
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -1,26 +1,27 @@
-//! The value that a majority has reached.
+//! Computes the highest value that a quorum has reached.
 
-/// Values that fit without an allocation; those of larger groups allocate.
-const USUAL_VOTERS: usize = 9;
+/// Number of values that are sorted in an array on the stack. Larger groups need an allocation.
+const INLINE_VALUES: usize = 9;
 
-/// The highest value that at least `quorum` of the values reach; 0 if there are fewer values.
+/// Returns the highest value that at least `quorum` of the values reach, or 0 if there are fewer than
+/// `quorum` values.
 pub(crate) fn quorum_value(values: impl Iterator<Item = u64>, quorum: usize) -> u64 {
-    let mut usual = [0; USUAL_VOTERS];
+    let mut inline = [0; INLINE_VALUES];
     let mut count = 0;
-    let mut larger = Vec::new();
+    let mut overflow = Vec::new();
     for value in values {
-        if count < USUAL_VOTERS {
-            usual[count] = value;
+        if count < INLINE_VALUES {
+            inline[count] = value;
             count += 1;
         } else {
-            larger.push(value);
+            overflow.push(value);
         }
     }
-    if larger.is_empty() {
-        return nth_highest(&mut usual[..count], quorum);
+    if overflow.is_empty() {
+        return nth_highest(&mut inline[..count], quorum);
     }
-    larger.extend_from_slice(&usual);
-    nth_highest(&mut larger, quorum)
+    overflow.extend_from_slice(&inline);
+    nth_highest(&mut overflow, quorum)
 }
 
 fn nth_highest(values: &mut [u64], nth: usize) -> u64 {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! The leader: proposals, replication, heartbeats and commitment.
+//! Leader side of replication: proposals, replication, heartbeats and the commit index.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use crate::types::{Entry, NodeId, Payload};
 
 impl Node {
-    /// The leader's own state, if this process leads.
+    /// Returns the leader state if this process is the leader.
     pub(crate) fn leadership(&mut self) -> Option<&mut Leadership> {
         match &mut self.role {
             Role::Leader(leadership) => Some(leadership),
@@ -29,7 +29,7 @@
         leadership.track_members(self.options.id, self.memberships.current(), noop_index, self.now);
         self.role = Role::Leader(leadership);
         self.unanimous_election_at = None;
-        self.incoming = None;
+        self.incoming_snapshot = None;
         self.set_leader(Some(self.options.id), out);
         self.append(Entry { index: noop_index, term, payload: Payload::Noop }, out);
         self.replicate_to_all(out);
@@ -53,14 +53,14 @@
         leadership.transfer.is_none() && (leadership.announced || self.holds_commands())
     }
 
-    /// Appends an entry of the leader's own term.
+    /// Appends an entry in the leader's current term. Returns its index.
     pub(crate) fn append_as_leader(&mut self, payload: Payload, out: &mut Vec<Output>) -> u64 {
         let index = self.log.last_index() + 1;
         self.append(Entry { index, term: self.hard_state.term, payload }, out);
         index
     }
 
-    /// What the leader knows of its followers, and what messages to them are built from.
+    /// Returns the progress of all followers, and the leader state from which messages to them are built.
     fn replication(&mut self) -> Option<(&mut BTreeMap<NodeId, Progress>, LeaderView<'_>)> {
         let Role::Leader(leadership) = &mut self.role else { return None };
         let view = LeaderView {
@@ -74,7 +74,7 @@
         Some((&mut leadership.progress, view))
     }
 
-    /// Sends to each follower what is due and may be in flight.
+    /// Sends each follower the messages that are due, within the limits on messages in flight.
     pub(crate) fn replicate_to_all(&mut self, out: &mut Vec<Output>) {
         let Some((progress, view)) = self.replication() else { return };
         for (to, progress) in progress {
@@ -107,11 +107,11 @@
         leadership.next_heartbeat = now + nanoseconds(self.options.heartbeat_interval);
         let membership = self.memberships.current();
         let quorum_contact_at = leadership.quorum_contact_at(self.options.id, now, membership);
-        let timed_out = leadership.transfer.as_ref().is_some_and(|transfer| now >= transfer.until);
+        let timed_out = leadership.transfer.as_ref().is_some_and(|transfer| now >= transfer.deadline);
         let ends = timed_out && leadership.transfer.as_ref().is_some_and(Transfer::ends_leadership);
         if now.saturating_sub(quorum_contact_at) > quorum_timeout || ends {
-            // Once the target was asked to campaign, no lease can be held in this term any more. And a leader that goes on
-            // after a proposal was dropped would act on what is in no log.
+            // Once the target has been asked to campaign, the leader can no longer hold a lease in this term.
+            // A leader that continued after a proposal was dropped would act on a command that is in no log.
             let reason = if ends { StepDownReason::TransferTimedOut } else { StepDownReason::QuorumLost };
             self.step_down(reason, out);
             return;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Sends a heartbeat to each follower at once.
+    /// Sends a heartbeat to each follower immediately.
     pub(crate) fn send_heartbeats_to_all(&mut self, out: &mut Vec<Output>) {
         let Some(leadership) = self.leadership() else { return };
         let followers: Vec<NodeId> = leadership.progress.keys().copied().collect();
@@ -168,8 +168,8 @@
         self.after_reply(from, out);
     }
 
-    /// Whether a reply belongs to this leader's term. A higher term of a member ends the leadership: that member could
-    /// follow this process in no other way.
+    /// Whether a reply belongs to this leader's term. If a member replies with a higher term, the leader
+    /// steps down, because that member cannot follow this process in the lower term.
     fn accept_reply(&mut self, from: NodeId, term: u64, out: &mut Vec<Output>) -> bool {
         let member = self.membership().contains(from);
         let own_term = self.hard_state.term;
@@ -179,7 +179,8 @@
         }
         if member {
             self.become_follower(term, None, out);
-            // Its followers still vote for the leader that they hear from: it can campaign again at once.
+            // The followers still grant votes to the leader that they hear from, so this process can campaign
+            // again immediately.
             self.election_at = self.now;
         } else {
             leadership.progress.remove(&from);
@@ -200,7 +201,8 @@
         self.send_timeout_now(out);
     }
 
-    /// Commits what a majority has durable, if the last entry of it is of this term (section 3.6.2 of the thesis).
+    /// Advances the commit index to the last entry that is durable on a majority, if that entry is of the
+    /// leader's term (section 3.6.2 of the thesis).
     pub(crate) fn advance_commit(&mut self, out: &mut Vec<Output>) {
         let Role::Leader(leadership) = &mut self.role else { return };
         let membership = self.memberships.current();
@@ -232,8 +234,8 @@
         }
     }
 
-    /// A process shows that it does not hear from this leader: a member is probed for its log, and a process that has
-    /// been removed learns so from the log.
+    /// Probes a process that apparently does not hear from this leader. For a member, this determines where
+    /// its log matches; a removed process learns of its removal from the log.
     pub(crate) fn probe_peer(&mut self, from: NodeId, out: &mut Vec<Output>) {
         let Role::Leader(leadership) = &mut self.role else { return };
         let next = self.log.last_index() + 1;
--- a/crates/consensus/src/restore.rs
+++ b/crates/consensus/src/restore.rs
@@ -1,15 +1,15 @@
-//! What a disk gave back at start, as the log in memory.
+//! Builds the in-memory log from the state restored from disk.
 
 use crate::error::RestoredError;
 use crate::log::Log;
 use crate::memberships::Memberships;
 use crate::types::{Entry, Index, Payload, Restored};
 
-/// Checks that a disk's contents are one log; [`crate::Node::new`] leaves out what is not.
+/// Checks that the restored entries form a valid log. [`crate::Node::new`] ignores entries that do not.
 ///
 /// # Errors
 ///
-/// The first entry that does not continue the log before it.
+/// Returns the first entry that does not continue the log before it.
 pub fn check_restored(restored: &Restored) -> Result<(), RestoredError> {
     let mut previous: Option<&Entry> = None;
     let base = restored.snapshot.as_ref().map_or(0, |snapshot| snapshot.meta.index);
@@ -27,14 +27,14 @@
     Ok(())
 }
 
-/// The log in memory, its memberships, and the index up to which all is known to be committed.
+/// Returns the in-memory log, its memberships, and the index up to which entries are known to be committed.
 pub(crate) fn load(restored: &Restored) -> (Log, Memberships, Index) {
     let meta = restored.snapshot.as_ref().map(|snapshot| snapshot.meta.clone()).unwrap_or_default();
     let at_base = restored.entries.iter().find(|entry| entry.index == meta.index);
-    let other_log = at_base.is_some_and(|entry| entry.term != meta.term);
+    let conflicts_with_snapshot = at_base.is_some_and(|entry| entry.term != meta.term);
     let mut log = Log::new(meta.index, meta.term);
     let mut memberships = Memberships::new(meta.index, meta.membership);
-    if other_log {
+    if conflicts_with_snapshot {
         return (log, memberships, meta.index);
     }
     for entry in restored.entries.iter().filter(|entry| entry.index > meta.index) {
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -1,21 +1,22 @@
-//! The role that a process has at present.
+//! The Raft role of a process.
 
 use std::collections::BTreeSet;
 
 use crate::leadership::Leadership;
 use crate::types::{Membership, NodeId};
 
-/// Whose votes win an election.
+/// The votes that are needed to win an election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ElectionRule {
-    /// A majority of the voters, none of which may have acknowledged a leader within the leader stickiness.
+    /// A majority of the voters. A voter grants its vote only if it has not acknowledged a leader within the
+    /// leader stickiness.
     Majority,
-    /// All voters, whenever they acknowledged a leader.
+    /// All voters, regardless of when they last acknowledged a leader.
     Unanimity,
 }
 
 impl ElectionRule {
-    /// Whether these votes win.
+    /// Whether the granted votes win the election.
     pub fn is_won_by(self, granted: &BTreeSet<NodeId>, membership: &Membership) -> bool {
         let votes = membership.voters().filter(|voter| granted.contains(voter)).count();
         match self {
@@ -25,16 +26,16 @@
     }
 }
 
-/// The role that a process has at present.
+/// The Raft role of a process.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
     Follower,
-    /// Asks whether it would be elected.
+    /// Runs a pre-vote: asks the voters whether they would elect this process.
     PreCandidate {
         rule: ElectionRule,
         granted: BTreeSet<NodeId>,
     },
-    /// Asks for votes. Its own counts once it is durable.
+    /// Requests votes. The candidate's own vote counts once it is durable.
     Candidate {
         rule: ElectionRule,
         granted: BTreeSet<NodeId>,
--- a/crates/consensus/src/snapshots.rs
+++ b/crates/consensus/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! The follower: snapshots that come from the leader in chunks.
+//! Follower side of snapshot transfer: receives a snapshot in chunks and installs it.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
         }
         let (last_index, leader_clock, total) = (chunk.last_index, chunk.leader_clock, chunk.total);
         if last_index <= self.commit {
-            self.incoming = None;
+            self.incoming_snapshot = None;
             self.reply_to_chunk(from, last_index, total, leader_clock, out);
             return;
         }
@@ -29,17 +29,17 @@
         self.reply_to_chunk(from, last_index, received, leader_clock, out);
     }
 
-    /// Adds a chunk to what has arrived and returns how many bytes have.
+    /// Adds a chunk to the incoming snapshot. Returns the number of bytes received so far.
     fn add_chunk(&mut self, from: NodeId, chunk: &SnapshotChunk) -> u64 {
-        let begun = self.incoming.take().filter(|incoming| incoming.includes(from, chunk));
+        let begun = self.incoming_snapshot.take().filter(|incoming| incoming.includes(from, chunk));
         let mut incoming = begun.unwrap_or_else(|| IncomingSnapshot::new(from, chunk));
         let received = incoming.add(chunk);
-        self.incoming = Some(incoming);
+        self.incoming_snapshot = Some(incoming);
         received
     }
 
     fn install_snapshot(&mut self, chunk: SnapshotChunk, out: &mut Vec<Output>) {
-        let Some(incoming) = self.incoming.take() else { return };
+        let Some(incoming) = self.incoming_snapshot.take() else { return };
         let (index, term) = (chunk.last_index, chunk.last_term);
         let meta = SnapshotMeta { index, term, membership: chunk.membership };
         let snapshot = Snapshot { meta, data: Arc::new(incoming.into_data()) };
--- a/crates/consensus/src/step_down.rs
+++ b/crates/consensus/src/step_down.rs
@@ -1,4 +1,4 @@
-//! How a leadership ended: operators find the cause of a change of leaders here.
+//! Records why a leader stepped down, so that operators can find the cause of a leader change.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -8,41 +8,49 @@
 /// Why a leader became a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepDownReason {
-    /// No majority responded in time (check of quorum).
+    /// No majority responded in time (CheckQuorum).
     QuorumLost,
-    /// A member has a higher term: another process campaigned.
+    /// A message from another process had a higher term: another process has campaigned.
     HigherTerm {
-        /// That term.
+        /// The higher term.
         term: Term,
     },
-    /// Leadership was handed over on purpose.
+    /// Leadership was transferred to another process as requested.
     Transferred,
-    /// A transfer of leadership timed out after its target had been asked to campaign.
+    /// A leadership transfer timed out after its target had been asked to campaign, or after a proposal had
+    /// been dropped during the transfer.
     TransferTimedOut,
 }
 
-/// How a leadership ended.
+/// How a process's leadership ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StepDown {
-    /// The term that was led.
+    /// Term in which the process was the leader.
     pub term: Term,
-    /// Why it ended.
+    /// Reason for stepping down.
     pub reason: StepDownReason,
-    /// When a majority was last heard from, in nanoseconds of the steady clock.
+    /// Time at which a majority was last heard from, in nanoseconds of the monotonic clock.
     pub quorum_contact_at: u64,
-    /// When the last lease expires, in nanoseconds of the steady clock; 0: there was none.
+    /// Time at which the last lease expires, in nanoseconds of the monotonic clock; 0 if no lease was held in
+    /// this term.
     pub lease_until: u64,
 }
 
 impl StepDown {
-    /// The end of a leadership for this reason.
+    /// Records the end of a leadership for this reason. A higher term after a requested transfer counts as
+    /// `Transferred`.
     pub(crate) fn of(leadership: &Leadership, reason: StepDownReason, quorum_contact_at: u64) -> StepDown {
         let was_handed_over = leadership.transfer.as_ref().is_some_and(Transfer::is_requested);
         let reason = match reason {
             StepDownReason::HigherTerm { .. } if was_handed_over => StepDownReason::Transferred,
             other => other,
         };
-        StepDown { term: leadership.term, reason, quorum_contact_at, lease_until: leadership.granted_until() }
+        StepDown {
+            term: leadership.term,
+            reason,
+            quorum_contact_at,
+            lease_until: leadership.latest_lease_until(),
+        }
     }
 }
 
--- a/crates/consensus/src/types.rs
+++ b/crates/consensus/src/types.rs
@@ -1,53 +1,56 @@
-//! Plain types of the replicated log: members, entries, snapshots and what a disk gives back.
+//! Data types of the replicated log: members, entries, snapshots and the state restored from disk.
 
 use std::sync::Arc;
 
-/// Identity of a process. It lasts as long as the disk that stores it; a process with an empty disk draws a new one.
+/// Identity of a process. The identity is stored on the process's disk; a process that starts with an empty
+/// disk draws a new random identity.
 pub type NodeId = u64;
-/// Number of an election. Each has a higher one than the one before; at most one leader is elected in a term.
+/// Raft term. Every election uses a higher term than the previous one, and at most one leader is elected per
+/// term.
 pub type Term = u64;
-/// Position of an entry in the log, counted from 1; 0 is before the first.
+/// Position of an entry in the log, counted from 1. Index 0 denotes the position before the first entry.
 pub type Index = u64;
 
-/// Term of the entry that [`crate::Node::bootstrap`] writes. No leader is ever elected in it.
+/// Term of the entry that [`crate::Node::bootstrap`] writes. No leader is ever elected in this term.
 pub const BOOTSTRAP_TERM: Term = 1;
-/// Position of that entry.
+/// Index of the entry that bootstrapping a group writes.
 pub(crate) const BOOTSTRAP_INDEX: Index = 1;
 
-/// A process of the group.
+/// A process that is a member of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Identity of the process.
     pub id: NodeId,
-    /// Where the other processes reach it, `ip:port`.
+    /// Address for messages from the other processes, `ip:port`.
     pub address: String,
-    /// Where it serves the operator's API, `ip:port`.
+    /// Address of the operator API, `ip:port`.
     pub control: String,
-    /// Whether it counts for majorities. A learner, which does not, only receives the log.
+    /// Whether the member votes and counts towards majorities. A non-voting member (learner) only receives
+    /// the log.
     pub voter: bool,
 }
 
-/// The processes of the group. A membership is in force from the moment its entry is appended, and again the one
-/// before it if that entry is truncated. Successive memberships differ by at most one voter, so that any two majorities
-/// of them have a voter in common.
+/// The members of the group. A membership takes effect as soon as its entry is appended; if that entry is
+/// truncated, the previous membership takes effect again. Successive memberships differ by at most one voter,
+/// so any majority of one and any majority of the next share a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Membership {
-    /// The members in the order in which they joined.
+    /// The members, in the order in which they joined.
     pub members: Vec<Member>,
 }
 
 impl Membership {
-    /// The member with this identity.
+    /// Returns the member with this identity.
     pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Whether the identity is a member, voter or learner.
+    /// Whether the identity belongs to a member, either voter or learner.
     pub fn contains(&self, id: NodeId) -> bool {
         self.member(id).is_some()
     }
 
-    /// Whether the identity is a voter.
+    /// Whether the identity belongs to a voter.
     pub fn is_voter(&self, id: NodeId) -> bool {
         self.member(id).is_some_and(|member| member.voter)
     }
@@ -57,18 +60,18 @@
         self.members.iter().filter(|member| member.voter).map(|member| member.id)
     }
 
-    /// The least number of voters that is a majority.
+    /// The smallest number of voters that is a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// A copy without the member of this identity.
+    /// Returns a copy without the member with this identity.
     pub fn without(&self, id: NodeId) -> Membership {
         let members = self.members.iter().filter(|member| member.id != id).cloned().collect();
         Membership { members }
     }
 
-    /// A copy in which the member of this identity is a voter.
+    /// Returns a copy in which the member with this identity is a voter.
     pub fn with_voter(&self, id: NodeId) -> Membership {
         let mut copy = self.clone();
         for member in copy.members.iter_mut().filter(|member| member.id == id) {
@@ -77,7 +80,7 @@
         copy
     }
 
-    /// A copy in which the member of this identity is a learner.
+    /// Returns a copy in which the member with this identity is a learner.
     pub fn without_vote_of(&self, id: NodeId) -> Membership {
         let mut copy = self.clone();
         for member in copy.members.iter_mut().filter(|member| member.id == id) {
@@ -86,8 +89,9 @@
         copy
     }
 
-    /// A copy with this member as a learner. Learners of another identity at its address are removed; a member of its
-    /// own identity keeps its vote and gets the new addresses.
+    /// Returns a copy with this process added as a learner. Learners with another identity at the same
+    /// address are removed. If the process is already a member, it keeps its voting right and its addresses
+    /// are updated.
     pub fn with_learner(&self, joiner: &Member) -> Membership {
         let voter = self.is_voter(joiner.id);
         let remains =
@@ -98,31 +102,31 @@
     }
 }
 
-/// What an entry contains.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// First entry of a leader: once it is committed, so is all before it.
+    /// First entry of a new leader. Committing it commits all entries before it.
     Noop,
-    /// Bytes for the state machine.
+    /// A command for the state machine, as opaque bytes.
     Command(Vec<u8>),
-    /// A change of members.
+    /// A membership change: the complete new membership.
     Membership(Membership),
 }
 
-/// One entry of the log.
+/// One log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its position.
+    /// Position in the log.
     pub index: Index,
-    /// Term of the leader that made it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// What it contains.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// Approximate bytes of an entry beside its payload, for bounds on batches.
+/// Approximate size of an entry without its payload, used to limit the size of batches.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
-/// Approximate bytes of a member, for bounds on batches.
+/// Approximate size of one member, used to limit the size of batches.
 const MEMBER_BYTES: usize = 64;
 
 impl Entry {
@@ -137,42 +141,42 @@
     }
 }
 
-/// What must be durable before a vote or an acknowledgement is sent.
+/// Raft's persistent term and vote. They must be durable before a vote or an acknowledgement is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// The newest term seen.
+    /// The highest term seen.
     pub term: Term,
-    /// The process that this one voted for in that term.
+    /// The candidate that this process voted for in this term.
     pub vote: Option<NodeId>,
 }
 
-/// The point of the log at which a snapshot was taken.
+/// Position in the log at which a snapshot was taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotMeta {
-    /// The last entry it includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: Index,
     /// Term of that entry.
     pub term: Term,
-    /// The members as of that entry.
+    /// The membership as of that entry.
     pub membership: Membership,
 }
 
-/// State of the state machine as of one entry.
+/// Snapshot of the state machine as of one log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The point of the log at which it was taken.
+    /// Position in the log at which the snapshot was taken.
     pub meta: SnapshotMeta,
-    /// The state, opaque here.
+    /// The serialized state, opaque to this crate.
     pub data: Arc<Vec<u8>>,
 }
 
-/// What a disk gave back at start. All of it is durable.
+/// State restored from disk at startup. All of it is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// Term and vote.
+    /// Durable term and vote.
     pub hard_state: HardState,
-    /// The newest snapshot. The caller has restored its state machine from it already.
+    /// The latest snapshot. The caller has already restored its state machine from this snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries without gaps. They may begin before the snapshot's end.
+    /// Log entries without gaps. The first ones may already be included in the snapshot.
     pub entries: Vec<Entry>,
 }
--- a/crates/consensus/src/vote_tally.rs
+++ b/crates/consensus/src/vote_tally.rs
@@ -1,10 +1,10 @@
-//! The replies of one election, kept to tell why nobody is elected.
+//! The replies in one election, kept to report why no leader is elected.
 
 use std::collections::BTreeSet;
 
 use crate::types::NodeId;
 
-/// What one election has brought so far.
+/// The votes granted and rejected in one election so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct VoteTally {
     pub granted: BTreeSet<NodeId>,
@@ -12,7 +12,7 @@
 }
 
 impl VoteTally {
-    /// Whether any other process has replied.
+    /// Whether any process other than this one has replied.
     pub fn has_replies(&self, own_id: NodeId) -> bool {
         !self.rejected.is_empty() || self.granted.iter().any(|voter| *voter != own_id)
     }
--- a/crates/mutants/src/list/foundings.rs
+++ b/crates/mutants/src/list/foundings.rs
@@ -32,7 +32,7 @@
         name: "founding-beside-a-majority-of-voters",
         point: 3,
         file: "crates/consensus/src/founding.rs",
-        find: "            && group_has_no_majority\n",
+        find: "            && group_majority_offers\n",
         replace: "",
         test: "-p consensus --test founding",
     },
--- a/crates/mutants/src/list/snapshots.rs
+++ b/crates/mutants/src/list/snapshots.rs
@@ -40,8 +40,8 @@
             name: "snapshot-after-snapshot",
             point: 4,
             file: "crates/consensus/src/node.rs",
-            find: "usual.min(needed.unwrap_or(usual).max(furthest))",
-            replace: "usual.max(needed.unwrap_or(0).min(furthest).min(0))",
+            find: "default_point.min(needed.unwrap_or(default_point).max(lowest_point))",
+            replace: "default_point.max(needed.unwrap_or(0).min(lowest_point).min(0))",
             test: "-p consensus --test compaction a_follower_on_a_slow_link_needs_one_snapshot_though_others_are_taken_meanwhile",
         },
         Mutant {
