--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -16,14 +16,14 @@
         /// The leader stickiness is so short that leases could expire between two heartbeats, or so long that
         /// voters would campaign while other voters still reject vote requests.
         LeaderStickiness(stickiness: Duration, heartbeat: Duration, election_timeout: Duration) {
-            display("leader stickiness of {stickiness:?} must be at least two heartbeat intervals of {heartbeat:?} \
-                and at most the election timeout of {election_timeout:?}")
+            display("leader stickiness of {stickiness:?} must be at least two heartbeat intervals of \
+                {heartbeat:?} and at most the election timeout of {election_timeout:?}")
         }
         /// The lease margin leaves no time for a lease, or is too small for clocks that run at different
         /// rates.
         LeaseMargin(margin: Duration, stickiness: Duration) {
-            display("lease margin of {margin:?} must be at least 1/25 of the leader stickiness of {stickiness:?} \
-                and less than it")
+            display("lease margin of {margin:?} must be at least 1/25 of the leader stickiness of \
+                {stickiness:?} and less than it")
         }
         /// An option that must be positive is 0.
         Zero(name: &'static str) {
--- a/crates/consensus/tests/compaction.rs
+++ b/crates/consensus/tests/compaction.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn large_entries_behind_a_snapshot_are_retained_by_their_bytes() {
+fn compaction_limits_retained_entries_by_size() {
     let mut leader = leader_of_large_entries(100);
     assert!(retained_entries_of(&leader.node) > 100);
     take_snapshot(&mut leader);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_follows_a_snapshot_in_transfer_is_retained_within_a_bound() {
+fn retains_entries_after_a_snapshot_in_transfer() {
     let mut leader = leader_of_large_entries(20);
     let sent_index = take_snapshot(&mut leader);
     leader.wait(10);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_follower_on_a_slow_link_needs_one_snapshot_though_others_are_taken_meanwhile() {
+fn follower_on_a_slow_link_needs_only_one_snapshot() {
     let mut cluster = Cluster::started(3, 3, 4);
     cluster.configure = |options| {
         options.retained_entries = 2;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn chunks_that_are_lost_repeated_or_of_another_leader_never_make_a_wrong_snapshot() {
+fn chunks_that_are_lost_duplicated_or_from_another_leader_never_corrupt_a_snapshot() {
     let mut follower = Single::founder(3);
     let meta = consensus::SnapshotMeta { index: 50, term: 4, membership: support::single::voters(3) };
     let data: Vec<u8> = (0..100).collect();
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn two_snapshots_of_one_leader_are_not_mixed() {
+fn does_not_mix_two_snapshots_from_one_leader() {
     let mut follower = Single::founder(3);
     let mut restored = Vec::new();
     // The second one begins when a quarter of the first has come.
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn an_old_snapshot_replaces_nothing_newer() {
+fn old_snapshot_does_not_replace_newer_entries() {
     let mut follower = Single::founder(3);
     let entries = (2..=9).map(|index| support::single::entry(index, 2)).collect();
     follower.receive(2, support::single::append_request(2, (1, 1), entries, 9));
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_leader_of_an_old_term_that_sends_a_snapshot_learns_of_the_newer_one() {
+fn rejects_a_snapshot_from_a_stale_leader_with_the_higher_term() {
     let mut follower = Single::founder(3);
     follower.receive(2, support::single::append_request(5, (1, 1), vec![], 1));
     follower.persist();
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_leader_passes_on_the_snapshot_that_it_was_sent_itself() {
+fn leader_forwards_a_snapshot_that_it_received() {
     let mut node = Single::founder(3);
     node.receive(2, snapshot_chunk(2, 50, 2, vec![4; 10]));
     node.persist();
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_snapshot_counts_once_it_is_durable() {
+fn acknowledges_a_snapshot_only_once_it_is_durable() {
     let mut follower = Single::founder(3);
     follower.receive(2, support::single::append_request(2, (1, 1), vec![], 1));
     follower.persist();
--- a/crates/consensus/tests/elections.rs
+++ b/crates/consensus/tests/elections.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_vote_leaves_only_once_it_is_durable() {
+fn sends_a_vote_only_once_it_is_durable() {
     let mut voter = Single::founder(3);
     let outputs = voter.receive(2, vote_request(2, (1, 1), false, false));
     assert!(vote_replies(&outputs).is_empty(), "the vote leaves before it is durable");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_voter_votes_once_a_term() {
+fn votes_at_most_once_per_term() {
     let mut voter = Single::founder(3);
     voter.receive(2, vote_request(2, (1, 1), false, false));
     voter.persist();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_candidate_asks_for_votes_once_its_own_is_durable() {
+fn candidate_requests_votes_once_its_own_vote_is_durable() {
     let mut candidate = Single::founder(3);
     candidate.run_timer();
     let outputs = candidate.receive(2, vote_reply(2, true, true));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_pre_vote_changes_nothing_at_the_voter() {
+fn pre_vote_does_not_change_the_voters_term() {
     let mut voter = Single::founder(3);
     let outputs = voter.receive(2, vote_request(9, (1, 1), true, false));
     assert_eq!(vote_replies(&outputs), [VoteReply { term: 9, granted: true, pre_vote: true }]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn votes_are_rejected_while_a_leader_is_heard_from() {
+fn rejects_votes_while_hearing_from_a_leader() {
     let mut voter = Single::founder(3);
     voter.receive(2, append_request(2, (1, 1), vec![], 0));
     voter.persist();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn votes_are_rejected_after_a_restart() {
+fn rejects_votes_after_a_restart() {
     let mut voter = Single::with_entries(3, 2, &[(2, 2)]);
     let outputs = voter.receive(3, vote_request(3, (2, 2), true, false));
     assert!(vote_replies(&outputs).iter().all(|reply| !reply.granted));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_restarted_voter_takes_part_in_a_unanimous_election_at_once() {
+fn restarted_voter_grants_a_unanimous_vote_immediately() {
     for pre_vote in [true, false] {
         let mut voter = Single::with_entries(3, 2, &[(2, 2)]);
         let mut outputs = voter.receive(3, unanimous_request(3, (2, 3), pre_vote));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_restarted_voter_votes_for_no_candidate_with_a_shorter_log_or_the_same_and_a_greater_identity() {
+fn restarted_voter_rejects_a_unanimous_candidate_that_ranks_lower() {
     for last in [(1, 1), (2, 2)] {
         let mut voter = Single::with_entries(3, 2, &[(2, 2)]);
         let outputs = voter.receive(3, unanimous_request(3, last, true));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_leader_and_its_followers_vote_in_no_unanimous_election() {
+fn leader_and_followers_reject_unanimous_vote_requests() {
     let mut follower = Single::with_entries(3, 2, &[(2, 2)]);
     follower.receive(2, append_request(2, (2, 2), vec![], 0));
     follower.persist();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_majority_wins_no_unanimous_election() {
+fn majority_does_not_win_a_unanimous_election() {
     let mut candidate = Single::with_entries(3, 2, &[(2, 2)]);
     candidate.run_timer();
     candidate.receive(2, vote_reply(3, true, true));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_group_that_lost_power_on_all_machines_has_a_leader_before_the_leader_stickiness_ends() {
+fn elects_a_leader_within_200_ms_after_power_loss_of_all_machines() {
     for seed in 0..20 {
         let mut cluster = Cluster::started(3, 3, seed);
         cluster.run_for(2 * SECOND);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_voter_whose_disk_is_lost_is_missing_for_unanimity() {
+fn unanimous_election_needs_the_voter_whose_disk_is_lost() {
     for seed in 0..20 {
         let mut cluster = Cluster::started(3, 3, seed);
         cluster.run_for(2 * SECOND);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_unanimous_election_needs_each_voter_also_after_refused_connections() {
+fn unanimous_election_needs_every_voter_despite_refused_connections() {
     let mut candidate = Single::with_entries(3, 2, &[(2, 2)]);
     candidate.handle(Event::PeerDown { peer: 3 });
     candidate.run_timer();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_refused_connection_does_not_end_the_leader_stickiness() {
+fn refused_connection_does_not_end_leader_stickiness() {
     let mut voter = Single::founder(3);
     voter.receive(2, append_request(2, (1, 1), vec![], 0));
     voter.persist();
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_leader_behind_a_filter_that_refuses_connections_keeps_the_only_lease() {
+fn no_second_lease_while_connections_to_the_leader_are_refused() {
     for seed in 0..20 {
         let mut cluster = Cluster::started(3, 3, seed);
         cluster.run_for(2 * SECOND);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_group_with_a_missing_voter_waits_for_leases() {
+fn election_with_a_missing_voter_waits_for_lease_expiry() {
     for seed in 0..20 {
         let mut cluster = Cluster::started(3, 3, seed);
         cluster.run_for(2 * SECOND);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_transfer_overrides_the_leader_stickiness() {
+fn leadership_transfer_overrides_leader_stickiness() {
     let mut voter = Single::founder(3);
     voter.receive(2, append_request(2, (1, 1), vec![], 0));
     voter.receive(3, vote_request(3, (1, 1), false, true));
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_candidate_with_a_shorter_log_gets_no_vote() {
+fn rejects_a_candidate_with_an_outdated_log() {
     let mut voter = Single::with_entries(3, 2, &[(2, 2)]);
     voter.wait(600);
     let outputs = voter.receive(3, vote_request(3, (1, 9), true, false));
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn votes_that_come_after_the_election_timed_out_do_not_count() {
+fn ignores_votes_that_arrive_after_the_election_timeout() {
     let mut candidate = Single::founder(3);
     candidate.run_timer();
     candidate.receive(2, vote_reply(2, true, true));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_the_sending_of_the_answered_message() {
+fn lease_counts_from_the_send_time_of_the_acknowledged_message() {
     let mut leader = Single::leader(3);
     leader.run_timer();
     let leader_clock = leader.now;
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_no_majority_steps_down() {
+fn leader_steps_down_without_contact_to_a_majority() {
     let mut leader = Single::leader(3);
     let mut outputs = Vec::new();
     for _ in 0..7 {
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_leader_that_was_frozen_steps_down_before_it_does_anything_else() {
+fn frozen_leader_steps_down_before_it_handles_a_proposal() {
     let mut leader = Single::leader(3);
     leader.wait(5_000);
     let outputs = leader.handle(Event::Propose { payload: vec![1] });
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_busy_leader_reads_pending_replies_before_it_steps_down() {
+fn busy_leader_handles_pending_replies_before_it_steps_down() {
     let mut leader = Single::leader(3);
     let term = leader.node.term();
     let leader_clock = leader.now;
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_timer_that_runs_late_gives_replies_one_more_interval() {
+fn late_timer_run_extends_the_quorum_timeout_once() {
     let mut leader = Single::leader(3);
     leader.wait(400);
     assert!(!leader.handle(Event::Tick).contains(&Output::SteppedDown));
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_transfer_ends_the_lease_before_timeout_now_leaves() {
+fn transfer_ends_the_lease_before_timeout_now_is_sent() {
     let mut leader = Single::leader(3);
     let term = leader.node.term();
     let outputs = leader.handle(Event::Transfer);
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn after_timeout_now_a_leader_never_has_a_lease_again_in_its_term() {
+fn no_lease_after_timeout_now_in_the_same_term() {
     let mut leader = Single::leader(3);
     let term = leader.node.term();
     leader.handle(Event::Transfer);
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_transfer_to_a_follower_that_does_not_catch_up_times_out() {
+fn transfer_to_a_lagging_follower_times_out() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Propose { payload: vec![1] });
     let outputs = leader.handle(Event::Transfer);
@@ -367,7 +367,7 @@
 
 /// The caller takes the command for proposed. If the leader went on, what follows would be applied without it.
 #[test]
-fn a_transfer_that_times_out_after_a_dropped_proposal_ends_the_leadership() {
+fn leader_steps_down_when_a_transfer_with_a_dropped_proposal_times_out() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Propose { payload: vec![1] });
     leader.handle(Event::Transfer);
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn timeout_now_of_an_earlier_leader_starts_no_election() {
+fn ignores_timeout_now_from_an_earlier_leader() {
     let mut follower = Single::founder(3);
     follower.receive(2, append_request(3, (1, 1), vec![], 0));
     follower.persist();
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_higher_term_of_a_non_member_does_not_end_a_leadership() {
+fn leader_ignores_the_higher_term_of_a_non_member() {
     let mut leader = Single::leader(3);
     leader.receive(99, append_refusal(50, 1, 0));
     leader.receive(99, vote_request(50, (1, 1), false, false));
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn a_single_voter_leads_alone() {
+fn single_voter_becomes_leader() {
     let mut cluster = Cluster::new(1, 1, 1);
     cluster.configure = |options| options.target_voters = 1;
     cluster.start(0);
@@ -419,13 +419,13 @@
 }
 
 #[test]
-fn a_new_group_waits_for_no_leader_stickiness() {
+fn new_group_elects_a_leader_without_waiting_for_leader_stickiness() {
     let mut cluster = Cluster::started(3, 3, 1);
     assert!(cluster.run_until(600 * MILLISECOND, |cluster| cluster.leader().is_some()));
 }
 
 #[test]
-fn a_member_that_was_isolated_does_not_disturb_the_leader_when_it_returns() {
+fn returning_isolated_member_does_not_disrupt_the_leader() {
     let mut cluster = Cluster::started(3, 3, 5);
     cluster.run_for(2 * SECOND);
     let leader = cluster.leader().expect("a leader");
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn another_leads_soon_after_a_leader_ends() {
+fn new_leader_within_3_s_after_the_leader_loses_power() {
     let mut cluster = Cluster::started(3, 3, 6);
     cluster.run_for(2 * SECOND);
     let leader = cluster.leader().expect("a leader");
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn a_transfer_takes_milliseconds() {
+fn leadership_transfer_completes_within_100_ms() {
     let mut cluster = Cluster::started(3, 3, 7);
     cluster.run_for(2 * SECOND);
     let leader = cluster.leader().expect("a leader");
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn a_leader_whose_disk_stalls_transfers_leadership() {
+fn leader_with_a_stalled_disk_transfers_leadership() {
     let mut cluster = Cluster::started(3, 3, 8);
     cluster.run_for(2 * SECOND);
     let leader = cluster.leader().expect("a leader");
@@ -476,7 +476,7 @@
 }
 
 #[test]
-fn a_stalled_follower_does_not_cost_the_lease() {
+fn leader_keeps_its_lease_while_a_followers_disk_is_stalled() {
     let mut cluster = Cluster::started(3, 3, 9);
     cluster.run_for(2 * SECOND);
     let leader = cluster.leader().expect("a leader");
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn a_process_that_grants_a_pre_vote_postpones_its_campaign() {
+fn granting_a_pre_vote_postpones_the_own_campaign() {
     let mut voter = Single::founder(3);
     voter.receive(2, append_request(2, (1, 1), vec![], 0));
     voter.persist();
@@ -504,7 +504,7 @@
 }
 
 #[test]
-fn a_leader_whose_process_has_ended_is_replaced_once_its_lease_must_have_ended() {
+fn campaigns_at_lease_expiry_after_the_leader_process_exits() {
     let mut voter = Single::founder(3);
     voter.receive(2, append_request(2, (1, 1), vec![], 0));
     voter.persist();
@@ -528,7 +528,7 @@
 }
 
 #[test]
-fn a_leader_that_is_heard_from_again_was_not_down() {
+fn message_from_the_leader_ends_the_short_campaign_intervals() {
     let mut voter = Single::founder(3);
     voter.receive(2, append_request(2, (1, 1), vec![], 0));
     voter.handle(Event::PeerDown { peer: 2 });
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn another_leads_right_after_the_lease_of_a_killed_leader() {
+fn new_leader_within_250_ms_after_the_leader_is_killed() {
     for seed in 0..20 {
         let mut cluster = Cluster::started(3, 3, seed);
         cluster.run_for(2 * SECOND);
@@ -560,7 +560,7 @@
 }
 
 #[test]
-fn a_leader_without_a_committed_entry_of_its_term_has_no_lease() {
+fn no_lease_before_an_entry_of_the_term_is_committed() {
     let mut leader = Single::founder(3);
     leader.win(&[2]);
     let reply = append_reply(leader.node.term(), 1, leader.now);
@@ -572,7 +572,7 @@
 }
 
 #[test]
-fn a_second_request_to_transfer_leadership_changes_nothing() {
+fn second_transfer_request_has_no_effect() {
     let mut leader = Single::leader(3);
     let outputs = leader.handle(Event::Transfer);
     assert!(
@@ -593,7 +593,7 @@
 }
 
 #[test]
-fn a_candidate_that_hears_from_the_leader_of_its_term_counts_no_more_votes() {
+fn candidate_ignores_votes_after_a_message_from_the_leader_of_its_term() {
     let mut candidate = Single::founder(5);
     candidate.run_timer();
     [2, 3].into_iter().for_each(|voter| drop(candidate.receive(voter, vote_reply(2, true, true))));
@@ -608,7 +608,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_from_a_leader_of_a_newer_term_follows_it() {
+fn leader_follows_a_leader_with_a_higher_term() {
     let mut leader = Single::leader(3);
     let newer = leader.node.term() + 1;
     let last = (leader.node.term(), leader.node.last_index());
@@ -620,7 +620,7 @@
 /// Process 1 alone has written that it is a learner from now on: 2 and 3, whose logs are shorter, need its vote. It
 /// campaigns, and wins with both of theirs, since its own does not count.
 #[test]
-fn a_voter_that_alone_has_written_its_demotion_campaigns_without_a_vote_of_its_own() {
+fn voter_with_an_uncommitted_demotion_campaigns_without_its_own_vote() {
     let mut restored = Node::bootstrap(voters(3));
     let demotion = Payload::Membership(voters(3).without_vote_of(1));
     restored.entries.push(Entry { index: 2, term: 1, payload: demotion });
--- a/crates/consensus/tests/fault_placements.rs
+++ b/crates/consensus/tests/fault_placements.rs
@@ -234,19 +234,19 @@
 }
 
 #[test]
-fn every_single_fault_before_every_event_is_survived() {
+fn survives_every_single_fault_before_every_event() {
     let bounds = Bounds { first: if is_large() { 400 } else { 90 }, second: 0 };
     report("one fault", &search(running_group(|_| {}), bounds));
 }
 
 #[test]
-fn every_pair_of_faults_close_together_is_survived() {
+fn survives_every_pair_of_faults_close_together() {
     let bounds = if is_large() { Bounds { first: 60, second: 60 } } else { Bounds { first: 3, second: 3 } };
     report("two faults", &search(running_group(|_| {}), bounds));
 }
 
 #[test]
-fn every_pair_of_faults_around_the_first_election_is_survived() {
+fn survives_every_pair_of_faults_around_the_first_election() {
     let bounds = if is_large() { Bounds { first: 40, second: 60 } } else { Bounds { first: 4, second: 2 } };
     let mut cluster = Cluster::new(FOUNDERS, MACHINES, 9);
     cluster.conditions = Conditions::EVEN;
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn every_pair_of_faults_while_a_disk_is_replaced_is_survived() {
+fn survives_every_pair_of_faults_during_a_disk_replacement() {
     let bounds = if is_large() { Bounds { first: 60, second: 30 } } else { Bounds { first: 12, second: 0 } };
     let mut cluster = running_group(|options| options.retained_entries = 1);
     for _ in 0..30 {
@@ -271,7 +271,7 @@
 /// A silent voter is replaced by the spare and returns: there is a voter too many, one becomes a learner again, and the
 /// group goes on. Faults come from the moment on at which the voter returns.
 #[test]
-fn every_pair_of_faults_while_a_voter_is_demoted_is_survived() {
+fn survives_every_pair_of_faults_during_a_demotion() {
     let bounds = if is_large() { Bounds { first: 120, second: 12 } } else { Bounds { first: 30, second: 0 } };
     let mut cluster = running_group(|_| {});
     cluster.start(SPARE);
--- a/crates/consensus/tests/founding.rs
+++ b/crates/consensus/tests/founding.rs
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn seeds_found_a_group_and_the_proposer_is_the_last() {
+fn seeds_found_a_group_and_the_proposer_founds_last() {
     let mut site = Site::new(&[1, 2, 3, 4], &[1, 2, 3], 2);
     site.run_until(1_900 * MS);
     assert!(site.founded.is_empty(), "a group that exists has time to be heard");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_seed_that_has_had_a_part_in_a_group_prevents_a_founding() {
+fn seed_with_commands_prevents_a_founding() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 2);
     site.process(3).restored = with_command();
     site.run_until(LONG);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_seed_that_is_silent_prevents_a_founding() {
+fn silent_seed_prevents_a_founding() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 1);
     site.process(2).is_silent = true;
     site.run_until(LONG);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn any_connected_core_process_that_does_not_offer_prevents_a_founding() {
+fn connected_process_that_does_not_offer_prevents_a_founding() {
     let mut site = Site::new(&[1, 2, 3, 4], &[1, 2, 3], 1);
     site.process(4).restored = with_command();
     site.run_until(LONG);
@@ -195,7 +195,7 @@
 
 /// A machine that has lost power, or is gone for good, leaves its connection open.
 #[test]
-fn a_connection_on_which_nothing_comes_does_not_prevent_a_founding() {
+fn silent_connection_does_not_prevent_a_founding() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 1);
     for machine in 1..=3 {
         site.process(machine).open_connections.insert((900, address(9)));
@@ -206,7 +206,7 @@
 
 /// A process that has just connected may not have received an offer yet.
 #[test]
-fn a_process_that_has_just_connected_prevents_a_founding_until_it_is_silent() {
+fn new_connection_prevents_a_founding_until_the_silence_timeout() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 1);
     let mut connected_at = 0;
     while site.now < 1_900 * MS {
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn more_processes_offer_than_disks_may_be_lost() {
+fn founding_needs_more_offers_than_tolerated_disk_losses() {
     let mut site = Site::new(&[1, 2, 3, 4], &[1, 2, 3], 3);
     site.process(4).is_silent = true;
     site.run_until(LONG);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn seeds_with_other_seeds_in_their_settings_do_not_agree() {
+fn seeds_with_different_seed_settings_do_not_found_a_group() {
     let mut site = Site::new(&[1, 2, 3, 4], &[1, 2, 3], 1);
     site.process(2).founding.set_seeds(seeds(&[2, 3, 4]));
     site.run_until(LONG);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_leader_that_was_heard_of_prevents_a_founding_for_a_while() {
+fn known_leader_prevents_a_founding_until_the_notice_expires() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 1);
     site.process(2).founding.handle_leader(0, &Membership { members: vec![member(9, 9)] });
     site.run_until(9_900 * MS);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_proposal_is_refused_unless_every_member_offers_that_identity_now() {
+fn rejects_a_proposal_unless_every_member_has_offered_its_identity() {
     let all = vec![member(1, 201), member(2, 202), member(3, 203)];
     let mut proposals = vec![all.clone(); 4];
     proposals[0][0].id = 301;
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_founding_that_stayed_alone_is_replaced() {
+fn incomplete_founding_is_replaced() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 1);
     site.process(2).restored = Node::bootstrap(founders());
     site.run_until(3 * SECOND);
@@ -285,7 +285,7 @@
 /// The other founders have gone on without one whose machine was lost, and one of their disks was lost since: the one that
 /// is left prevents a founding, whether it is a seed or not.
 #[test]
-fn a_member_with_a_command_prevents_the_founding_of_a_founder_that_was_away() {
+fn member_with_a_command_prevents_a_founding_by_a_returning_founder() {
     for seed_machines in [[1, 2, 4], [2, 4, 5]] {
         let mut site = Site::new(&[1, 2, 4, 5], &seed_machines, 1);
         site.process(2).restored = Node::bootstrap(founders());
@@ -298,7 +298,7 @@
 /// Voter 2 acknowledged the leader's first entry. The others, which do not reach it, may have taken commands since; once
 /// a majority of the voters offers, none was committed.
 #[test]
-fn a_confirmed_voter_founds_anew_only_with_a_majority_of_its_voters() {
+fn confirmed_voter_founds_again_only_with_a_majority_of_its_group() {
     let confirmed = || {
         let mut restored = Node::bootstrap(founders());
         restored.entries.push(entry(2, Payload::Noop));
@@ -318,7 +318,7 @@
 /// A founder wrote its first log and heard of nobody since. The second founder has lost its identity, and the third is
 /// gone for good: another machine has taken its place, also among the seeds.
 #[test]
-fn a_lone_founder_founds_anew_though_another_founder_is_gone_for_good() {
+fn lone_founder_founds_again_when_another_founder_is_removed() {
     let mut site = Site::new(&[1, 2, 4], &[1, 2, 4], 1);
     site.process(2).restored = Node::bootstrap(founders());
     site.run_until(3 * SECOND);
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_proposer_founds_late_if_the_others_already_have_a_leader() {
+fn proposer_founds_when_the_other_seeds_have_a_leader() {
     let mut site = Site::new(&[1, 2, 3], &[1, 2, 3], 1);
     let mut proposed = None;
     while proposed.is_none() {
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn a_lone_founder_gives_way_once_it_has_waited_for_a_leader() {
+fn lone_founder_abandons_its_group_after_waiting_for_a_leader() {
     let founding = ready_founding();
     let (lone, other) = (voter_two(false), group(&[4, 5], false));
     assert!(!founding.should_abandon_group(SECOND, &lone, &other));
@@ -396,7 +396,7 @@
 
 /// Voters 1 and 3 may have taken commands with what voter 2 acknowledged.
 #[test]
-fn a_confirmed_voter_stays_unless_the_others_have_moved() {
+fn confirmed_voter_stays_unless_a_majority_of_its_group_has_moved() {
     let founding = ready_founding();
     let confirmed = voter_two(true);
     assert!(!founding.should_abandon_group(3 * SECOND, &confirmed, &group(&[4, 5], false)));
@@ -407,7 +407,7 @@
 
 /// Of two groups with leaders and without commands exactly one gives way.
 #[test]
-fn one_of_two_groups_without_commands_gives_way() {
+fn exactly_one_of_two_groups_without_commands_is_abandoned() {
     let follower_of = |leader: NodeId, membership: Membership| {
         let id = membership.members[1].id;
         let mut options = Options::new(id);
@@ -458,7 +458,7 @@
 
 /// Neither a vote nor an entry without a command shows that anything was acknowledged.
 #[test]
-fn a_process_is_uninitialized_until_it_holds_a_command() {
+fn process_is_uninitialized_until_it_holds_a_command() {
     assert!(node(5, Restored::default()).is_uninitialized());
     for vote in [None, Some(1), Some(2)] {
         let hard_state = HardState { term: 3, vote };
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn a_process_with_a_snapshot_or_a_leader_is_not_uninitialized() {
+fn process_with_a_snapshot_or_a_leader_is_not_uninitialized() {
     let meta = SnapshotMeta { index: 9, term: 2, membership: founders() };
     let snapshot = Snapshot { meta, data: Arc::new(Vec::new()) };
     let hard_state = HardState { term: 2, vote: None };
--- a/crates/consensus/tests/founding_under_faults.rs
+++ b/crates/consensus/tests/founding_under_faults.rs
@@ -90,22 +90,22 @@
 }
 
 #[test]
-fn three_machines_come_to_one_group_whatever_strikes_their_first_start() {
+fn three_machines_form_one_group_despite_faults_during_the_first_start() {
     play_drawn(LAYOUTS[0]);
 }
 
 #[test]
-fn four_machines_come_to_one_group_whatever_strikes_their_first_start() {
+fn four_machines_form_one_group_despite_faults_during_the_first_start() {
     play_drawn(LAYOUTS[1]);
 }
 
 #[test]
-fn five_machines_come_to_one_group_whatever_strikes_their_first_start() {
+fn five_machines_form_one_group_despite_faults_during_the_first_start() {
     play_drawn(LAYOUTS[2]);
 }
 
 #[test]
-fn nine_machines_come_to_one_group_whatever_strikes_their_first_start() {
+fn nine_machines_form_one_group_despite_faults_during_the_first_start() {
     play_drawn(LAYOUTS[3]);
 }
 
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn two_groups_without_commands_become_one() {
+fn two_groups_without_commands_merge() {
     for seed in 1..=20 {
         play(LAYOUTS[2], seed, &cut_off_seeds(&[2, 3, 4], [2, 3, 4]));
     }
 }
 
 #[test]
-fn a_group_without_commands_joins_one_that_takes_them() {
+fn group_without_commands_joins_a_group_that_accepts_commands() {
     for seed in 1..=20 {
         play(LAYOUTS[3], seed, &cut_off_seeds(&[5, 6, 7, 8], [5, 6, 7]));
     }
--- a/crates/consensus/tests/group_growth.rs
+++ b/crates/consensus/tests/group_growth.rs
@@ -37,7 +37,7 @@
 /// Two of three founders write the first log; the third ends before it has, and comes back as another member. Once a
 /// command is committed, the disk of the leader is lost, which a group of three is to bear.
 #[test]
-fn a_founder_that_lost_its_identity_is_no_voter_that_makes_up_for_a_lost_disk() {
+fn group_with_a_lost_founder_identity_survives_a_lost_disk() {
     for seed in 1..=20 {
         let mut cluster = Cluster::new(3, 3, seed);
         cluster.wipe(2);
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn a_group_with_the_wanted_voters_takes_commands_at_once() {
+fn group_with_the_target_number_of_voters_accepts_commands_immediately() {
     let mut single = founder(5, &[]);
     assert!(lead(&mut single, 5));
 }
 
 /// A voter whose disk is slow acknowledges what it had before: that it holds the leader's entry is not known.
 #[test]
-fn an_acknowledgement_of_the_founding_alone_confirms_no_voter() {
+fn acknowledging_only_the_bootstrap_entry_does_not_confirm_a_voter() {
     let mut single = founder(5, &[]);
     single.win(&[2, 3, 4]);
     assert!(!acknowledged(&mut single, &[2, 3, 4]));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_new_group_grows_before_it_takes_commands() {
+fn new_group_grows_before_it_accepts_commands() {
     let mut single = founder(3, &[]);
     assert!(!lead(&mut single, 3), "two lost disks would take a majority of three voters");
     for id in [4, 5] {
@@ -109,7 +109,7 @@
 
 /// A machine that cannot be reached may have nothing on its disk, so that no time limit stands in for it.
 #[test]
-fn a_new_group_waits_for_its_voters_however_long() {
+fn new_group_waits_for_its_voters_without_a_timeout() {
     let mut single = founder(3, &[]);
     assert!(!lead(&mut single, 3));
     for _ in 0..1_000 {
@@ -123,13 +123,13 @@
 }
 
 #[test]
-fn a_group_that_holds_commands_does_not_wait() {
+fn group_with_commands_does_not_wait_for_more_voters() {
     let mut single = founder(3, &[(2, 1)]);
     assert!(lead(&mut single, 3));
 }
 
 #[test]
-fn a_process_without_commands_holds_nothing_of_the_group() {
+fn process_without_commands_and_leader_is_uninitialized() {
     let mut single = founder(3, &[]);
     lead(&mut single, 3);
     assert!(!single.node.is_uninitialized(), "it leads");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn entries_of_two_foundings_are_told_apart() {
+fn entries_of_different_foundings_have_different_terms() {
     let first = Node::bootstrap(voters(3));
     let again = Node::bootstrap_again(voters(3));
     let mut other_members = voters(3);
--- a/crates/consensus/tests/hostile_messages.rs
+++ b/crates/consensus/tests/hostile_messages.rs
@@ -141,15 +141,15 @@
 }
 
 quickcheck! {
-    fn a_follower_tolerates_any_message(events: Vec<Hostile>) -> bool {
+    fn follower_tolerates_any_message(events: Vec<Hostile>) -> bool {
         tolerates(Single::founder(3), events)
     }
 
-    fn a_leader_tolerates_any_message(events: Vec<Hostile>) -> bool {
+    fn leader_tolerates_any_message(events: Vec<Hostile>) -> bool {
         tolerates(Single::leader(3), events)
     }
 
-    fn a_single_voter_tolerates_any_message(events: Vec<Hostile>) -> bool {
+    fn single_voter_tolerates_any_message(events: Vec<Hostile>) -> bool {
         tolerates(Single::leader(1), events)
     }
 }
--- a/crates/consensus/tests/leadership_obstacle.rs
+++ b/crates/consensus/tests/leadership_obstacle.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_candidate_names_whose_vote_is_missing() {
+fn reports_which_votes_are_missing() {
     let mut single = Single::founder(5);
     single.wait(600);
     single.handle(Event::Tick);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_leader_of_a_new_group_names_the_voters_that_are_not_confirmed() {
+fn reports_unconfirmed_voters_of_a_new_group() {
     let mut single = Single::founder(3);
     single.win(&[2]);
     single.persist();
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn a_process_without_a_membership_is_no_member() {
+fn reports_a_process_without_membership_as_no_member() {
     let node = Node::new(Options::new(7), Restored::default(), SECOND, 1);
     assert_eq!(node.leadership_obstacle(), Some(LeadershipObstacle::NotMember));
 }
 
 #[test]
-fn a_learner_does_not_campaign() {
+fn reports_a_learner_that_does_not_campaign() {
     let mut membership = voters(4);
     membership.members[0].voter = false;
     let single = Single::restored(Node::bootstrap(membership));
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_machine_without_a_disk_returns_as_a_voter_under_a_new_identity() {
+fn machine_with_a_lost_disk_rejoins_as_a_voter_with_a_new_identity() {
     let mut cluster = led(3, 3, 1);
     let lost = (cluster.leader().expect("a leader") + 1) % 3;
     let before = cluster.id(lost);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_lost_voter_stays_until_its_successor_has_caught_up() {
+fn lost_voter_stays_until_its_successor_has_caught_up() {
     let mut leader = Single::leader(3);
     let dead = voters(3).members[1].clone();
     leader.handle(Event::Join { member: joiner(77, &dead.address) });
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_responsive_voter_is_not_replaced_by_a_joiner_at_its_address() {
+fn responsive_voter_is_not_replaced_by_a_joiner_at_its_address() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Join { member: joiner(77, "machine-2") });
     for _ in 0..20 {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn one_change_waits_for_the_one_before_it() {
+fn membership_change_waits_for_the_previous_one() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Join { member: joiner(77, "machine-7") });
     leader.handle(Event::Join { member: joiner(88, "machine-8") });
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn no_member_is_added_before_the_first_entry_of_the_term_is_committed() {
+fn adds_no_member_before_the_first_entry_of_the_term_is_committed() {
     let mut leader = Single::founder(3);
     leader.win(&[2]);
     leader.handle(Event::Join { member: joiner(77, "machine-7") });
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_membership_whose_entry_is_truncated_is_taken_back() {
+fn membership_is_reverted_when_its_entry_is_truncated() {
     let mut follower = Single::founder(3);
     let mut changed = entry(2, 2);
     changed.payload = consensus::Payload::Membership(voters(4));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_unresponsive_voter_is_replaced_by_a_caught_up_learner() {
+fn unresponsive_voter_is_replaced_by_a_caught_up_learner() {
     let mut cluster = led(3, 4, 2);
     cluster.start(3);
     cluster.run_for(2 * SECOND);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_removed_member_is_notified_and_joins_again() {
+fn removed_member_is_notified_and_rejoins() {
     let mut cluster = led(3, 4, 3);
     cluster.start(3);
     cluster.run_for(2 * SECOND);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_removed_member_learns_it_from_the_log() {
+fn removed_member_learns_of_its_removal_from_the_log() {
     let mut follower = Single::founder(3);
     let mut without = entry(2, 2);
     without.payload = consensus::Payload::Membership(voters(3).without(1));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_non_member_that_asks_for_votes_is_sent_the_log() {
+fn non_member_that_requests_votes_is_sent_the_log() {
     let mut leader = Single::leader(3);
     let outputs = leader.receive(99, support::single::vote_request(2, (1, 1), true, false));
     let shown = |(to, message): &(u64, Message)| *to == 99 && matches!(message, Message::AppendRequest(_));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_learner_that_never_responds_is_removed() {
+fn learner_that_never_responds_is_removed() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Join { member: joiner(77, "machine-7") });
     for _ in 0..120 {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn learners_count_for_no_majority() {
+fn learner_acknowledgements_do_not_commit_entries() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Join { member: joiner(77, "machine-7") });
     leader.persist();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_non_member_does_not_campaign() {
+fn non_member_does_not_campaign() {
     let mut outsider = Single::restored(consensus::Restored::default());
     for _ in 0..5 {
         assert!(outsider.run_timer().is_empty());
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_follower_far_behind_gets_a_snapshot() {
+fn follower_far_behind_receives_a_snapshot() {
     let mut cluster = led(3, 3, 4);
     let behind = (cluster.leader().expect("a leader") + 1) % 3;
     cluster.lose_power(behind);
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_follower_a_little_behind_needs_no_snapshot() {
+fn follower_slightly_behind_needs_no_snapshot() {
     let mut cluster = led(3, 3, 5);
     cluster.configure = |options| options.retained_entries = 1_000;
     (0..3).for_each(|slot| cluster.lose_power(slot));
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn the_log_is_compacted_after_a_snapshot() {
+fn log_is_compacted_after_a_snapshot() {
     let mut cluster = led(1, 1, 6);
     for _ in 0..100 {
         assert!(cluster.propose(20));
--- a/crates/consensus/tests/membership_rules.rs
+++ b/crates/consensus/tests/membership_rules.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_learner_that_lacks_entries_becomes_no_voter() {
+fn learner_that_lacks_entries_is_not_promoted() {
     for learner_has in [0, 1, Options::new(1).promotion_gap] {
         let mut leader = leader_with_a_learner();
         wait_until_a_voter_is_unresponsive(&mut leader, learner_has);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_learner_that_has_the_log_replaces_an_unresponsive_voter() {
+fn caught_up_learner_replaces_an_unresponsive_voter() {
     let mut leader = leader_with_a_learner();
     let last = leader.node.last_index();
     wait_until_a_voter_is_unresponsive(&mut leader, last);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn responsive_voters_stay_whatever_learners_there_are() {
+fn learners_do_not_replace_responsive_voters() {
     let mut leader = leader_with_a_learner();
     for round in 0..100 {
         leader.run_timer();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_new_leader_changes_no_members_before_its_first_entry_is_committed() {
+fn new_leader_changes_no_members_before_its_first_entry_is_committed() {
     let mut leader = Single::founder(3);
     leader.receive(2, append_request(2, (1, 1), vec![entry(2, 2)], 2));
     leader.persist();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn learners_count_neither_for_a_majority_nor_for_its_size() {
+fn learners_do_not_count_towards_majorities() {
     let mut leader = Single::leader(3);
     for learner in [77, 88] {
         leader.handle(Event::Join { member: joiner(learner, &format!("machine-{learner}")) });
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn members_do_not_change_while_leadership_is_transferred() {
+fn no_membership_change_during_a_leadership_transfer() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Propose { payload: vec![1] });
     leader.handle(Event::Transfer);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_second_machine_may_fail_as_soon_as_the_first_one_is_replaced() {
+fn survives_a_second_disk_loss_once_the_first_machine_is_replaced() {
     for seed in 0..8 {
         let (mut cluster, first) = group_with_a_learner(seed);
         cluster.wipe(first);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn at_every_moment_of_a_replacement_a_machine_may_lose_power() {
+fn survives_power_loss_at_any_time_during_a_replacement() {
     for milliseconds in (0..4_000).step_by(40) {
         let (mut cluster, first) = group_with_a_learner(1);
         cluster.wipe(first);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn two_of_five_may_lose_their_disks_at_once_and_two_more_once_they_are_replaced() {
+fn five_voters_survive_two_disk_losses_twice() {
     for seed in 0..6 {
         let mut cluster = Cluster::new(5, 5, seed);
         cluster.configure = |options| options.target_voters = 5;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_member_that_asks_again_changes_nothing_and_one_with_new_addresses_is_updated() {
+fn repeated_join_has_no_effect_unless_addresses_change() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Join { member: joiner(77, "machine-7") });
     leader.persist();
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_surplus_voter_becomes_a_learner_again_when_the_unresponsive_one_returns() {
+fn surplus_voter_is_demoted_when_the_unresponsive_voter_returns() {
     let mut leader = leader_with_a_learner();
     let mut rounds = 0;
     loop {
--- a/crates/consensus/tests/random_faults.rs
+++ b/crates/consensus/tests/random_faults.rs
@@ -209,17 +209,17 @@
         true
     }
 
-    fn random_faults_with_a_lossy_network_are_survived(seed: u64, actions: Vec<Action>) -> bool {
+    fn three_founders_survive_random_faults_on_a_lossy_network(seed: u64, actions: Vec<Action>) -> bool {
         survives(3, Conditions::ROUGH, seed, actions);
         true
     }
 
-    fn random_faults_with_late_messages_are_survived(seed: u64, actions: Vec<Action>) -> bool {
+    fn five_founders_survive_random_faults_with_late_messages(seed: u64, actions: Vec<Action>) -> bool {
         survives(5, Conditions::LATE, seed, actions);
         true
     }
 
-    fn random_faults_with_slow_disks_are_survived(seed: u64, actions: Vec<Action>) -> bool {
+    fn three_founders_survive_random_faults_with_slow_disks(seed: u64, actions: Vec<Action>) -> bool {
         survives(3, Conditions::SLOW_DISKS, seed, actions);
         true
     }
@@ -230,7 +230,7 @@
 /// whose logs are shorter, so that nobody is elected. Ongaro's thesis (4.2.2) lets a server campaign that is no voter of
 /// its own newest configuration.
 #[test]
-fn a_demotion_that_only_the_demoted_voter_has_written_does_not_stop_elections() {
+fn uncommitted_demotion_does_not_block_elections() {
     use Action::{
         CutPair, Propose, RestartAfterPowerLoss, RestartAllAfterPowerLoss, Run, StartAll, Transfer, Wipe,
     };
@@ -257,7 +257,7 @@
 /// A script that 20,000 drawn ones held. After two disks are lost, one of them that of a spare which had just joined,
 /// nobody is elected. Not traced yet: the second loss may come while the first is still being made up for.
 #[test]
-fn a_spare_and_a_voter_that_lose_their_disks_do_not_stop_elections() {
+fn disk_losses_of_a_new_spare_and_a_voter_do_not_block_elections() {
     use Action::{LosePower, Run, Start, Transfer, Wipe};
     let actions = vec![
         LosePower { slot: 1 },
@@ -275,7 +275,7 @@
 /// acknowledgements that it finds then, and is announced as the leader though another has committed more. It holds no
 /// lease, so that it answers nothing.
 #[test]
-fn a_leader_that_stood_still_is_not_announced_without_a_lease() {
+fn frozen_leader_is_not_announced_without_a_lease() {
     use Action::{CutPair, Freeze, Heal, Propose, Run};
     let actions = vec![
         Action::Conditions { kind: 3 },
--- a/crates/consensus/tests/replication.rs
+++ b/crates/consensus/tests/replication.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn entries_are_acknowledged_once_they_are_durable() {
+fn acknowledges_entries_once_they_are_durable() {
     let mut follower = Single::founder(3);
     let outputs = follower.receive(2, append_request(2, (1, 1), vec![entry(2, 2)], 0));
     assert!(append_replies(&outputs).is_empty());
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_stalled_disk_delays_no_reply_to_a_heartbeat() {
+fn stalled_disk_does_not_delay_heartbeat_replies() {
     let mut follower = Single::founder(3);
     follower.receive(2, append_request(2, (1, 1), vec![], 0));
     follower.persist();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_leader_sends_before_its_disk_has_finished_and_counts_itself_after() {
+fn leader_replicates_before_its_own_write_is_durable() {
     let mut leader = Single::leader(3);
     let outputs = leader.handle(Event::Propose { payload: vec![1] });
     let index = leader.node.last_index();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn two_followers_are_a_majority_without_the_leaders_disk() {
+fn two_followers_commit_without_the_leaders_disk() {
     let mut leader = Single::leader(3);
     leader.handle(Event::Propose { payload: vec![1] });
     leader.acknowledge(2);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_earlier_terms_entries_are_committed_only_with_one_of_the_leaders_own() {
+fn commits_entries_of_earlier_terms_only_with_an_entry_of_its_own_term() {
     let mut leader = Single::with_entries(5, 2, &[(2, 2)]);
     leader.win(&[2, 3, 4]);
     leader.persist();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn entries_that_were_truncated_while_being_written_are_not_acknowledged() {
+fn does_not_acknowledge_entries_truncated_during_their_write() {
     let mut follower = Single::founder(3);
     follower.receive(2, append_request(2, (1, 1), vec![entry(2, 2), entry(3, 2)], 0));
     follower.receive(3, append_request(3, (1, 1), vec![entry(2, 3)], 0));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_conflict_names_the_first_entry_of_its_term() {
+fn conflict_reply_contains_the_first_index_of_the_conflicting_term() {
     let mut follower = Single::with_entries(3, 2, &[(2, 2), (3, 2), (4, 2)]);
     let outputs = follower.receive(2, append_request(3, (3, 4), vec![], 0));
     assert!(append_replies(&outputs).is_empty(), "the new term is not durable yet");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_committed_entry_is_never_truncated() {
+fn committed_entries_are_never_truncated() {
     let mut follower = Single::founder(3);
     follower.receive(2, append_request(2, (1, 1), vec![entry(2, 2)], 2));
     follower.receive(3, append_request(3, (1, 1), vec![entry(2, 3)], 2));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn malformed_appends_change_nothing() {
+fn malformed_append_requests_change_nothing() {
     let mut follower = Single::founder(3);
     for entries in
         [vec![entry(4, 2)], vec![entry(2, 2), entry(2, 2)], vec![entry(2, 9)], vec![entry(u64::MAX, 2)]]
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_rejection_leads_to_what_the_follower_lacks() {
+fn resends_missing_entries_after_a_rejection() {
     let mut leader = Single::leader(3);
     (0..3).for_each(|_| drop(leader.handle(Event::Propose { payload: vec![1] })));
     let term = leader.node.term();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_follower_with_an_older_disk_gets_again_what_it_acknowledged() {
+fn resends_acknowledged_entries_to_a_follower_with_an_older_disk() {
     let mut leader = Single::leader(3);
     (0..3).for_each(|_| drop(leader.handle(Event::Propose { payload: vec![1] })));
     leader.acknowledge(2);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn what_is_in_flight_to_a_follower_is_bounded_and_batched() {
+fn limits_messages_in_flight_and_batches_entries() {
     let mut leader = Single::leader(3);
     let outputs: Vec<Output> =
         (0..10).flat_map(|_| leader.handle(Event::Propose { payload: vec![1] })).collect();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_broken_connection_starts_over_from_what_is_acknowledged() {
+fn resends_unacknowledged_entries_after_a_disconnect() {
     let mut leader = Single::leader(3);
     let acknowledged = leader.node.last_index();
     (0..2).for_each(|_| drop(leader.handle(Event::Propose { payload: vec![1] })));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn proposals_are_accepted_before_the_first_entry_of_the_term_is_committed() {
+fn accepts_proposals_before_the_first_entry_of_the_term_is_committed() {
     let mut leader = Single::with_entries(3, 1, &[(2, 1)]);
     leader.win(&[2]);
     let outputs = leader.handle(Event::Propose { payload: vec![1] });
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn the_first_command_is_accepted_once_every_voter_is_confirmed() {
+fn accepts_the_first_command_once_every_voter_is_confirmed() {
     let mut leader = Single::founder(3);
     leader.win(&[2]);
     let mut outputs = Vec::new();
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn all_power_lost_at_once_loses_nothing_that_was_committed() {
+fn power_loss_of_all_machines_loses_no_committed_entry() {
     let mut cluster = Cluster::started(3, 3, 3);
     cluster.run_for(2 * SECOND);
     (0..50).for_each(|_| assert!(cluster.propose(20)));
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_restarted_process_hands_out_what_follows_its_snapshot() {
+fn restarted_process_outputs_entries_after_its_snapshot() {
     let mut cluster = Cluster::started(1, 1, 4);
     cluster.run_for(2 * SECOND);
     (0..30).for_each(|_| assert!(cluster.propose(20)));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn options_that_cannot_work_together_are_rejected() {
+fn rejects_inconsistent_options() {
     let (heartbeat_interval, election_timeout) = (Duration::from_nanos(300), Duration::from_nanos(600));
     let options = Options { heartbeat_interval, election_timeout, ..Options::new(1) };
     assert_eq!(options.check(), Err(OptionsError::Heartbeat(heartbeat_interval, election_timeout)));
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_disk_with_a_gap_is_rejected_and_harms_nothing() {
+fn rejects_restored_log_with_a_gap() {
     let mut restored = Node::bootstrap(voters(3));
     restored.entries.push(entry(3, 2));
     assert_eq!(check_restored(&restored), Err(RestoredError::Gap(2, 3)));
--- a/crates/consensus/tests/step_down.rs
+++ b/crates/consensus/tests/step_down.rs
@@ -7,13 +7,13 @@
 use support::single::{append_reply, append_request, Single};
 
 #[test]
-fn a_process_that_never_led_has_no_step_down() {
+fn no_step_down_is_recorded_before_leadership_ends() {
     assert_eq!(Single::founder(3).node.last_step_down(), None);
     assert_eq!(Single::leader(3).node.last_step_down(), None);
 }
 
 #[test]
-fn a_leader_without_a_majority_names_that_and_when_it_last_heard_one() {
+fn quorum_loss_records_the_last_quorum_contact_and_lease() {
     let mut leader = Single::leader(3);
     let term = leader.node.term();
     let heard_at = leader.now;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_of_a_higher_term_names_it() {
+fn step_down_records_the_higher_term() {
     let mut leader = Single::leader(3);
     let term = leader.node.term();
     let last = (term, leader.node.last_index());
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_transfer_is_told_apart_from_a_lost_election_and_from_one_that_timed_out() {
+fn step_down_distinguishes_completed_and_timed_out_transfers() {
     let mut leader = Single::leader(3);
     let term = leader.node.term();
     let last = (term, leader.node.last_index());
--- a/crates/mutants/src/list/membership_changes.rs
+++ b/crates/mutants/src/list/membership_changes.rs
@@ -26,7 +26,7 @@
             file: "crates/consensus/src/membership_changes.rs",
             find: "leadership.noop_committed && is_committed && leadership.transfer.is_none()",
             replace: "leadership.noop_committed && leadership.transfer.is_none()",
-            test: "-p consensus --test members one_change_waits_for_the_one_before_it",
+            test: "-p consensus --test members membership_change_waits_for_the_previous_one",
         },
         Mutant {
             name: "removal-before-the-successor-caught-up",
@@ -34,7 +34,7 @@
             file: "crates/consensus/src/membership_changes.rs",
             find: "!member.voter && caught_up(self.options.promotion_gap) && responsive",
             replace: "!member.voter && (caught_up(u64::MAX) || responsive)",
-            test: "-p consensus --test members the_lost_voter_stays_until_its_successor_has_caught_up",
+            test: "-p consensus --test members lost_voter_stays_until_its_successor_has_caught_up",
         },
         Mutant {
             name: "replacement-in-one-step",
@@ -42,7 +42,7 @@
             file: "crates/consensus/src/membership_changes.rs",
             find: "return Some(membership.without(predecessor));",
             replace: "return Some(membership.without(predecessor).with_voter(learner.id));",
-            test: "-p consensus --test members the_lost_voter_stays_until_its_successor_has_caught_up",
+            test: "-p consensus --test members lost_voter_stays_until_its_successor_has_caught_up",
         },
         Mutant {
             name: "learners-vote",
@@ -50,7 +50,7 @@
             file: "crates/consensus/src/types.rs",
             find: "self.members.iter().filter(|member| member.voter).map(|member| member.id)",
             replace: "self.members.iter().map(|member| member.id)",
-            test: "-p consensus --test membership_rules learners_count_neither_for_a_majority_nor_for_its_size",
+            test: "-p consensus --test membership_rules learners_do_not_count_towards_majorities",
         },
         Mutant {
             name: "a-speaking-voter-removed",
@@ -74,7 +74,7 @@
             file: "crates/consensus/src/membership_changes.rs",
             find: "None => self.newest_other_voter().map(|voter| membership.without_vote_of(voter)),",
             replace: "None => None,",
-            test: "-p consensus --test membership_rules a_surplus_voter_becomes_a_learner_again_when_the_unresponsive_one_returns",
+            test: "-p consensus --test membership_rules surplus_voter_is_demoted_when_the_unresponsive_voter_returns",
         },
     Mutant {
         name: "change-of-voters-without-a-reply",
--- a/crates/mutants/src/list/snapshots.rs
+++ b/crates/mutants/src/list/snapshots.rs
@@ -10,7 +10,7 @@
             file: "crates/consensus/src/snapshots.rs",
             find: "if last_index <= self.commit {",
             replace: "if last_index == 0 {",
-            test: "-p consensus --test compaction an_old_snapshot_replaces_nothing_newer",
+            test: "-p consensus --test compaction old_snapshot_does_not_replace_newer_entries",
         },
         Mutant {
             name: "chunks-of-two-snapshots-mixed",
@@ -18,7 +18,7 @@
             file: "crates/consensus/src/incoming_snapshot.rs",
             find: "self.from == from && same_snapshot && self.total == chunk.total",
             replace: "self.from == from && (same_snapshot || self.total == chunk.total)",
-            test: "-p consensus --test compaction two_snapshots_of_one_leader_are_not_mixed",
+            test: "-p consensus --test compaction does_not_mix_two_snapshots_from_one_leader",
         },
         Mutant {
             name: "chunks-at-any-place",
@@ -26,7 +26,7 @@
             file: "crates/consensus/src/incoming_snapshot.rs",
             find: "if chunk.offset == received && fits {",
             replace: "if fits {",
-            test: "-p consensus --test compaction chunks_that_are_lost_repeated_or_of_another_leader_never_make_a_wrong_snapshot",
+            test: "-p consensus --test compaction chunks_that_are_lost_duplicated_or_from_another_leader_never_corrupt_a_snapshot",
         },
         Mutant {
             name: "log-behind-a-snapshot-by-count-alone",
@@ -34,7 +34,7 @@
             file: "crates/consensus/src/log.rs",
             find: "if bytes > retained_bytes {",
             replace: "if bytes == usize::MAX && retained_bytes > 0 {",
-            test: "-p consensus --test compaction large_entries_behind_a_snapshot_are_retained_by_their_bytes",
+            test: "-p consensus --test compaction compaction_limits_retained_entries_by_size",
         },
         Mutant {
             name: "snapshot-after-snapshot",
@@ -42,7 +42,7 @@
             file: "crates/consensus/src/node.rs",
             find: "default_point.min(needed.unwrap_or(default_point).max(lowest_point))",
             replace: "default_point.max(needed.unwrap_or(0).min(lowest_point).min(0))",
-            test: "-p consensus --test compaction a_follower_on_a_slow_link_needs_one_snapshot_though_others_are_taken_meanwhile",
+            test: "-p consensus --test compaction follower_on_a_slow_link_needs_only_one_snapshot",
         },
         Mutant {
             name: "snapshot-acknowledged-before-sync",
@@ -52,7 +52,7 @@
             self.write.truncate_from = Some(snapshot.meta.index);"#,
             replace: r#"            self.write.truncate_from = Some(snapshot.meta.index);
             self.durable_index = snapshot.meta.index;"#,
-            test: "-p consensus --test compaction a_snapshot_counts_once_it_is_durable",
+            test: "-p consensus --test compaction acknowledges_a_snapshot_only_once_it_is_durable",
         },
         Mutant {
             name: "unreadable-snapshot-passed-over",
--- a/crates/mutants/src/list/terms_and_leases.rs
+++ b/crates/mutants/src/list/terms_and_leases.rs
@@ -10,7 +10,7 @@
             file: "crates/consensus/src/election.rs",
             find: "let ticket = if reply.granted && !reply.pre_vote { self.hard_state_ticket } else { 0 };",
             replace: "let ticket = 0;",
-            test: "-p consensus --test elections a_vote_leaves_only_once_it_is_durable",
+            test: "-p consensus --test elections sends_a_vote_only_once_it_is_durable",
         },
         Mutant {
             name: "candidacy-before-sync",
@@ -18,7 +18,7 @@
             file: "crates/consensus/src/election.rs",
             find: "self.durability.send_after(self.hard_state_ticket, voter, message, out);",
             replace: "self.durability.send_after(0, voter, message, out);",
-            test: "-p consensus --test elections a_candidate_asks_for_votes_once_its_own_is_durable",
+            test: "-p consensus --test elections candidate_requests_votes_once_its_own_vote_is_durable",
         },
         Mutant {
             name: "lease-without-margin",
@@ -26,7 +26,7 @@
             file: "crates/consensus/src/options.rs",
             find: "self.leader_stickiness.saturating_sub(self.lease_margin)",
             replace: "self.leader_stickiness",
-            test: "-p consensus --test elections a_lease_counts_from_the_sending_of_the_answered_message",
+            test: "-p consensus --test elections lease_counts_from_the_send_time_of_the_acknowledged_message",
         },
         Mutant {
             name: "lease-ended-by-a-refusal",
@@ -37,7 +37,7 @@
             replace: r#"        if self.leader == Some(peer) && !self.is_leader() {
             self.votes_rejected_until = self.now;
             self.campaign_after_lease_expiry();"#,
-            test: "-p consensus --test fault_placements every_single_fault_before_every_event_is_survived",
+            test: "-p consensus --test fault_placements survives_every_single_fault_before_every_event",
         },
         Mutant {
             name: "lease-from-the-answer",
@@ -45,7 +45,7 @@
             file: "crates/consensus/src/progress.rs",
             find: "            self.acknowledged_clock = self.acknowledged_clock.max(leader_clock);",
             replace: "            self.acknowledged_clock = now;",
-            test: "-p consensus --test elections a_lease_counts_from_the_sending_of_the_answered_message",
+            test: "-p consensus --test elections lease_counts_from_the_send_time_of_the_acknowledged_message",
         },
         Mutant {
             name: "lease-before-an-own-entry",
@@ -53,7 +53,7 @@
             file: "crates/consensus/src/leadership.rs",
             find: "if self.noop_committed && self.transfer.is_none() {",
             replace: "if self.transfer.is_none() {",
-            test: "-p consensus --test elections a_leader_without_a_committed_entry_of_its_term_has_no_lease",
+            test: "-p consensus --test elections no_lease_before_an_entry_of_the_term_is_committed",
         },
         Mutant {
             name: "lease-kept-in-a-transfer",
@@ -61,7 +61,7 @@
             file: "crates/consensus/src/leadership.rs",
             find: "if self.noop_committed && self.transfer.is_none() {",
             replace: "if self.noop_committed {",
-            test: "-p consensus --test elections a_transfer_ends_the_lease_before_timeout_now_leaves",
+            test: "-p consensus --test elections transfer_ends_the_lease_before_timeout_now_is_sent",
         },
         Mutant {
             name: "vote-right-after-a-restart",
@@ -69,7 +69,7 @@
             file: "crates/consensus/src/node.rs",
             find: "node.votes_rejected_until = now + nanoseconds(node.options.leader_stickiness);",
             replace: "node.votes_rejected_until = now;",
-            test: "-p consensus --test elections votes_are_rejected_after_a_restart",
+            test: "-p consensus --test elections rejects_votes_after_a_restart",
         },
         Mutant {
             name: "two-votes-a-term",
@@ -77,7 +77,7 @@
             file: "crates/consensus/src/election.rs",
             find: "let granted = may_vote && request.term == term && vote_available && !self.is_leader();",
             replace: "let granted = may_vote && request.term == term && !self.is_leader();",
-            test: "-p consensus --test elections a_voter_votes_once_a_term",
+            test: "-p consensus --test elections votes_at_most_once_per_term",
         },
         Mutant {
             name: "vote-for-a-shorter-log",
@@ -85,7 +85,7 @@
             file: "crates/consensus/src/election.rs",
             find: "(request.last_term, request.last_index) >= own_log && self.may_disregard_leader(candidate, request)",
             replace: "self.may_disregard_leader(candidate, request)",
-            test: "-p consensus --test elections a_candidate_with_a_shorter_log_gets_no_vote",
+            test: "-p consensus --test elections rejects_a_candidate_with_an_outdated_log",
         },
         Mutant {
             name: "unanimity-by-a-majority",
@@ -93,7 +93,7 @@
             file: "crates/consensus/src/role.rs",
             find: "ElectionRule::Unanimity => votes == membership.voters().count(),",
             replace: "ElectionRule::Unanimity => votes >= membership.quorum(),",
-            test: "-p consensus --test elections a_majority_wins_no_unanimous_election",
+            test: "-p consensus --test elections majority_does_not_win_a_unanimous_election",
         },
         Mutant {
             name: "leads-without-a-majority",
@@ -101,7 +101,7 @@
             file: "crates/consensus/src/replication.rs",
             find: "if now.saturating_sub(quorum_contact_at) > quorum_timeout || ends {",
             replace: "if ends {",
-            test: "-p consensus --test elections a_leader_that_hears_no_majority_steps_down",
+            test: "-p consensus --test elections leader_steps_down_without_contact_to_a_majority",
         },
         Mutant {
             name: "earlier-terms-committed-by-count",
@@ -109,7 +109,7 @@
             file: "crates/consensus/src/replication.rs",
             find: "if index <= self.commit || self.log.term_at(index) != Some(leadership.term) {",
             replace: "if index <= self.commit {",
-            test: "-p consensus --test replication an_earlier_terms_entries_are_committed_only_with_one_of_the_leaders_own",
+            test: "-p consensus --test replication commits_entries_of_earlier_terms_only_with_an_entry_of_its_own_term",
         },
         Mutant {
             name: "acknowledged-before-sync",
@@ -118,7 +118,7 @@
             find: r#"        let ticket = self.durability.ticket();
         self.durability.send_after(ticket, to, reply(index), out);"#,
             replace: "        self.durability.send_after(0, to, reply(index), out);",
-            test: "-p consensus --test replication entries_are_acknowledged_once_they_are_durable",
+            test: "-p consensus --test replication acknowledges_entries_once_they_are_durable",
         },
         Mutant {
             name: "conflict-without-the-lease",
