--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -120,6 +120,7 @@
 pub struct Founding {
     candidate: Member,
     seeds: BTreeSet<String>,
+    /// Number of offering processes, including this one, that a founding needs.
     required_offers: usize,
     /// Time since which this process has no group; `None` while it has one.
     waiting_since: Option<u64>,
@@ -178,10 +179,10 @@
     ///
     /// This requires that the process's log holds no command, that the process is not a member of the other
     /// group, and that its own leader, if any, is not a member of the other group. If the other group accepts
-    /// commands, the process joins it. Otherwise a voter of a group that may have accepted commands stays,
-    /// unless a majority of that group's voters is in the other group. A process without a leader leaves its
-    /// group once it has waited long enough for one. If both groups have leaders, the group with fewer voters
-    /// is abandoned, and between groups of equal size the one with the lower identities.
+    /// commands, the process abandons its group. Otherwise a voter of a group that may have accepted commands
+    /// stays, unless a majority of that group's voters is in the other group. A process without a leader
+    /// abandons its group once it has waited long enough for a leader. If both groups have leaders, the group
+    /// with fewer voters is abandoned, and between groups of equal size the one with the lower identities.
     pub fn should_abandon_group(&self, now: u64, node: &Node, other: &OtherGroup) -> bool {
         let members = &other.membership;
         let is_listed = members.contains(node.id()) || self.has_proposed(members);
@@ -276,8 +277,9 @@
         self.next_offer_at.max(waiting_since + OFFER_DELAY_NS).max(self.leader_known_until)
     }
 
-    /// Returns the own proposal if all other members have adopted it, so that this process adopts it too.
-    /// Drops a proposal that has expired.
+    /// Returns the own proposal if the other members have adopted it, so that this process adopts it too: all
+    /// of them are connected under their proposed identities, or one of them is known to have a leader. Drops
+    /// a proposal that has expired.
     fn adopted_proposal(&mut self, now: u64, status: &FoundingStatus) -> Option<Membership> {
         let proposal = self.proposal.as_ref()?;
         let is_connected = |member: &Member| status.connected.contains(&(member.id, member.address.clone()));
@@ -296,10 +298,14 @@
         self.waiting_since.is_some_and(|since| now >= since + OFFER_DELAY_NS)
     }
 
+    /// Whether this process has the lowest address of the seeds and therefore makes the proposal.
     fn is_proposer(&self) -> bool {
         self.seeds.first() == Some(&self.candidate.address)
     }
 
+    /// Whether the conditions for a founding hold that do not depend on the offers of the seeds: no group is
+    /// known, no process has refused recently, a majority of the possible group's voters offers, and every
+    /// connected process offers or is silent.
     fn may_found(&self, now: u64, status: &FoundingStatus) -> bool {
         let offers =
             |address: &String| *address == self.candidate.address || self.offers.contains_key(address);
@@ -329,10 +335,13 @@
         }
     }
 
+    /// Whether this process is uninitialized and has not heard of a leader recently.
     fn knows_no_group(&self, now: u64, status: &FoundingStatus) -> bool {
         status.is_uninitialized && now >= self.leader_known_until
     }
 
+    /// Whether this process may propose a group: all other seeds offer with the same seeds in their settings,
+    /// and enough processes offer.
     fn all_seeds_agree(&self, now: u64, status: &FoundingStatus) -> bool {
         let others = self.seeds.iter().filter(|seed| **seed != self.candidate.address);
         let agrees =
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -12,7 +12,7 @@
 use crate::memberships::Memberships;
 use crate::message::Message;
 use crate::options::Options;
-use crate::restore::load;
+use crate::restore::load_log;
 use crate::role::Role;
 use crate::step_down::StepDown;
 use crate::types::{
@@ -53,6 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     pub(crate) options: Options,
+    /// Time of the latest event, in nanoseconds of the monotonic clock. All times below are on this clock.
     pub(crate) now: u64,
     rng: Rng,
     pub(crate) hard_state: HardState,
@@ -60,11 +61,14 @@
     pub(crate) hard_state_ticket: u64,
     pub(crate) log: Log,
     pub(crate) snapshot: Option<Snapshot>,
+    /// The snapshot that is being received from the leader.
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) memberships: Memberships,
+    /// Index of the last entry known to be committed.
     pub(crate) commit: Index,
     pub(crate) durability: Durability,
     pub(crate) role: Role,
+    /// The known leader, which may be this process itself.
     pub(crate) leader: Option<NodeId>,
     /// Vote requests are rejected until this time, because a leader may hold a lease.
     pub(crate) votes_rejected_until: u64,
@@ -91,7 +95,7 @@
     pub fn new(options: Options, restored: Restored, now: u64, seed: u64) -> Node {
         let fresh = is_fresh(&restored);
         let hard_state = restored.hard_state;
-        let (log, memberships, commit) = load(&restored);
+        let (log, memberships, commit) = load_log(&restored);
         let last_index = log.last_index();
         let was_member = memberships.current().contains(options.id);
         let mut node = Node {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -188,6 +188,8 @@
         false
     }
 
+    /// Updates the lease, the commit index and the pending actions after a follower's reply, and sends it what
+    /// is due.
     fn after_reply(&mut self, from: NodeId, out: &mut Vec<Output>) {
         let Role::Leader(leadership) = &mut self.role else { return };
         let membership = self.memberships.current();
@@ -247,6 +249,7 @@
     }
 }
 
+/// Sends a follower the messages that are due, within the limits on messages in flight.
 fn send_due(to: NodeId, progress: &mut Progress, view: &LeaderView, out: &mut Vec<Output>) {
     while let Some(message) = progress.next_message(view, SendMode::IfDue) {
         out.push(Output::Send { to, message });
--- a/crates/consensus/src/restore.rs
+++ b/crates/consensus/src/restore.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns the in-memory log, its memberships, and the index up to which entries are known to be committed.
-pub(crate) fn load(restored: &Restored) -> (Log, Memberships, Index) {
+pub(crate) fn load_log(restored: &Restored) -> (Log, Memberships, Index) {
     let meta = restored.snapshot.as_ref().map(|snapshot| snapshot.meta.clone()).unwrap_or_default();
     let at_base = restored.entries.iter().find(|entry| entry.index == meta.index);
     let conflicts_with_snapshot = at_base.is_some_and(|entry| entry.term != meta.term);
--- a/crates/consensus/tests/fault_placements.rs
+++ b/crates/consensus/tests/fault_placements.rs
@@ -2,8 +2,8 @@
 //! a running group, alone and in pairs, and the oracle checks every schedule to its end.
 //!
 //! The schedule without faults is fixed (each message and write takes a millisecond), so a placement is a
-//! list of pairs of event number and fault. `CONSENSUS_PLACEMENTS=large cargo test --release -p consensus
-//! --test fault_placements` runs the search with the large bounds.
+//! list of pairs of event number and fault. The large bounds are searched by
+//! `CONSENSUS_PLACEMENTS=large cargo test --release -p consensus --test fault_placements`.
 
 mod support;
 
