--- a/crates/control/src/relay/wire.rs
+++ b/crates/control/src/relay/wire.rs
@@ -157,8 +157,8 @@
 fn reason_to_wire(reason: Refusal) -> RefusalReason {
     match reason {
         Refusal::StaleFencingToken => RefusalReason::STALE_FENCING_TOKEN,
-        Refusal::Old => RefusalReason::OLD,
-        Refusal::Late => RefusalReason::LATE,
+        Refusal::SupersededAttempt => RefusalReason::OLD,
+        Refusal::DeadlinePassed => RefusalReason::LATE,
         Refusal::NoCapacity => RefusalReason::NO_CAPACITY,
         Refusal::BadRequest => RefusalReason::BAD_REQUEST,
         Refusal::Unhealthy => RefusalReason::UNHEALTHY,
@@ -170,8 +170,8 @@
 fn reason_from_wire(reason: peer::RefusalReason) -> Refusal {
     match reason {
         RefusalReason::STALE_FENCING_TOKEN => Refusal::StaleFencingToken,
-        RefusalReason::OLD => Refusal::Old,
-        RefusalReason::LATE => Refusal::Late,
+        RefusalReason::OLD => Refusal::SupersededAttempt,
+        RefusalReason::LATE => Refusal::DeadlinePassed,
         RefusalReason::NO_CAPACITY => Refusal::NoCapacity,
         RefusalReason::BAD_REQUEST => Refusal::BadRequest,
         RefusalReason::UNHEALTHY => Refusal::Unhealthy,
--- a/crates/control/tests/worker_calls.rs
+++ b/crates/control/tests/worker_calls.rs
@@ -49,8 +49,8 @@
     let cases = [
         (200, r#"{"NowMs":5}"#, CallOutcome::Answer { now_ms: 5 }),
         (409, r#"{"NowMs":5,"Reason":"fence"}"#, refused(Some(5), Refusal::StaleFencingToken)),
-        (409, r#"{"NowMs":5,"Reason":"old"}"#, refused(Some(5), Refusal::Old)),
-        (409, r#"{"NowMs":5,"Reason":"late"}"#, refused(Some(5), Refusal::Late)),
+        (409, r#"{"NowMs":5,"Reason":"old"}"#, refused(Some(5), Refusal::SupersededAttempt)),
+        (409, r#"{"NowMs":5,"Reason":"late"}"#, refused(Some(5), Refusal::DeadlinePassed)),
         (409, r#"{"NowMs":5,"Reason":"room"}"#, refused(Some(5), Refusal::NoCapacity)),
         (409, "no json", refused(None, Refusal::Unknown)),
         (400, "", refused(None, Refusal::BadRequest)),
--- a/crates/scheduler/src/leader/committed_changes.rs
+++ b/crates/scheduler/src/leader/committed_changes.rs
@@ -44,7 +44,7 @@
                 let text = format!("version {current} is current: read it, and send the change on top of it");
                 self.reply_configuration(key, &ConfigurationReply::Conflict { text }, out);
             }
-            StateChange::ConfigurationNotAbove { key, current } => {
+            StateChange::ConfigurationVersionTooLow { key, current } => {
                 let text = format!("version {current} is current: choose a higher Version");
                 self.reply_configuration(key, &ConfigurationReply::Invalid { text }, out);
             }
@@ -58,7 +58,7 @@
                 self.job_opened(state, *job);
                 self.reply_accepted(state, *job, out);
             }
-            StateChange::JobKnown { job } => self.reply_accepted(state, *job, out),
+            StateChange::JobAlreadyAccepted { job } => self.reply_accepted(state, *job, out),
             StateChange::JobRejected { job, prefix_key } => {
                 let name = JobName { id: *job, prefix_key: prefix_key.clone() };
                 let text =
@@ -132,7 +132,7 @@
                 self.enqueue_task(state, key.task);
             }
             StateChange::AttemptFinished { key, outcome, .. } => self.attempt_finished(key, *outcome),
-            StateChange::StopWanted { key, .. } => self.stop_attempt(*key),
+            StateChange::StopRequested { key, .. } => self.stop_attempt(*key),
             StateChange::EndsAcknowledged { instance, sequence } => {
                 let Some(worker) = self.worker_keys.get(instance).copied() else { return };
                 if let Some(entry) = self.workers.get_mut(&worker) {
--- a/crates/scheduler/src/leader/due_times.rs
+++ b/crates/scheduler/src/leader/due_times.rs
@@ -22,8 +22,8 @@
 
     /// Schedules the first open occurrence of the job whose index is at least `time`.
     fn schedule_time(&mut self, job: u64, work: &Work, time: u32) {
-        let time = work.next_open_time(time);
-        if time < work.time_count() {
+        let time = work.next_open_repeat(time);
+        if time < work.repeat_count() {
             self.schedule.insert(DueTime { due_ms: work.due_ms(time), job, time });
             self.arm_schedule();
         }
--- a/crates/scheduler/src/leader/placement_choice.rs
+++ b/crates/scheduler/src/leader/placement_choice.rs
@@ -38,11 +38,11 @@
     let tasks_to_pack = if context.mechanisms.uses(Mechanism::Packing) { waiting_tasks } else { 0 };
     let demand = Demand { tasks_to_pack, ..demand_of(step, stage, avoid) };
     if demand.affinity.is_some_and(|rack| fleet.knows_rack(rack)) {
-        if let Some(worker) = fleet.place_near(&demand) {
+        if let Some(worker) = fleet.place_in_affinity_rack(&demand) {
             return Choice::Task(worker);
         }
         let until = since + context.data_wait_ns(stage);
-        if context.now < until && fleet.may_fit_near(&demand) {
+        if context.now < until && fleet.may_fit_in_affinity_rack(&demand) {
             return Choice::RetryAt(until);
         }
     }
--- a/crates/scheduler/src/leader/reports/job.rs
+++ b/crates/scheduler/src/leader/reports/job.rs
@@ -45,8 +45,8 @@
 
     fn step_reports(&self, state: &State, job: u64, work: &Work) -> Vec<StepReport> {
         let mut reports = Vec::new();
-        let mut time = work.next_open_time(0);
-        while time < work.time_count() && reports.len() < MAX_STEPS {
+        let mut time = work.next_open_repeat(0);
+        while time < work.repeat_count() && reports.len() < MAX_STEPS {
             for (step, stage) in work.stages().iter().enumerate() {
                 let key = StepKey { job, time, step: step as u32 };
                 reports.push(self.step_report(state, work, stage, key));
@@ -54,7 +54,7 @@
             if self.is_not_due(state, work, time) {
                 break;
             }
-            time = work.next_open_time(time + 1);
+            time = work.next_open_repeat(time + 1);
         }
         reports
     }
--- a/crates/scheduler/src/leader/worker_availability.rs
+++ b/crates/scheduler/src/leader/worker_availability.rs
@@ -59,7 +59,7 @@
         let peers_pace = self.peers[position].pace.value();
         let Some(mut facts) = entry.changed_facts(self.now, peers_pace) else { return false };
         if !self.settings.mechanisms.uses(Mechanism::WorkerQuality) {
-            (facts.pace, facts.trust) = (1.0, 1.0);
+            (facts.pace, facts.success_rate) = (1.0, 1.0);
         }
         let became_usable = (facts.usable && !was_usable) || (facts.ejected && !was_usable && !was_ejected);
         self.services[position].fleet.upsert(key, facts);
--- a/crates/scheduler/src/leader/worker_entry.rs
+++ b/crates/scheduler/src/leader/worker_entry.rs
@@ -175,7 +175,7 @@
             usable: reported.usable,
             ejected: reported.ejected,
             pace: pace / 100.0,
-            trust: trust / 100.0,
+            success_rate: trust / 100.0,
         })
     }
 }
--- a/crates/scheduler/src/leader/worker_sessions.rs
+++ b/crates/scheduler/src/leader/worker_sessions.rs
@@ -52,7 +52,7 @@
             lease_renewal_bursts: self.uses(Mechanism::LeaseRenewalBurst),
             hedged_lease_renewals: self.uses(Mechanism::HedgedLeaseRenewals),
             suspicion: self.uses(Mechanism::Suspicion),
-            leader_since: self.term_started_at + PREVIOUS_LEADER_OVERLAP_NS,
+            term_started_at: self.term_started_at + PREVIOUS_LEADER_OVERLAP_NS,
         }
     }
 
@@ -91,10 +91,10 @@
         }
         self.poll_queue.contact_ended(call.worker);
         let Some(entry) = self.workers.get_mut(&call.worker) else { return };
-        let had_answered = entry.session.has_been_answered();
+        let had_answered = entry.session.has_answered();
         entry.session.set_response_clock(self.lateness.response_clock);
         entry.session.complete_call(now, call.call, outcome);
-        let answered_first = !had_answered && entry.session.has_been_answered();
+        let answered_first = !had_answered && entry.session.has_answered();
         self.schedule_poll(call.worker);
         if answered_first {
             self.update_placement(call.worker);
--- a/crates/scheduler/src/placement/choose.rs
+++ b/crates/scheduler/src/placement/choose.rs
@@ -32,12 +32,12 @@
     }
 
     /// As [`Fleet::place`], but only in the rack of the task's data, if the fleet has such a rack.
-    pub fn place_near(&self, demand: &Demand) -> Option<WorkerKey> {
+    pub fn place_in_affinity_rack(&self, demand: &Demand) -> Option<WorkerKey> {
         self.place_by(&Matcher::new(self, demand)?.near_only())
     }
 
     /// Whether workers in the rack of the task's data may take it, now or once they have the capacity.
-    pub fn may_fit_near(&self, demand: &Demand) -> bool {
+    pub fn may_fit_in_affinity_rack(&self, demand: &Demand) -> bool {
         let Some(matcher) = Matcher::new(self, demand).map(Matcher::near_only) else { return false };
         let mut candidates = self.examine(|block| matcher.may_suit_in(block));
         candidates.any(|slot| matcher.may_suit(slot))
--- a/crates/scheduler/src/placement/fleet.rs
+++ b/crates/scheduler/src/placement/fleet.rs
@@ -31,7 +31,7 @@
     /// How fast it works: 1 as its kind, below 1 slower.
     pub pace: f64,
     /// The fraction of its attempts expected to succeed, 0 to 1.
-    pub trust: f64,
+    pub success_rate: f64,
 }
 
 /// The workers of one service, what is reserved on them, and the sums over those that may take starts, if only as
@@ -83,7 +83,7 @@
         self.shortages.get_mut().clear();
         let labels = facts.labels.iter().map(|label| self.labels.number(label)).collect();
         let rack = facts.rack.as_deref().map(|rack| self.racks.number(rack));
-        let quality = clamped_factor(facts.pace) * clamped_factor(facts.trust);
+        let quality = clamped_factor(facts.pace) * clamped_factor(facts.success_rate);
         let (capacity, usable, ejected) = (facts.capacity.min(MAX_CAPACITY), facts.usable, facts.ejected);
         match self.index.get(&key).copied() {
             Some(position) => {
--- a/crates/scheduler/src/state/change.rs
+++ b/crates/scheduler/src/state/change.rs
@@ -40,7 +40,7 @@
         current: u64,
     },
     /// The configuration's version is not above the current one.
-    ConfigurationNotAbove {
+    ConfigurationVersionTooLow {
         /// Which change of the operator it is.
         key: ConfigurationKey,
         /// The version in force.
@@ -53,7 +53,7 @@
         job: u64,
     },
     /// The job had been accepted before, under the same prefix.
-    JobKnown {
+    JobAlreadyAccepted {
         /// The job's identity.
         job: u64,
     },
@@ -143,7 +143,7 @@
         outcome: AttemptOutcome,
     },
     /// The attempt may still run, and nobody wants it any longer.
-    StopWanted {
+    StopRequested {
         /// Which attempt.
         key: AttemptKey,
         /// The worker's incarnation.
--- a/crates/scheduler/src/state/configuration.rs
+++ b/crates/scheduler/src/state/configuration.rs
@@ -85,7 +85,7 @@
             return StateChange::ConfigurationConflict { key, current };
         }
         if put.version <= current {
-            return StateChange::ConfigurationNotAbove { key, current };
+            return StateChange::ConfigurationVersionTooLow { key, current };
         }
         self.accept(put.clone(), key.digest);
         StateChange::ConfigurationAccepted { key, version: put.version }
--- a/crates/scheduler/src/state/ends.rs
+++ b/crates/scheduler/src/state/ends.rs
@@ -218,7 +218,7 @@
         for (index, task) in state.tasks.iter().enumerate() {
             for active in &task.active {
                 let key = AttemptKey { task: step.task(index as u32), attempt: active.attempt };
-                out.push(StateChange::StopWanted { key, instance: active.instance.clone() });
+                out.push(StateChange::StopRequested { key, instance: active.instance.clone() });
             }
         }
     }
@@ -242,7 +242,7 @@
             }
             for copy in &task.active {
                 let key = AttemptKey { task: key.task, attempt: copy.attempt };
-                out.push(StateChange::StopWanted { key, instance: copy.instance.clone() });
+                out.push(StateChange::StopRequested { key, instance: copy.instance.clone() });
             }
         }
         if step.done < count {
@@ -261,7 +261,7 @@
             return JobProgress::Open;
         }
         self.done_times.insert(step.time, 1);
-        if self.done_times.count() >= self.time_count() {
+        if self.done_times.count() >= self.repeat_count() {
             return JobProgress::Completed;
         }
         JobProgress::Open
--- a/crates/scheduler/src/state/job.rs
+++ b/crates/scheduler/src/state/job.rs
@@ -31,7 +31,7 @@
     /// For each step, the steps that depend on it.
     pub(super) dependents: Vec<Vec<u32>>,
     /// Times of which a task was started and that are not done, or done with attempts not yet over.
-    pub(super) times: BTreeMap<u32, JobTime>,
+    pub(super) times: BTreeMap<u32, JobRepeat>,
     pub(super) done_times: DoneTimes,
     /// Attempts that may be running.
     pub(super) active: u32,
@@ -41,7 +41,7 @@
 
 /// Progress of one time.
 #[derive(Debug, Clone, PartialEq)]
-pub struct JobTime {
+pub struct JobRepeat {
     pub(super) steps: Vec<Step>,
     pub(super) steps_done: u32,
     pub(super) active: u32,
@@ -159,7 +159,7 @@
     }
 
     /// How many times the steps run.
-    pub fn time_count(&self) -> u32 {
+    pub fn repeat_count(&self) -> u32 {
         self.specification().map_or(1, |specification| specification.repeat.max(1))
     }
 
@@ -174,12 +174,12 @@
     }
 
     /// Whether all tasks of `time` are done.
-    pub fn is_time_done(&self, time: u32) -> bool {
+    pub fn is_repeat_done(&self, time: u32) -> bool {
         self.done_times.contains(time)
     }
 
-    /// The least time at or after `time` that is not done; `time_count` or more if there is none.
-    pub fn next_open_time(&self, time: u32) -> u32 {
+    /// The least time at or after `time` that is not done; `repeat_count` or more if there is none.
+    pub fn next_open_repeat(&self, time: u32) -> u32 {
         self.done_times.next_open(time)
     }
 
@@ -207,7 +207,7 @@
 
     /// Whether the task is done, by itself or with its time.
     pub fn is_task_done(&self, key: TaskKey) -> bool {
-        self.is_time_done(key.time) || self.task(key).is_some_and(|task| task.done)
+        self.is_repeat_done(key.time) || self.task(key).is_some_and(|task| task.done)
     }
 
     /// How many tasks of the step are done.
@@ -230,7 +230,7 @@
     /// Whether the step's tasks may start as far as other steps matter, and are not all done.
     pub fn is_step_ready(&self, key: StepKey) -> bool {
         let Some(stage) = self.stage(key.step) else { return false };
-        if key.time >= self.time_count() || self.is_time_done(key.time) {
+        if key.time >= self.repeat_count() || self.is_repeat_done(key.time) {
             return false;
         }
         self.done_in_step(key) < stage.count
@@ -247,9 +247,9 @@
     }
 
     /// The progress of `time`, made on first use.
-    pub(super) fn time_mut(&mut self, time: u32) -> &mut JobTime {
+    pub(super) fn time_mut(&mut self, time: u32) -> &mut JobRepeat {
         let steps = self.stages().len();
-        self.times.entry(time).or_insert_with(|| JobTime::new(steps))
+        self.times.entry(time).or_insert_with(|| JobRepeat::new(steps))
     }
 
     /// All attempts that may be running, in order of their tasks.
@@ -277,7 +277,7 @@
     }
 }
 
-impl JobTime {
+impl JobRepeat {
     pub(super) fn new(steps: usize) -> Self {
         Self { steps: vec![Step::default(); steps], steps_done: 0, active: 0 }
     }
--- a/crates/scheduler/src/state/mod.rs
+++ b/crates/scheduler/src/state/mod.rs
@@ -26,7 +26,7 @@
 pub use configuration::AcceptedConfiguration;
 pub use digest::{ConfigurationDigest, ConfigurationKey};
 pub use error::{SnapshotError, UncommittedCall};
-pub use job::{Job, JobTime, Work};
+pub use job::{Job, JobRepeat, Work};
 pub use task::{Active, Task};
 pub use workers::Worker;
 
@@ -35,7 +35,7 @@
 
 /// How long an ended job is known, by the replicated clock: over twice the `status_s` (120 s) of the pages, to
 /// allow for clocks that jump and for clients that ask at the end of a day.
-pub const KEEP_ENDED_MS: u64 = 300_000;
+pub const ENDED_JOB_RETENTION_MS: u64 = 300_000;
 
 /// Configuration, jobs and workers as of the commands applied so far.
 #[derive(Debug, Default, Clone)]
@@ -149,7 +149,7 @@
         self.clock_ms = self.clock_ms.max(now_ms);
         let mut kept = Vec::new();
         while let Some((ended_at_ms, id)) = self.ended.first().copied() {
-            if ended_at_ms.saturating_add(KEEP_ENDED_MS) >= self.clock_ms {
+            if ended_at_ms.saturating_add(ENDED_JOB_RETENTION_MS) >= self.clock_ms {
                 break;
             }
             self.ended.remove(&(ended_at_ms, id));
--- a/crates/scheduler/src/state/submissions.rs
+++ b/crates/scheduler/src/state/submissions.rs
@@ -16,7 +16,7 @@
         let id = submit.id;
         if let Some(job) = self.jobs.get(&id) {
             out.push(if *job.prefix_key == *submit.prefix_key {
-                StateChange::JobKnown { job: id }
+                StateChange::JobAlreadyAccepted { job: id }
             } else {
                 StateChange::JobRejected { job: id, prefix_key: submit.prefix_key.clone() }
             });
@@ -66,7 +66,7 @@
         if let Some(work) = job.work() {
             for (task, active) in work.active_attempts() {
                 let key = AttemptKey { task, attempt: active.attempt };
-                out.push(StateChange::StopWanted { key, instance: active.instance.clone() });
+                out.push(StateChange::StopRequested { key, instance: active.instance.clone() });
             }
         }
         let prefix_key = job.prefix_key.clone();
--- a/crates/scheduler/src/worker/lease_expiry.rs
+++ b/crates/scheduler/src/worker/lease_expiry.rs
@@ -23,7 +23,7 @@
 ///   worker lease: what they sent has expired once that span has passed since.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerLeaseBound {
-    leader_since: u64,
+    term_started_at: u64,
     max_worker_lease_ms: u64,
     /// The greatest deadline that this session has sent, in milliseconds of the worker's clock; 0: none.
     sent_ms: u64,
@@ -32,7 +32,7 @@
 impl WorkerLeaseBound {
     pub(super) fn new(options: &SessionOptions) -> Self {
         WorkerLeaseBound {
-            leader_since: options.leader_since,
+            term_started_at: options.term_started_at,
             max_worker_lease_ms: options.max_worker_lease_ms,
             sent_ms: 0,
         }
@@ -65,8 +65,8 @@
 
     fn earlier_leaders_expired_at(&self, clock: &ClockEstimate) -> u64 {
         let span = longest_time_to_advance(with_slack(self.max_worker_lease_ms));
-        let by_time = self.leader_since.saturating_add(span);
-        let Some(clock_then) = clock.greatest(self.leader_since) else {
+        let by_time = self.term_started_at.saturating_add(span);
+        let Some(clock_then) = clock.greatest(self.term_started_at) else {
             return by_time;
         };
         let deadline = clock_then.saturating_add(with_slack(self.max_worker_lease_ms));
--- a/crates/scheduler/src/worker/orders.rs
+++ b/crates/scheduler/src/worker/orders.rs
@@ -135,7 +135,7 @@
             CallOutcome::Refused { reason: Refusal::NoCapacity, .. } => {
                 self.resolve(key, Resolution::REJECTED_NO_CAPACITY);
             }
-            CallOutcome::Refused { reason: Refusal::Late | Refusal::BadRequest, .. } => {
+            CallOutcome::Refused { reason: Refusal::DeadlinePassed | Refusal::BadRequest, .. } => {
                 self.resolve(key, Resolution::REJECTED);
             }
             CallOutcome::Refused { reason: Refusal::Unhealthy, .. } => {
--- a/crates/scheduler/src/worker/types.rs
+++ b/crates/scheduler/src/worker/types.rs
@@ -30,7 +30,7 @@
     /// Whether a worker of which an answer is missing gets no starts and no longer lease until it answers.
     pub suspicion: bool,
     /// When this leader's term began, in nanoseconds of the steady clock.
-    pub leader_since: u64,
+    pub term_started_at: u64,
 }
 
 /// An attempt to be started; its intent is committed in this leader's term.
@@ -120,9 +120,9 @@
     /// It has seen a higher fencing token (409 `fence`).
     StaleFencingToken,
     /// The attempt is not above one that was stopped or ended there (409 `old`).
-    Old,
+    SupersededAttempt,
     /// The deadline had passed (409 `late`).
-    Late,
+    DeadlinePassed,
     /// The attempt doesn't fit (409 `room`).
     NoCapacity,
     /// It could not read the call (400).
--- a/crates/scheduler/tests/cluster/worker.rs
+++ b/crates/scheduler/tests/cluster/worker.rs
@@ -169,7 +169,7 @@
         match request {
             WorkerRequest::Start { key, spec, checkpoint, deadline_ms, .. } => {
                 if *deadline_ms <= Self::now_ms(now) {
-                    return refused(Refusal::Late);
+                    return refused(Refusal::DeadlinePassed);
                 }
                 self.worker_lease_until = self.worker_lease_until.max(deadline_ms * MS);
                 if self.running.contains_key(key) {
@@ -177,7 +177,7 @@
                 }
                 let highest = self.highest.entry(key.task).or_default();
                 if key.attempt <= *highest {
-                    return refused(Refusal::Old);
+                    return refused(Refusal::SupersededAttempt);
                 }
                 *highest = key.attempt;
                 let run = Run {
--- a/crates/scheduler/tests/configuration_changes.rs
+++ b/crates/scheduler/tests/configuration_changes.rs
@@ -47,7 +47,7 @@
     }
     let rejected = apply(&mut state, put("loser", 4, 4));
     assert!(
-        matches!(rejected[..], [StateChange::ConfigurationNotAbove { .. }]),
+        matches!(rejected[..], [StateChange::ConfigurationVersionTooLow { .. }]),
         "the number is used up: {rejected:?}"
     );
     assert_eq!(state.configuration().expect("one is in force").body, b"winner");
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -21,7 +21,7 @@
         usable: true,
         ejected: false,
         pace: 1.0,
-        trust: 1.0,
+        success_rate: 1.0,
     }
 }
 
@@ -110,7 +110,7 @@
 fn a_clearly_slower_or_less_trusted_worker_comes_last() {
     let mut fleet = Fleet::new();
     let slow = WorkerFacts { pace: 0.3, ..worker(resources(4000, 4000, 0), "r0") };
-    let failing = WorkerFacts { trust: 0.1, ..worker(resources(4000, 4000, 0), "r0") };
+    let failing = WorkerFacts { success_rate: 0.1, ..worker(resources(4000, 4000, 0), "r0") };
     fleet.upsert(0, slow);
     fleet.upsert(1, failing);
     fleet.upsert(2, worker(resources(9000, 9000, 0), "r0"));
@@ -345,7 +345,7 @@
                 usable: random.usable,
                 ejected: false,
                 pace: random.pace,
-                trust: 1.0,
+                success_rate: 1.0,
             };
             fleet.upsert(key as WorkerKey, facts);
         }
@@ -524,18 +524,18 @@
 fn near_the_data_means_on_its_rack_or_anywhere_if_there_is_no_such_rack() {
     let mut fleet = fleet(4, resources(4000, 4000, 0));
     let near = Demand { affinity: Some("r1"), ..demand(resources(3000, 1, 0)) };
-    assert_eq!(fleet.place_near(&near), Some(2));
+    assert_eq!(fleet.place_in_affinity_rack(&near), Some(2));
     fleet.reserve(2, OTHER_STEP, resources(2000, 1, 0));
     fleet.reserve(3, OTHER_STEP, resources(2000, 1, 0));
-    assert_eq!(fleet.place_near(&near), None);
-    assert!(fleet.may_fit_near(&near), "both have the capacity once it is given back");
-    assert!(!fleet.may_fit_near(&Demand { need: resources(4001, 1, 0), ..near }));
+    assert_eq!(fleet.place_in_affinity_rack(&near), None);
+    assert!(fleet.may_fit_in_affinity_rack(&near), "both have the capacity once it is given back");
+    assert!(!fleet.may_fit_in_affinity_rack(&Demand { need: resources(4001, 1, 0), ..near }));
     for key in [2, 3] {
         fleet.upsert(key, WorkerFacts { usable: false, ..worker(resources(4000, 4000, 0), "r1") });
     }
-    assert!(!fleet.may_fit_near(&near), "neither takes starts");
+    assert!(!fleet.may_fit_in_affinity_rack(&near), "neither takes starts");
     let unknown = Demand { affinity: Some("r9"), ..near };
-    assert_eq!(fleet.place_near(&unknown), Some(0));
+    assert_eq!(fleet.place_in_affinity_rack(&unknown), Some(0));
 }
 
 #[test]
--- a/crates/scheduler/tests/placement_search.rs
+++ b/crates/scheduler/tests/placement_search.rs
@@ -199,11 +199,12 @@
         let is_barred = task.anti_affinity == Some(0);
         let fleet = &self.fleet;
         fleet.place(&demand) == self.scan(task, |worker| worker.usable)
-            && fleet.place_near(&demand) == self.scan(task, |worker| worker.usable && self.near(task, worker))
+            && fleet.place_in_affinity_rack(&demand)
+                == self.scan(task, |worker| worker.usable && self.near(task, worker))
             && fleet.place_as_last_resort(&demand)
                 == self.scan(task, |worker| worker.usable || worker.ejected)
             && fleet.may_fit(&demand) == (!is_barred && any(&|worker| worker.usable && could(worker)))
-            && fleet.may_fit_near(&demand)
+            && fleet.may_fit_in_affinity_rack(&demand)
                 == any(&|worker| worker.usable && could(worker) && self.near(task, worker))
             && fleet.may_fit_ejected(&demand) == any(&|worker| worker.ejected && could(worker))
             && fleet.could_fit_not_ejected(&demand) == any(&|worker| !worker.ejected && could(worker))
@@ -231,7 +232,7 @@
         usable: worker.usable,
         ejected: worker.ejected,
         pace: worker.pace,
-        trust: 1.0,
+        success_rate: 1.0,
     }
 }
 
--- a/crates/scheduler/tests/state_commands.rs
+++ b/crates/scheduler/tests/state_commands.rs
@@ -5,7 +5,7 @@
 use commands::*;
 use messages::job::{EndKind, JobPhase, JobSpec, Stage};
 use scheduler::ids::{AttemptKey, StepKey};
-use scheduler::state::{State, StateChange, KEEP_ENDED_MS};
+use scheduler::state::{State, StateChange, ENDED_JOB_RETENTION_MS};
 
 const JOB: u64 = 0x5c0e_7a21_d94b_36f8;
 
@@ -54,9 +54,9 @@
 fn a_repeated_submission_is_known_also_after_the_end() {
     let mut state = accepted(job(vec![stage(1)]));
     let again = submit(JOB, job(vec![stage(1)]));
-    assert_eq!(apply(&mut state, again.clone()), vec![StateChange::JobKnown { job: JOB }]);
+    assert_eq!(apply(&mut state, again.clone()), vec![StateChange::JobAlreadyAccepted { job: JOB }]);
     apply(&mut state, cancel(JOB));
-    assert_eq!(apply(&mut state, again), vec![StateChange::JobKnown { job: JOB }]);
+    assert_eq!(apply(&mut state, again), vec![StateChange::JobAlreadyAccepted { job: JOB }]);
     assert_eq!(state_of(&state, JOB), Some("cancelled"));
 }
 
@@ -94,7 +94,7 @@
     let other = AttemptKey { task: task(JOB, 0, 1), attempt: 1 };
     assert!(applied
         .iter()
-        .any(|effect| matches!(effect, StateChange::StopWanted { key, .. } if *key == other)));
+        .any(|effect| matches!(effect, StateChange::StopRequested { key, .. } if *key == other)));
     assert_eq!(state_of(&state, JOB), Some("failed"));
     let dropped = apply(&mut state, start(&[task(JOB, 0, 1)], 2, "w"));
     assert!(matches!(dropped[..], [StateChange::StartDropped { .. }]));
@@ -145,7 +145,7 @@
     let other = AttemptKey { task: task(JOB, 0, 0), attempt: 1 };
     assert!(applied
         .iter()
-        .any(|effect| matches!(effect, StateChange::StopWanted { key, .. } if *key == other)));
+        .any(|effect| matches!(effect, StateChange::StopRequested { key, .. } if *key == other)));
     let applied = apply(&mut state, end("w", 1, task(JOB, 0, 0), 1, EndKind::DONE));
     assert!(applied.iter().all(|effect| !matches!(effect, StateChange::TaskDone { .. })));
 }
@@ -204,7 +204,7 @@
             return;
         }
         assert_eq!(
-            applied.iter().filter(|effect| matches!(effect, StateChange::StopWanted { .. })).count(),
+            applied.iter().filter(|effect| matches!(effect, StateChange::StopRequested { .. })).count(),
             2
         );
         let early = apply(&mut state, start(&members(), attempt + 1, "w"));
@@ -239,7 +239,7 @@
     }
     apply(&mut state, start(&[task(JOB, 0, 0)], 6, "w"));
     let applied = apply(&mut state, cancel(JOB));
-    assert!(applied.iter().any(|effect| matches!(effect, StateChange::StopWanted { .. })));
+    assert!(applied.iter().any(|effect| matches!(effect, StateChange::StopRequested { .. })));
     assert_eq!(state_of(&state, JOB), Some("cancelled"));
 }
 
@@ -282,11 +282,11 @@
     let mut state = accepted(job(vec![stage(1)]));
     apply(&mut state, clock(1_000));
     apply(&mut state, cancel(JOB));
-    apply(&mut state, clock(1_000 + KEEP_ENDED_MS));
+    apply(&mut state, clock(1_000 + ENDED_JOB_RETENTION_MS));
     assert_eq!(state_of(&state, JOB), Some("cancelled"));
     // A clock that steps back forgets nothing and keeps nothing longer.
     apply(&mut state, clock(5));
-    let applied = apply(&mut state, clock(1_001 + KEEP_ENDED_MS));
+    let applied = apply(&mut state, clock(1_001 + ENDED_JOB_RETENTION_MS));
     assert_eq!(applied, vec![StateChange::JobForgotten { job: JOB }]);
     assert!(state.job(JOB).is_none());
 }
@@ -296,10 +296,10 @@
     let mut state = accepted(job(vec![stage(1)]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     apply(&mut state, cancel(JOB));
-    apply(&mut state, clock(10 * KEEP_ENDED_MS));
+    apply(&mut state, clock(10 * ENDED_JOB_RETENTION_MS));
     assert!(state.job(JOB).is_some());
     apply(&mut state, resolve("w", task(JOB, 0, 0), 1, ""));
-    apply(&mut state, clock(10 * KEEP_ENDED_MS + 1));
+    apply(&mut state, clock(10 * ENDED_JOB_RETENTION_MS + 1));
     assert!(state.job(JOB).is_none());
 }
 
@@ -317,7 +317,7 @@
     ));
     assert!(matches!(
         apply(&mut state, put("b", 3, 3))[..],
-        [StateChange::ConfigurationNotAbove { current: 3, .. }]
+        [StateChange::ConfigurationVersionTooLow { current: 3, .. }]
     ));
     assert!(matches!(
         apply(&mut state, put("b", 5, 3))[..],
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -28,7 +28,7 @@
     }
 }
 
-pub fn options(fencing_token: u64, leader_since: u64) -> SessionOptions {
+pub fn options(fencing_token: u64, term_started_at: u64) -> SessionOptions {
     SessionOptions {
         fencing_token,
         worker_lease_ms: 5_000,
@@ -40,7 +40,7 @@
         lease_renewal_bursts: true,
         hedged_lease_renewals: true,
         suspicion: true,
-        leader_since,
+        term_started_at,
     }
 }
 
--- a/crates/scheduler/tests/support/model.rs
+++ b/crates/scheduler/tests/support/model.rs
@@ -182,14 +182,14 @@
     fn start(&mut self, key: AttemptKey, spec: &str, deadline_ms: u64, now_ms: u64) -> CallOutcome {
         let refused = |reason| CallOutcome::Refused { now_ms: Some(now_ms), reason };
         if deadline_ms <= now_ms {
-            return refused(Refusal::Late);
+            return refused(Refusal::DeadlinePassed);
         }
         self.renew_lease(deadline_ms, now_ms);
         if self.runs.contains_key(&key) {
             return CallOutcome::Answer { now_ms };
         }
         if self.barred.get(&key.task).is_some_and(|barred| key.attempt <= *barred) {
-            return refused(Refusal::Old);
+            return refused(Refusal::SupersededAttempt);
         }
         if self.runs.len() >= self.capacity {
             return refused(Refusal::NoCapacity);
--- a/crates/scheduler/tests/worker_orders.rs
+++ b/crates/scheduler/tests/worker_orders.rs
@@ -84,7 +84,7 @@
 fn clear_refusals_resolve_a_start_at_once() {
     let cases = [
         (Refusal::NoCapacity, Resolution::REJECTED_NO_CAPACITY),
-        (Refusal::Late, Resolution::REJECTED),
+        (Refusal::DeadlinePassed, Resolution::REJECTED),
         (Refusal::BadRequest, Resolution::REJECTED),
         (Refusal::Unhealthy, Resolution::REJECTED),
     ];
@@ -141,7 +141,7 @@
 #[test]
 fn an_attempt_refused_as_old_is_settled_by_the_lists() {
     let (mut driver, start, _) = with_start();
-    let mut out = driver.refuse(start, Refusal::Old);
+    let mut out = driver.refuse(start, Refusal::SupersededAttempt);
     assert!(resolutions(&out).is_empty());
     out.extend(driver.poll_for_ms(100));
     let query = lease_renewals(&out)[0];
--- a/crates/simulation/src/digest/worker_calls.rs
+++ b/crates/simulation/src/digest/worker_calls.rs
@@ -55,8 +55,8 @@
 fn refusal(reason: Refusal) -> u64 {
     match reason {
         Refusal::StaleFencingToken => 1,
-        Refusal::Old => 2,
-        Refusal::Late => 3,
+        Refusal::SupersededAttempt => 2,
+        Refusal::DeadlinePassed => 3,
         Refusal::NoCapacity => 4,
         Refusal::BadRequest => 5,
         Refusal::Unhealthy => 6,
--- a/crates/simulation/src/workers/orders.rs
+++ b/crates/simulation/src/workers/orders.rs
@@ -166,7 +166,7 @@
             return refused(now_ms, Refusal::StaleFencingToken);
         }
         if deadline_ms <= now_ms {
-            return refused(now_ms, Refusal::Late);
+            return refused(now_ms, Refusal::DeadlinePassed);
         }
         self.extend_worker_lease(position, now, Some(deadline_ms));
         let incarnation = self.workers[position].incarnation.as_ref()?;
@@ -177,7 +177,7 @@
             incarnation.runs.keys().filter(|run| run.task == key.task).map(|run| run.attempt).max();
         let barred = incarnation.barred.get(&key.task).copied().unwrap_or(0);
         if key.attempt <= barred || newest_here.is_some_and(|newest| key.attempt < newest) {
-            return refused(now_ms, Refusal::Old);
+            return refused(now_ms, Refusal::SupersededAttempt);
         }
         let need = need_of(&stage);
         let worker = &self.workers[position];
