--- a/crates/mutants/src/list/configuration_changes.rs
+++ b/crates/mutants/src/list/configuration_changes.rs
@@ -54,7 +54,7 @@
             point: 2,
             file: "crates/scheduler/src/state/configuration.rs",
             find: r#"            let digest = ConfigurationDigest::from_bytes(&put.body)
-                .ok_or(SnapshotError::Digest(put.version, put.body.len()))?;"#,
+                .ok_or(SnapshotError::InvalidDigest(put.version, put.body.len()))?;"#,
             replace: "            let Some(digest) = ConfigurationDigest::from_bytes(&put.body) else { continue };",
             test: "-p scheduler --test configuration_changes an_incomplete_snapshot_is_rejected_with_a_remedy",
         },
--- a/crates/scheduler/src/leader/admission.rs
+++ b/crates/scheduler/src/leader/admission.rs
@@ -48,7 +48,7 @@
     /// needs a pass.
     fn admit_within(&mut self, state: &State, position: usize, budget: &mut TurnBudget) {
         self.work.admission_passes += 1;
-        let examined_before = self.services[position].fleet.examined();
+        let examined_before = self.services[position].fleet.examined_count();
         self.services[position].prepare_pass(self.now);
         self.start_urgent(state, position);
         self.update_reservation(state, position);
@@ -57,7 +57,7 @@
             self.start_waiting(state, position, examined_limit, budget);
         }
         let service = &self.services[position];
-        budget.spend_workers(service.fleet.examined() - examined_before);
+        budget.spend_workers(service.fleet.examined_count() - examined_before);
         if let Some(at) = service.next_retry_at() {
             self.timers.set_no_later(at, Timer::Admit);
         }
--- a/crates/scheduler/src/leader/reports/load.rs
+++ b/crates/scheduler/src/leader/reports/load.rs
@@ -57,7 +57,7 @@
 
     /// Returns the work done since the last call and resets the counters.
     pub fn take_work(&mut self) -> LeaderWork {
-        let workers_examined = self.services.iter().map(|service| service.fleet.take_examined()).sum();
+        let workers_examined = self.services.iter().map(|service| service.fleet.take_examined_count()).sum();
         let share_updates = self.services.iter_mut().map(Service::take_share_updates).sum();
         LeaderWork { workers_examined, share_updates, ..std::mem::take(&mut self.work) }
     }
--- a/crates/scheduler/src/leader/service/mod.rs
+++ b/crates/scheduler/src/leader/service/mod.rs
@@ -15,7 +15,7 @@
 use mqos::{PlanOptions, Queues};
 
 use crate::ids::{StepKey, TaskKey};
-use crate::placement::{Fleet, Resources, WorkerKey, RESOURCES};
+use crate::placement::{Fleet, Resources, WorkerKey, RESOURCE_COUNT};
 
 use super::capacity_reservation::CapacityReservation;
 use super::mechanisms::{Mechanism, Mechanisms};
@@ -33,7 +33,7 @@
     /// order of arrival.
     fair: bool,
     /// One entry for each waiting step, blocked steps included.
-    queues: Queues<StepKey, RESOURCES>,
+    queues: Queues<StepKey, RESOURCE_COUNT>,
     /// Steps with tasks that wait for a start.
     ready: BTreeMap<StepKey, ReadyStep>,
     /// Steps that found no capacity, and for which no capacity that fits has been freed since.
@@ -135,7 +135,7 @@
     }
 
     /// Returns the plan of a step's queue, and the need of one entry as shares of the total capacity.
-    fn queue_entry_of(&self, ready: &ReadyStep) -> (usize, [f64; RESOURCES]) {
+    fn queue_entry_of(&self, ready: &ReadyStep) -> (usize, [f64; RESOURCE_COUNT]) {
         let need = ready.need.shares_of(self.shares_total);
         if self.fair {
             return (ready.plan, need);
--- a/crates/scheduler/src/leader/service/scan.rs
+++ b/crates/scheduler/src/leader/service/scan.rs
@@ -3,7 +3,7 @@
 use mqos::Released;
 
 use crate::ids::StepKey;
-use crate::placement::{Fleet, RESOURCES};
+use crate::placement::{Fleet, RESOURCE_COUNT};
 
 use super::steps::{Candidate, Choice, NextStep};
 use super::Service;
@@ -34,7 +34,7 @@
             }
             let Some(waiting) = ready.get(step) else { return false };
             let Some(first) = waiting.tasks.first() else { return false };
-            if fleet.examined() >= examined_limit {
+            if fleet.examined_count() >= examined_limit {
                 limit_reached = true;
                 return false;
             }
@@ -62,7 +62,7 @@
     /// waits there.
     pub(in crate::leader) fn released_step_started(
         &mut self,
-        released: &Released<StepKey, RESOURCES>,
+        released: &Released<StepKey, RESOURCE_COUNT>,
         started: &[u32],
         now: u64,
     ) {
@@ -79,7 +79,7 @@
     }
 
     /// Returns a released step to its queue and refunds its cost, because no task was started.
-    pub(in crate::leader) fn return_released_step(&mut self, released: &Released<StepKey, RESOURCES>) {
+    pub(in crate::leader) fn return_released_step(&mut self, released: &Released<StepKey, RESOURCE_COUNT>) {
         self.queues.refund(released);
         self.push_to_queue(released.key);
     }
--- a/crates/scheduler/src/leader/service/steps.rs
+++ b/crates/scheduler/src/leader/service/steps.rs
@@ -5,7 +5,7 @@
 use mqos::Released;
 
 use crate::ids::{StepKey, TaskKey};
-use crate::placement::{Resources, WorkerKey, RESOURCES};
+use crate::placement::{Resources, WorkerKey, RESOURCE_COUNT};
 
 /// Weights of the plans, by priority. All lower priorities share the last plan.
 pub(super) const WEIGHTS: [f64; 6] = [32.0, 16.0, 8.0, 4.0, 2.0, 1.0];
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(in crate::leader) enum NextStep {
     /// The next step, taken out of its queue, and its placement.
-    Step(Released<StepKey, RESOURCES>, Choice),
+    Step(Released<StepKey, RESOURCE_COUNT>, Choice),
     /// No step can start now: each scanned step is blocked or has no capacity.
     None,
     /// The scan examined as many workers as allowed before it found a step.
--- a/crates/scheduler/src/leader/worker_entry.rs
+++ b/crates/scheduler/src/leader/worker_entry.rs
@@ -108,7 +108,7 @@
 
     /// Returns whether the worker has no attempts and has not responded yet.
     pub(super) fn is_first_contact(&self) -> bool {
-        self.session.is_idle() && !self.session.has_been_answered()
+        self.session.is_idle() && !self.session.has_answered()
     }
 
     /// Number of attempts that occupy the worker.
@@ -130,7 +130,7 @@
     fn is_in_service(&self, now: u64) -> bool {
         let is_listed = self.listed && self.listing.as_ref().is_some_and(|listing| !listing.draining);
         let is_listed = is_listed && now < self.starts_until;
-        let answers = self.session.has_been_answered() && self.reachable && !self.suspect;
+        let answers = self.session.has_answered() && self.reachable && !self.suspect;
         let answers = answers && !self.unhealthy && !self.incarnation_ended;
         is_listed && answers && now >= self.backoff_until
     }
--- a/crates/scheduler/src/placement/choose.rs
+++ b/crates/scheduler/src/placement/choose.rs
@@ -3,7 +3,7 @@
 use super::fleet::Fleet;
 use super::matching::{Demand, Matcher, BEST_QUALITY, LIKE_QUALITY, OFF_RACK_FACTOR};
 use super::orders::FreeOrders;
-use super::resources::{Resources, RESOURCES};
+use super::resources::{Resources, RESOURCE_COUNT};
 use super::slot::{Slot, WorkerKey};
 use std::cmp::Reverse;
 
@@ -193,7 +193,7 @@
     fn dominant(&self, need: Resources) -> usize {
         let needed = need.shares_of(self.largest);
         let larger = |most: usize, next: usize| if needed[next] > needed[most] { next } else { most };
-        (1..RESOURCES).fold(0, larger)
+        (1..RESOURCE_COUNT).fold(0, larger)
     }
 
     /// Whether the task would fit some worker, were nothing reserved. Workers that may take no starts now
--- a/crates/scheduler/src/placement/fleet.rs
+++ b/crates/scheduler/src/placement/fleet.rs
@@ -63,8 +63,8 @@
     ejected: usize,
     /// Searches that found no worker since capacity was last freed.
     pub(super) shortages: RefCell<Shortages>,
-    /// How many slots searches have examined since the last call of `take_examined`.
-    examined: Cell<u64>,
+    /// How many slots searches have examined since the last call of `take_examined_count`.
+    examined_count: Cell<u64>,
 }
 
 impl Fleet {
@@ -185,15 +185,15 @@
         self.slot(key).map(Slot::free)
     }
 
-    /// How many workers, and blocks of them, searches have examined since the last call of `take_examined`: the work
+    /// How many workers, and blocks of them, searches have examined since the last call of `take_examined_count`: the work
     /// that placement has done.
-    pub fn examined(&self) -> u64 {
-        self.examined.get()
+    pub fn examined_count(&self) -> u64 {
+        self.examined_count.get()
     }
 
-    /// As [`Fleet::examined`], and counts from zero again.
-    pub fn take_examined(&self) -> u64 {
-        self.examined.take()
+    /// As [`Fleet::examined_count`], and counts from zero again.
+    pub fn take_examined_count(&self) -> u64 {
+        self.examined_count.take()
     }
 
     /// The slots of all blocks that `may_hold` accepts; it is asked when the iteration reaches the block. Each block
@@ -210,7 +210,7 @@
 
     /// Counts an examined worker or block.
     pub(super) fn count_examined(&self) {
-        self.examined.set(self.examined.get() + 1);
+        self.examined_count.set(self.examined_count.get() + 1);
     }
 
     /// How many workers are known.
--- a/crates/scheduler/src/placement/mod.rs
+++ b/crates/scheduler/src/placement/mod.rs
@@ -20,5 +20,5 @@
 pub use fleet::{Fleet, WorkerFacts};
 pub use matching::Demand;
 pub use preempt::{Preemption, Victim};
-pub use resources::{Resources, RESOURCES};
+pub use resources::{Resources, RESOURCE_COUNT};
 pub use slot::WorkerKey;
--- a/crates/scheduler/src/placement/orders.rs
+++ b/crates/scheduler/src/placement/orders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::resources::{Resources, RESOURCES};
+use super::resources::{Resources, RESOURCE_COUNT};
 use super::slot::{Slot, Symbol};
 
 /// What is free on a worker of one resource, and the position of its slot.
@@ -49,7 +49,7 @@
 /// For each resource, slots by what is free of it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FreeOrders {
-    by_resource: [Vec<Entry>; RESOURCES],
+    by_resource: [Vec<Entry>; RESOURCE_COUNT],
 }
 
 impl FreeOrders {
--- a/crates/scheduler/src/placement/resources.rs
+++ b/crates/scheduler/src/placement/resources.rs
@@ -1,7 +1,7 @@
 //! Amounts of the three resources that tasks need and workers have.
 
 /// Resources that are counted: processor, memory and GPUs.
-pub const RESOURCES: usize = 3;
+pub const RESOURCE_COUNT: usize = 3;
 
 /// An amount of each resource. All arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -19,7 +19,7 @@
     pub const ZERO: Resources = Resources { cpu: 0, mem_mb: 0, gpu: 0 };
 
     /// The amounts: processor, memory, GPUs.
-    pub fn amounts(self) -> [u64; RESOURCES] {
+    pub fn amounts(self) -> [u64; RESOURCE_COUNT] {
         [self.cpu, self.mem_mb, self.gpu]
     }
 
@@ -68,7 +68,7 @@
 
     /// What share of `total` this is, resource by resource: processor, memory, GPUs. A resource of which the
     /// total is nothing gives 0 where this has nothing of it, else infinity.
-    pub fn shares_of(self, total: Resources) -> [f64; RESOURCES] {
+    pub fn shares_of(self, total: Resources) -> [f64; RESOURCE_COUNT] {
         let share = |part: u64, total: u64| match (part, total) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
--- a/crates/scheduler/src/state/configuration.rs
+++ b/crates/scheduler/src/state/configuration.rs
@@ -130,7 +130,7 @@
         let Some((newest, replaced)) = configurations.split_last() else { return Ok(history) };
         for put in replaced {
             let digest = ConfigurationDigest::from_bytes(&put.body)
-                .ok_or(SnapshotError::Digest(put.version, put.body.len()))?;
+                .ok_or(SnapshotError::InvalidDigest(put.version, put.body.len()))?;
             history.keep(ReplacedConfiguration { digest, version: put.version, builds_on: put.builds_on });
         }
         history.accept(newest.clone(), ConfigurationDigest::of(&newest.body));
--- a/crates/scheduler/src/state/snapshot.rs
+++ b/crates/scheduler/src/state/snapshot.rs
@@ -40,7 +40,7 @@
     /// If any part of the snapshot cannot be read.
     pub fn restore(snapshot: &SchedulerSnapshot) -> Result<Self, SnapshotError> {
         if snapshot.format > FORMAT {
-            return Err(SnapshotError::Format(snapshot.format, FORMAT));
+            return Err(SnapshotError::UnsupportedFormat(snapshot.format, FORMAT));
         }
         let mut state = Self {
             configuration: ConfigurationHistory::restore(&snapshot.configurations)?,
@@ -55,13 +55,13 @@
     }
 
     fn restore_job(&mut self, saved: &JobState) -> Result<(), SnapshotError> {
-        let submit = saved.submit.as_ref().ok_or(SnapshotError::Job(0))?;
+        let submit = saved.submit.as_ref().ok_or(SnapshotError::InvalidJob(0))?;
         let id = submit.id;
         let prefix_key = self.add_pending(&submit.prefix_key);
         let work = match submit.job {
-            Some(_) => {
-                Some(restore_work(submit, &saved.tasks, &mut self.workers).ok_or(SnapshotError::Job(id))?)
-            }
+            Some(_) => Some(
+                restore_work(submit, &saved.tasks, &mut self.workers).ok_or(SnapshotError::InvalidJob(id))?,
+            ),
             None => None,
         };
         let job =
--- a/crates/scheduler/src/state/workers.rs
+++ b/crates/scheduler/src/state/workers.rs
@@ -106,7 +106,7 @@
     pub(super) fn restore(workers: &[WorkerState]) -> Result<Self, SnapshotError> {
         let mut restored = Self::default();
         for worker in workers {
-            let incarnation = worker.incarnation.as_ref().ok_or(SnapshotError::Worker)?;
+            let incarnation = worker.incarnation.as_ref().ok_or(SnapshotError::WorkerWithoutInstance)?;
             restored.learn(incarnation);
             restored.acknowledge(&incarnation.instance, worker.noted);
         }
--- a/crates/scheduler/src/worker/lease_renewals.rs
+++ b/crates/scheduler/src/worker/lease_renewals.rs
@@ -138,7 +138,7 @@
             return 0;
         }
         let part = self.worker_lease_ms / WORKER_LEASE_DIVISOR;
-        self.options.wait_ms.min(MAX_WAIT_MS).min(part)
+        self.options.long_poll_wait_ms.min(MAX_WAIT_MS).min(part)
     }
 
     /// The first call whose lists settle all that is uncertain; `None`: nothing is.
--- a/crates/scheduler/src/worker/orders.rs
+++ b/crates/scheduler/src/worker/orders.rs
@@ -196,7 +196,7 @@
     /// Takes the outcome of a stop.
     pub(super) fn stop_finished(&mut self, key: AttemptKey, call: u64, outcome: &CallOutcome, now: u64) {
         let conclusive_from = self.calls.next_id();
-        let stop_time = self.options.stop_ms.saturating_mul(NANOS_PER_MS);
+        let stop_time = self.options.max_stop_ms.saturating_mul(NANOS_PER_MS);
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
--- a/crates/scheduler/src/worker/session.rs
+++ b/crates/scheduler/src/worker/session.rs
@@ -187,7 +187,7 @@
 
     /// How long the worker may wait for an end from the next lease renewal on, in milliseconds.
     pub fn set_long_poll_wait(&mut self, wait_ms: u64) {
-        self.options.wait_ms = wait_ms;
+        self.options.long_poll_wait_ms = wait_ms;
     }
 
     /// How far ahead the worker's lease is set from the next call on, in milliseconds of the worker's clock. What was
@@ -280,7 +280,7 @@
     }
 
     /// Whether the worker has answered this session at least once.
-    pub fn has_been_answered(&self) -> bool {
+    pub fn has_answered(&self) -> bool {
         self.clock.is_known()
     }
 
--- a/crates/scheduler/src/worker/types.rs
+++ b/crates/scheduler/src/worker/types.rs
@@ -16,13 +16,13 @@
     /// The longest worker lease that a worker grants, in milliseconds.
     pub max_worker_lease_ms: u64,
     /// How long a worker may wait for an end before it answers a lease renewal, in milliseconds.
-    pub wait_ms: u64,
+    pub long_poll_wait_ms: u64,
     /// How long a call may take beyond its wait before it counts as unanswered, in milliseconds.
     pub call_timeout_ms: u64,
     /// Most calls that start or stop attempts in flight at one time.
     pub max_order_calls: usize,
     /// The longest time that a worker takes to stop an attempt, in milliseconds.
-    pub stop_ms: u64,
+    pub max_stop_ms: u64,
     /// Whether several lease renewals may follow each other quickly, within the usual pace over longer times.
     pub lease_renewal_bursts: bool,
     /// Whether another lease renewal is sent beside one that is overdue.
--- a/crates/scheduler/tests/configuration_changes.rs
+++ b/crates/scheduler/tests/configuration_changes.rs
@@ -136,16 +136,19 @@
 
     let mut truncated = complete.clone();
     truncated.configurations[0].body.pop();
-    assert_eq!(State::restore(&truncated).expect_err("a digest is truncated"), SnapshotError::Digest(3, 31));
+    assert_eq!(
+        State::restore(&truncated).expect_err("a digest is truncated"),
+        SnapshotError::InvalidDigest(3, 31)
+    );
     let mut later = complete.clone();
     later.format = 9;
-    assert_eq!(State::restore(&later).expect_err("a later format"), SnapshotError::Format(9, 1));
+    assert_eq!(State::restore(&later).expect_err("a later format"), SnapshotError::UnsupportedFormat(9, 1));
     let mut without = complete.clone();
     without.jobs[0].submit = None;
-    assert!(matches!(State::restore(&without), Err(SnapshotError::Job(_))));
+    assert!(matches!(State::restore(&without), Err(SnapshotError::InvalidJob(_))));
     let mut without = complete.clone();
     without.workers[0].incarnation = None;
-    assert_eq!(State::restore(&without).expect_err("no incarnation"), SnapshotError::Worker);
-    let remedy = SnapshotError::Digest(3, 31).to_string();
+    assert_eq!(State::restore(&without).expect_err("no incarnation"), SnapshotError::WorkerWithoutInstance);
+    let remedy = SnapshotError::InvalidDigest(3, 31).to_string();
     assert!(remedy.contains("joins the group anew"), "{remedy}");
 }
--- a/crates/scheduler/tests/placement_search.rs
+++ b/crates/scheduler/tests/placement_search.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use scheduler::ids::StepKey;
-use scheduler::placement::{Demand, Fleet, Resources, WorkerFacts, WorkerKey, RESOURCES};
+use scheduler::placement::{Demand, Fleet, Resources, WorkerFacts, WorkerKey, RESOURCE_COUNT};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -163,7 +163,7 @@
         let needed = task.need.shares_of(largest);
         let left = worker.free().minus(task.need).shares_of(largest);
         let dominant =
-            (1..RESOURCES).fold(0, |most, next| if needed[next] > needed[most] { next } else { most });
+            (1..RESOURCE_COUNT).fold(0, |most, next| if needed[next] > needed[most] { next } else { most });
         let lesser = left.iter().sum::<f64>() - left[dominant];
         let spared = if task.need.gpu == 0 && worker.free().gpu > 0 { 2.0 } else { 0.0 };
         (std::cmp::Reverse(packed), left[dominant] + 0.25 * lesser + spared, key)
@@ -271,7 +271,7 @@
         avoid: &[],
         tasks_to_pack: 1,
     };
-    fleet.take_examined();
+    fleet.take_examined_count();
     assert_eq!(fleet.place(&demand), None);
-    assert!(fleet.examined() < WORKERS / 10, "{} were examined", fleet.examined());
+    assert!(fleet.examined_count() < WORKERS / 10, "{} were examined", fleet.examined_count());
 }
