--- a/crates/scheduler/src/ids.rs
+++ b/crates/scheduler/src/ids.rs
@@ -6,15 +6,16 @@
 use messages::job;
 use quick_error::quick_error;
 
-/// Hex digits of a job's identity in a task's name.
-const JOB_DIGITS: usize = 16;
+/// Number of hex digits of the job's identity in a task's name.
+const JOB_HEX_DIGITS: usize = 16;
 
-/// A task's identity: job, time (`K`), step and index. Its text is `ID.K.STEP.INDEX`, where `ID` has 16 hex digits.
+/// Identity of a task: job, repeat, step and index. Its text form is `ID.K.STEP.INDEX`, where `ID` has 16
+/// hex digits and `K` is the repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
-    /// The job's identity.
+    /// Identity of the job.
     pub job: u64,
-    /// Which of the job's repeats, counted from 0.
+    /// The repeat of the job's steps, counted from 0. Jobs that are not scheduled have only repeat 0.
     pub time: u32,
     /// Number of the step within the job, counted from 0.
     pub step: u32,
@@ -22,39 +23,39 @@
     pub index: u32,
 }
 
-/// One start of a task. Attempts are numbered from 1.
+/// Identity of one attempt to run a task. Attempts of a task are numbered from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
-    /// The task that is started.
+    /// The task.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Attempt number.
     pub attempt: u32,
 }
 
-/// A step of a job at one of its times.
+/// Identity of a step in one repeat of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepKey {
-    /// The job's identity.
+    /// Identity of the job.
     pub job: u64,
-    /// Which of the job's repeats, counted from 0.
+    /// The repeat of the job's steps, counted from 0. Jobs that are not scheduled have only repeat 0.
     pub time: u32,
     /// Number of the step within the job, counted from 0.
     pub step: u32,
 }
 
 quick_error! {
-    /// Why a text is not a task's name.
+    /// Reason why a text is not a task's name.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum TaskKeyError {
         /// The text doesn't have four parts.
         Parts {
             display("a task's name needs four parts; write it as ID.K.STEP.INDEX")
         }
-        /// The job's identity can't be read.
+        /// The job's identity is not a number of 16 hex digits.
         Job {
             display("the job in a task's name can't be read; write it with 16 hex digits")
         }
-        /// A number can't be read.
+        /// The repeat, step or index is not a decimal number below 2^32.
         Number {
             display("a number in a task's name can't be read; write K, STEP and INDEX as decimals below 2^32")
         }
@@ -69,7 +70,7 @@
 }
 
 impl StepKey {
-    /// The step's task with this index.
+    /// The task of this step with the given index.
     pub fn task(&self, index: u32) -> TaskKey {
         TaskKey { job: self.job, time: self.time, step: self.step, index }
     }
@@ -92,10 +93,10 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut parts = text.split('.');
-        let job = read_job(parts.next().ok_or(TaskKeyError::Parts)?)?;
-        let time = read_number(parts.next())?;
-        let step = read_number(parts.next())?;
-        let index = read_number(parts.next())?;
+        let job = parse_job(parts.next().ok_or(TaskKeyError::Parts)?)?;
+        let time = parse_number(parts.next())?;
+        let step = parse_number(parts.next())?;
+        let index = parse_number(parts.next())?;
         if parts.next().is_some() {
             return Err(TaskKeyError::Parts);
         }
@@ -103,15 +104,15 @@
     }
 }
 
-fn read_job(text: &str) -> Result<u64, TaskKeyError> {
+fn parse_job(text: &str) -> Result<u64, TaskKeyError> {
     let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if text.len() != JOB_DIGITS || !is_hex {
+    if text.len() != JOB_HEX_DIGITS || !is_hex {
         return Err(TaskKeyError::Job);
     }
     u64::from_str_radix(text, 16).map_err(|_| TaskKeyError::Job)
 }
 
-fn read_number(part: Option<&str>) -> Result<u32, TaskKeyError> {
+fn parse_number(part: Option<&str>) -> Result<u32, TaskKeyError> {
     let text = part.ok_or(TaskKeyError::Parts)?;
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(TaskKeyError::Number);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,9 @@
-//! Jobs, tasks, admission, placement and the reconcilers of workers, without input or output.
+//! Jobs, tasks, admission, placement and the reconcilers of workers. The crate does no input or output.
 //!
-//! `state` is replicated and the same on every core process; `leader` decides on one of them; `worker` reconciles
-//! one incarnation of a worker with what the leader wants; `placement` chooses workers.
+//! - `state` is the replicated state, the same on every core process.
+//! - `leader` makes the decisions on the one core process that leads.
+//! - `worker` reconciles one incarnation of a worker with the attempts that the leader wants to run there.
+//! - `placement` chooses workers for tasks.
 
 #![warn(missing_docs)]
 
--- a/crates/scheduler/src/state/call_check.rs
+++ b/crates/scheduler/src/state/call_check.rs
@@ -1,4 +1,4 @@
-//! Check that a call to a worker rests on committed commands only.
+//! Checks that a call to a worker is based on committed commands only.
 
 use crate::ids::AttemptKey;
 use crate::worker::WorkerRequest;
@@ -7,10 +7,10 @@
 use super::State;
 
 impl State {
-    /// Checks a call to one incarnation of a worker against what is committed.
+    /// Checks a call to one incarnation of a worker against the committed state.
     ///
-    /// # Errors
-    /// If the call would acknowledge ends that are not durable, or start an attempt without a durable intent.
+    /// # Errors Returns an error if the call would acknowledge ends that are not durable, or start an
+    /// attempt whose intent to start is not durable.
     pub fn check_call(&self, instance: &str, request: &WorkerRequest) -> Result<(), UncommittedCall> {
         match request {
             WorkerRequest::RenewLease { last_seen, .. } => {
@@ -20,7 +20,7 @@
                 }
             }
             WorkerRequest::Start { key, .. } => {
-                if !self.is_intended(key, instance) {
+                if !self.has_committed_start(key, instance) {
                     return Err(UncommittedCall::Start(*key, instance.to_owned()));
                 }
             }
@@ -29,7 +29,7 @@
         Ok(())
     }
 
-    fn is_intended(&self, key: &AttemptKey, instance: &str) -> bool {
+    fn has_committed_start(&self, key: &AttemptKey, instance: &str) -> bool {
         let work = self.job(key.task.job).and_then(|job| job.work());
         let task = work.and_then(|work| work.task(key.task));
         task.is_some_and(|task| {
--- a/crates/scheduler/src/state/change.rs
+++ b/crates/scheduler/src/state/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the state: what a committed command did, for the leader to act on and for metrics to count.
+//! Changes of the state by committed commands. The leader acts on them and metrics count them.
 
 use std::sync::Arc;
 
@@ -11,37 +11,37 @@
 /// How an attempt finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The worker listed its end.
+    /// The worker listed the end of the attempt.
     Ended(job::EndKind),
-    /// It surely does not run, without a listed end.
+    /// The attempt certainly does not run, and the worker listed no end of it.
     Resolved(job::Resolution),
 }
 
-/// One change of the state, in the order in which it took place.
+/// One change of the state. Changes are emitted in the order in which they took place.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StateChange {
-    /// A configuration is in force from now on.
+    /// A configuration was accepted and is now in force.
     ConfigurationAccepted {
-        /// Which change of the operator it is.
+        /// The operator's change.
         key: ConfigurationKey,
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
-    /// This exact configuration had been accepted before.
+    /// The same configuration had been accepted before.
     ConfigurationRepeated {
-        /// Which change of the operator it is.
+        /// The operator's change.
         key: ConfigurationKey,
     },
-    /// The configuration builds on another version than the current one.
+    /// The configuration is based on another version than the current one.
     ConfigurationConflict {
-        /// Which change of the operator it is.
+        /// The operator's change.
         key: ConfigurationKey,
         /// The version in force.
         current: u64,
     },
-    /// The configuration's version is not above the current one.
+    /// The version of the configuration is not higher than the current one.
     ConfigurationVersionTooLow {
-        /// Which change of the operator it is.
+        /// The operator's change.
         key: ConfigurationKey,
         /// The version in force.
         current: u64,
@@ -52,26 +52,26 @@
         /// The job's identity.
         job: u64,
     },
-    /// The job had been accepted before, under the same prefix.
+    /// The job had been accepted before, under the same host and path prefix.
     JobAlreadyAccepted {
         /// The job's identity.
         job: u64,
     },
-    /// A job of another prefix has this identity, or the job's steps cannot be run.
+    /// The job was rejected: a job of another prefix has this identity, or its steps cannot be run.
     JobRejected {
         /// The job's identity.
         job: u64,
         /// Host and path prefix under which it was submitted.
         prefix_key: String,
     },
-    /// The job is cancelled, or had ended before.
+    /// The job is cancelled, or had ended before the request.
     CancelDone {
         /// The job's identity.
         job: u64,
         /// Host and path prefix of the request.
         prefix_key: String,
     },
-    /// There is no such job under that prefix.
+    /// No job with this identity exists under the prefix of the request.
     NoSuchJob {
         /// The job's identity.
         job: u64,
@@ -82,78 +82,79 @@
     JobEnded {
         /// The job's identity.
         job: u64,
-        /// How it ended.
+        /// How the job ended.
         phase: job::JobPhase,
     },
-    /// The job ended long ago: it is no longer known.
+    /// The job was removed from the state because its retention time after its end has passed.
     JobForgotten {
         /// The job's identity.
         job: u64,
     },
 
-    /// All steps that this step depends on are done: its tasks may start.
+    /// All steps that this step depends on are done, so its tasks may start.
     StepReady {
-        /// Which step.
+        /// The step.
         step: StepKey,
     },
     /// All tasks of the step are done.
     StepDone {
-        /// Which step.
+        /// The step.
         step: StepKey,
     },
-    /// The task is done for good.
+    /// The task is done and will not be started again.
     TaskDone {
-        /// Which task.
+        /// The task.
         task: TaskKey,
     },
-    /// A run of the task failed in a way that counts.
+    /// An attempt of the task failed and counts towards the limit of retries.
     TaskFailed {
-        /// Which task.
+        /// The task.
         task: TaskKey,
-        /// Counted failures of the task, or of its gang, so far.
+        /// Number of counted failures so far, of the task or of its gang.
         failures: u32,
     },
-    /// The task waits for a start again.
+    /// The task waits to be started again.
     TaskReady {
-        /// Which task. Of a gang, index 0 stands for all members.
+        /// The task. For a gang, index 0 stands for all members.
         task: TaskKey,
     },
 
-    /// The intent to start is durable.
+    /// The intent to start the attempt is durable.
     AttemptStarted {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// The worker's incarnation.
+        /// Instance name of the worker's incarnation.
         instance: Arc<str>,
     },
-    /// The intent is void: the job ended, the task is done, or there is a newer attempt.
+    /// The intent to start the attempt was dropped: the job ended, the task is done, or a newer attempt
+    /// exists.
     StartDropped {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// The worker's incarnation.
+        /// Instance name of the worker's incarnation.
         instance: Arc<str>,
     },
     /// The attempt no longer occupies its worker.
     AttemptFinished {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// The worker's incarnation.
+        /// Instance name of the worker's incarnation.
         instance: Arc<str>,
-        /// How it finished.
+        /// How the attempt finished.
         outcome: AttemptOutcome,
     },
-    /// The attempt may still run, and nobody wants it any longer.
+    /// The attempt may still run but is no longer wanted and is to be stopped.
     StopRequested {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// The worker's incarnation.
+        /// Instance name of the worker's incarnation.
         instance: Arc<str>,
     },
-    /// Ends of the worker are durable.
+    /// Ends that the worker listed are durable.
     EndsAcknowledged {
-        /// The worker's incarnation.
+        /// Instance name of the worker's incarnation.
         instance: Arc<str>,
-        /// All its ends up to this sequence are.
+        /// All ends of the worker up to this sequence number are durable.
         sequence: u64,
     },
 }
--- a/crates/scheduler/src/state/configuration.rs
+++ b/crates/scheduler/src/state/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: the newest in full, and digests of those accepted before.
+//! The operator's configurations: the newest one in full, and digests of those that it replaced.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -8,17 +8,18 @@
 use super::digest::{ConfigurationDigest, ConfigurationKey};
 use super::error::SnapshotError;
 
-/// Replaced configurations whose repetition is still recognized. A day holds hundreds of changes.
-const MAX_DIGESTS: usize = 16_384;
+/// Number of replaced configurations that are remembered, so that a repeated request for one of them is
+/// recognized. A day has hundreds of changes.
+const MAX_REPLACED_CONFIGURATIONS: usize = 16_384;
 
-/// A configuration that was accepted, without its body.
+/// An accepted configuration, without its body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AcceptedConfiguration {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The version that the operator built on.
+    /// The version on which the operator based the change.
     pub builds_on: u64,
-    /// Digest of its body.
+    /// Digest of the body.
     pub digest: ConfigurationDigest,
 }
 
@@ -30,14 +31,14 @@
     builds_on: u64,
 }
 
-/// The newest configuration and what is known of older ones.
+/// The newest configuration and the record of older ones.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub(super) struct ConfigurationHistory {
     newest: Option<PutConfiguration>,
     replaced: VecDeque<ReplacedConfiguration>,
-    /// Digests of the newest and the replaced ones.
+    /// Digests of the newest and of all replaced configurations.
     accepted: HashSet<ConfigurationDigest>,
-    /// Some digests come from a snapshot of format 0.
+    /// Whether some digests come from a snapshot of format 0.
     has_format_0_digests: bool,
 }
 
@@ -47,7 +48,7 @@
         self.newest.as_ref()
     }
 
-    /// All that are remembered, the oldest first and the newest last.
+    /// All remembered configurations, from oldest to newest.
     pub(super) fn all(&self) -> impl Iterator<Item = AcceptedConfiguration> + '_ {
         let replaced = self.replaced.iter().map(|replaced| AcceptedConfiguration {
             version: replaced.version,
@@ -62,19 +63,19 @@
         replaced.chain(newest)
     }
 
-    /// The newest version, 0 while there is none.
+    /// Version of the newest configuration, 0 if there is none.
     pub(super) fn version(&self) -> u64 {
         self.newest.as_ref().map_or(0, |newest| newest.version)
     }
 
-    /// Whether exactly this body was ever accepted.
+    /// Whether a configuration with exactly this body was accepted before, as far as remembered.
     pub(super) fn was_accepted(&self, body: &[u8]) -> bool {
         let known = |digest| self.accepted.contains(&digest);
         known(ConfigurationDigest::of(body))
             || self.has_format_0_digests && known(ConfigurationDigest::format_0_of(body))
     }
 
-    /// Accepts `put` if it builds on the newest version and is above it.
+    /// Accepts `put` if it is based on the newest version and has a higher version.
     pub(super) fn put(&mut self, put: &PutConfiguration) -> StateChange {
         let key = ConfigurationKey::of(&put.body, put.builds_on);
         let current = self.version();
@@ -95,14 +96,18 @@
         self.accepted.insert(digest);
         let Some(before) = self.newest.replace(put) else { return };
         let digest = ConfigurationDigest::of(&before.body);
-        self.keep(ReplacedConfiguration { digest, version: before.version, builds_on: before.builds_on });
+        self.remember_replaced(ReplacedConfiguration {
+            digest,
+            version: before.version,
+            builds_on: before.builds_on,
+        });
     }
 
-    fn keep(&mut self, replaced: ReplacedConfiguration) {
+    fn remember_replaced(&mut self, replaced: ReplacedConfiguration) {
         self.accepted.insert(replaced.digest);
         self.has_format_0_digests |= matches!(replaced.digest, ConfigurationDigest::Fnv(_));
         self.replaced.push_back(replaced);
-        if self.replaced.len() <= MAX_DIGESTS {
+        if self.replaced.len() <= MAX_REPLACED_CONFIGURATIONS {
             return;
         }
         if let Some(oldest) = self.replaced.pop_front() {
@@ -110,7 +115,8 @@
         }
     }
 
-    /// Replaced configurations with their digest as body, then the newest in full.
+    /// The configurations for a snapshot: each replaced one with its digest as the body, then the newest
+    /// one in full.
     pub(super) fn snapshot(&self) -> Vec<PutConfiguration> {
         let mut configurations = Vec::with_capacity(self.replaced.len() + 1);
         for replaced in &self.replaced {
@@ -124,14 +130,18 @@
         configurations
     }
 
-    /// The inverse of `snapshot`.
+    /// Restores the history from the configurations of a snapshot; the inverse of `snapshot`.
     pub(super) fn restore(configurations: &[PutConfiguration]) -> Result<Self, SnapshotError> {
         let mut history = Self::default();
         let Some((newest, replaced)) = configurations.split_last() else { return Ok(history) };
         for put in replaced {
             let digest = ConfigurationDigest::from_bytes(&put.body)
                 .ok_or(SnapshotError::InvalidDigest(put.version, put.body.len()))?;
-            history.keep(ReplacedConfiguration { digest, version: put.version, builds_on: put.builds_on });
+            history.remember_replaced(ReplacedConfiguration {
+                digest,
+                version: put.version,
+                builds_on: put.builds_on,
+            });
         }
         history.accept(newest.clone(), ConfigurationDigest::of(&newest.body));
         Ok(history)
--- a/crates/scheduler/src/state/digest.rs
+++ b/crates/scheduler/src/state/digest.rs
@@ -1,32 +1,32 @@
-//! Digests by which configurations that were accepted are recognized.
+//! Digests by which accepted configurations are recognized.
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a SHA-256 digest.
+/// Length of a SHA-256 digest in bytes.
 const SHA256_BYTES: usize = 32;
-/// Bytes of a 128 bit FNV-1a hash.
+/// Length of a 128-bit FNV-1a hash in bytes.
 const FNV_BYTES: usize = 16;
-/// Offset basis of the 128 bit FNV-1a hash.
+/// Offset basis of the 128-bit FNV-1a hash.
 const FNV_OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
-/// Prime of the 128 bit FNV-1a hash.
+/// Prime of the 128-bit FNV-1a hash.
 const FNV_PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
 
-/// Digest of a configuration's bytes, the same in every build.
+/// Digest of a configuration's body. The same body has the same digest in every build of this program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ConfigurationDigest {
     /// SHA-256.
     Sha256([u8; SHA256_BYTES]),
-    /// The 128 bit FNV-1a hash that snapshots of format 0 hold. New digests are never of this kind.
+    /// A 128-bit FNV-1a hash, as snapshots of format 0 contain. New digests are always SHA-256.
     Fnv([u8; FNV_BYTES]),
 }
 
 impl ConfigurationDigest {
-    /// The digest of `body`.
+    /// Computes the digest of `body`.
     pub fn of(body: &[u8]) -> Self {
         ConfigurationDigest::Sha256(Sha256::digest(body).into())
     }
 
-    /// The digest by which `body` is known in what was stored in format 0.
+    /// Computes the digest of `body` that snapshots of format 0 contain.
     pub(super) fn format_0_of(body: &[u8]) -> Self {
         let mut hash = FNV_OFFSET;
         for byte in body {
@@ -36,7 +36,7 @@
         ConfigurationDigest::Fnv(hash.to_le_bytes())
     }
 
-    /// The digest as it is stored.
+    /// The digest as stored in a snapshot.
     pub(super) fn to_bytes(self) -> Vec<u8> {
         match self {
             ConfigurationDigest::Sha256(bytes) => bytes.to_vec(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A stored digest; `None` if its length is none of a digest.
+    /// Reads a stored digest; `None` if it has the length of neither kind.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         if let Ok(bytes) = bytes.try_into() {
             return Some(ConfigurationDigest::Sha256(bytes));
@@ -54,23 +54,24 @@
 }
 
 impl std::fmt::Display for ConfigurationDigest {
-    /// Hexadecimal digits.
+    /// Writes the digest as hexadecimal digits.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.to_bytes().iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
-/// Identifies a configuration change of the operator: the same body on top of the same version is the same change.
+/// Identity of an operator's configuration change. Requests with the same body on top of the same version
+/// are the same change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ConfigurationKey {
     /// Digest of the body.
     pub digest: ConfigurationDigest,
-    /// The version that the operator built on.
+    /// The version on which the operator based the change.
     pub builds_on: u64,
 }
 
 impl ConfigurationKey {
-    /// The key of a change.
+    /// Computes the key of a change.
     pub fn of(body: &[u8], builds_on: u64) -> Self {
         Self { digest: ConfigurationDigest::of(body), builds_on }
     }
--- a/crates/scheduler/src/state/ends.rs
+++ b/crates/scheduler/src/state/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: listed by workers, or resolved by the leader.
+//! Application of the ends of attempts, which workers list or the leader resolves.
 
 use std::sync::Arc;
 
@@ -10,27 +10,27 @@
 use super::job::Work;
 use super::State;
 
-/// The progress of a job after an end.
+/// State of a job after the end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum JobProgress {
-    /// It remains open.
+    /// The job remains open.
     Open,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Completed,
-    /// A task or gang has failed too often.
+    /// A task or gang has reached its limit of failures.
     Failed,
 }
 
-/// The effect of an end on its task.
+/// Effect of an attempt's end on its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskOutcome {
     Done,
     Failed,
-    /// To be started again.
+    /// The task is to be started again.
     Retry,
 }
 
-/// An attempt that has finished.
+/// A finished attempt.
 struct FinishedAttempt<'a> {
     key: AttemptKey,
     outcome: AttemptOutcome,
@@ -39,9 +39,10 @@
 }
 
 impl State {
-    /// Records ends that a worker listed. Each counts once: those up to the acknowledged sequence are repeats.
+    /// Records ends that a worker listed. Each end counts once: ends up to the acknowledged sequence number
+    /// are repeats and are skipped.
     pub(super) fn record_ends(&mut self, command: &RecordEnds, out: &mut Vec<StateChange>) {
-        let instance = self.workers.name_or_insert(&command.instance);
+        let instance = self.workers.shared_name_or_insert(&command.instance);
         for end in &command.ends {
             if end.sequence <= self.workers.acknowledged(&instance) {
                 continue;
@@ -61,7 +62,7 @@
             _ => TaskOutcome::Retry,
         };
         let key = AttemptKey { task: TaskKey::from(task), attempt: end.attempt };
-        self.finish(
+        self.finish_attempt(
             FinishedAttempt {
                 key,
                 outcome: AttemptOutcome::Ended(end.kind),
@@ -72,7 +73,7 @@
         );
     }
 
-    /// Records attempts that surely do not run.
+    /// Records attempts that certainly do not run.
     pub(super) fn resolve_attempts(&mut self, command: &ResolveAttempts, out: &mut Vec<StateChange>) {
         for resolved in &command.resolved {
             self.resolve(resolved, out);
@@ -83,7 +84,7 @@
         let Some(task) = resolved.task.as_ref() else { return };
         let key = AttemptKey { task: TaskKey::from(task), attempt: resolved.attempt };
         let outcome = AttemptOutcome::Resolved(resolved.resolution);
-        self.finish(
+        self.finish_attempt(
             FinishedAttempt {
                 key,
                 outcome,
@@ -94,12 +95,12 @@
         );
     }
 
-    fn finish(&mut self, finish: FinishedAttempt<'_>, out: &mut Vec<StateChange>) {
-        let id = finish.key.task.job;
+    fn finish_attempt(&mut self, finished: FinishedAttempt<'_>, out: &mut Vec<StateChange>) {
+        let id = finished.key.task.job;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let is_open = job.open_work().is_some();
         let Some(work) = job.work.as_mut() else { return };
-        let (progress, freed) = work.finish(&finish, is_open, out);
+        let (progress, freed) = work.finish_attempt(&finished, is_open, out);
         if let Some(instance) = freed {
             self.workers.subtract_active(&instance);
         }
@@ -112,61 +113,62 @@
 }
 
 impl Work {
-    /// Applies an end; gives the incarnation whose resources it frees.
-    fn finish(
+    /// Applies the end of an attempt. Also returns the worker's incarnation if the attempt occupied
+    /// resources there that are now free.
+    fn finish_attempt(
         &mut self,
-        finish: &FinishedAttempt<'_>,
+        finished: &FinishedAttempt<'_>,
         is_open: bool,
         out: &mut Vec<StateChange>,
     ) -> (JobProgress, Option<Arc<str>>) {
-        let key = finish.key.task;
+        let key = finished.key.task;
         let Some(stage) = self.stage(key.step) else { return (JobProgress::Open, None) };
         let (count, is_gang) = (stage.count, stage.gang);
-        let Some(time) = self.times.get_mut(&key.time) else { return (JobProgress::Open, None) };
-        let Some(step) = time.steps.get_mut(key.step as usize) else { return (JobProgress::Open, None) };
+        let Some(repeat) = self.repeats.get_mut(&key.time) else { return (JobProgress::Open, None) };
+        let Some(step) = repeat.steps.get_mut(key.step as usize) else { return (JobProgress::Open, None) };
         let gang_was_complete = is_gang && step.active() == count as usize;
         let Some(task) = step.tasks.get_mut(key.index as usize) else { return (JobProgress::Open, None) };
-        if finish.key.attempt > task.last_attempt {
+        if finished.key.attempt > task.last_attempt {
             return (JobProgress::Open, None);
         }
-        let freed = task.remove_active(finish.key.attempt).map(|active| active.instance);
+        let freed = task.remove_active(finished.key.attempt).map(|active| active.instance);
         if !is_gang {
-            task.keep_checkpoint(finish.key.attempt, finish.checkpoint);
+            task.update_checkpoint(finished.key.attempt, finished.checkpoint);
         } else if let Some(first) = step.tasks.first_mut() {
-            first.keep_checkpoint(finish.key.attempt, finish.checkpoint);
+            first.update_checkpoint(finished.key.attempt, finished.checkpoint);
         }
         if let Some(instance) = freed.clone() {
-            time.active -= 1;
+            repeat.active -= 1;
             self.active -= 1;
-            out.push(StateChange::AttemptFinished { key: finish.key, instance, outcome: finish.outcome });
+            out.push(StateChange::AttemptFinished { key: finished.key, instance, outcome: finished.outcome });
         }
         let progress = if is_open {
-            self.progress_after(finish, freed.is_some(), gang_was_complete, out)
+            self.progress_after(finished, freed.is_some(), gang_was_complete, out)
         } else {
             JobProgress::Open
         };
-        self.drop_idle_time(key.time);
+        self.drop_idle_repeat(key.time);
         (progress, freed)
     }
 
-    /// Applies the end of an attempt to a job that is open.
+    /// Applies the end of an attempt to an open job.
     fn progress_after(
         &mut self,
-        finish: &FinishedAttempt<'_>,
+        finished: &FinishedAttempt<'_>,
         was_active: bool,
         gang_was_complete: bool,
         out: &mut Vec<StateChange>,
     ) -> JobProgress {
-        let key = finish.key.task;
+        let key = finished.key.task;
         let is_long_running = self.stage(key.step).is_some_and(|stage| stage.long_running);
         if self.is_task_done(key) {
             return JobProgress::Open;
         }
-        if finish.task_outcome == TaskOutcome::Done && !is_long_running {
-            return self.complete_task(finish.key, out);
+        if finished.task_outcome == TaskOutcome::Done && !is_long_running {
+            return self.complete_task(finished.key, out);
         }
-        if finish.task_outcome == TaskOutcome::Failed {
-            let failures = self.count_failure(finish.key);
+        if finished.task_outcome == TaskOutcome::Failed {
+            let failures = self.count_failure(finished.key);
             out.push(StateChange::TaskFailed { task: key, failures });
             if !is_long_running && failures >= self.submit.max_retries.max(1) {
                 return JobProgress::Failed;
@@ -178,11 +180,12 @@
         JobProgress::Open
     }
 
-    /// Counts a run that ended `failed`; a gang's run counts once, however many members report it.
+    /// Counts a failed attempt and returns the failures of the task or gang so far. A failed attempt of a
+    /// gang counts once, however many members report it.
     fn count_failure(&mut self, key: AttemptKey) -> u32 {
         let is_gang = self.stage(key.task.step).is_some_and(|stage| stage.gang);
-        let Some(time) = self.times.get_mut(&key.task.time) else { return 0 };
-        let Some(step) = time.steps.get_mut(key.task.step as usize) else { return 0 };
+        let Some(repeat) = self.repeats.get_mut(&key.task.time) else { return 0 };
+        let Some(step) = repeat.steps.get_mut(key.task.step as usize) else { return 0 };
         if !is_gang {
             let Some(task) = step.tasks.get_mut(key.task.index as usize) else { return 0 };
             task.failures += 1;
@@ -195,7 +198,8 @@
         step.gang_failures
     }
 
-    /// Lets the task wait for a start again; of a gang that lost a member, the other members are to stop first.
+    /// Makes the task wait to be started again. If a gang has lost a member, the other members are stopped
+    /// first.
     fn requeue(&self, key: TaskKey, gang_was_complete: bool, out: &mut Vec<StateChange>) {
         let is_gang = self.stage(key.step).is_some_and(|stage| stage.gang);
         if !is_gang {
@@ -211,10 +215,10 @@
         }
     }
 
-    /// Asks for a stop of all attempts of the step.
+    /// Requests a stop of all active attempts of the step.
     fn stop_step(&self, step: StepKey, out: &mut Vec<StateChange>) {
-        let Some(time) = self.times.get(&step.time) else { return };
-        let Some(state) = time.steps.get(step.step as usize) else { return };
+        let Some(repeat) = self.repeats.get(&step.time) else { return };
+        let Some(state) = repeat.steps.get(step.step as usize) else { return };
         for (index, task) in state.tasks.iter().enumerate() {
             for active in &task.active {
                 let key = AttemptKey { task: step.task(index as u32), attempt: active.attempt };
@@ -223,13 +227,14 @@
         }
     }
 
-    /// The task is done for good, and with it all members of its gang.
+    /// Marks the task as done, and with it all members of its gang. Requests a stop of the other attempts
+    /// of a single task.
     fn complete_task(&mut self, key: AttemptKey, out: &mut Vec<StateChange>) -> JobProgress {
         let step_key = key.task.step_key();
         let Some(stage) = self.stage(step_key.step) else { return JobProgress::Open };
         let (count, is_gang) = (stage.count, stage.gang);
-        let Some(time) = self.times.get_mut(&step_key.time) else { return JobProgress::Open };
-        let Some(step) = time.steps.get_mut(step_key.step as usize) else { return JobProgress::Open };
+        let Some(repeat) = self.repeats.get_mut(&step_key.time) else { return JobProgress::Open };
+        let Some(step) = repeat.steps.get_mut(step_key.step as usize) else { return JobProgress::Open };
         for (index, task) in step.tasks.iter_mut().enumerate() {
             if task.done || !(is_gang || index == key.task.index as usize) {
                 continue;
@@ -254,24 +259,24 @@
     fn finish_step(&mut self, step: StepKey, out: &mut Vec<StateChange>) -> JobProgress {
         out.push(StateChange::StepDone { step });
         let step_count = self.stages().len() as u32;
-        let time = self.time_mut(step.time);
-        time.steps_done += 1;
-        if time.steps_done < step_count {
+        let repeat = self.repeat_mut(step.time);
+        repeat.steps_done += 1;
+        if repeat.steps_done < step_count {
             self.emit_ready_dependents(step, out);
             return JobProgress::Open;
         }
-        self.done_times.insert(step.time, 1);
-        if self.done_times.count() >= self.repeat_count() {
+        self.done_repeats.insert(step.time, 1);
+        if self.done_repeats.count() >= self.repeat_count() {
             return JobProgress::Completed;
         }
         JobProgress::Open
     }
 
-    /// Progress of a time that is done is kept only while attempts of it may be running.
-    fn drop_idle_time(&mut self, time: u32) {
-        let idle = self.times.get(&time).is_some_and(|progress| progress.active == 0);
-        if idle && self.done_times.contains(time) {
-            self.times.remove(&time);
+    /// Drops the progress of a repeat that is done, once none of its attempts may still run.
+    fn drop_idle_repeat(&mut self, repeat: u32) {
+        let idle = self.repeats.get(&repeat).is_some_and(|progress| progress.active == 0);
+        if idle && self.done_repeats.contains(repeat) {
+            self.repeats.remove(&repeat);
         }
     }
 }
--- a/crates/scheduler/src/state/job.rs
+++ b/crates/scheduler/src/state/job.rs
@@ -1,4 +1,7 @@
-//! One job: its specification and the progress of each of its times.
+//! A job: its specification and the progress of each of its repeats.
+//!
+//! A scheduled job runs all of its steps several times, once at each due time. Each such run is a repeat,
+//! counted from 0. Any other job has the single repeat 0.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,38 +11,39 @@
 use crate::ids::{StepKey, TaskKey};
 
 use super::change::StateChange;
-use super::task::{Active, Step, Task};
-use super::times::DoneTimes;
+use super::done_repeats::DoneRepeats;
+use super::task::{ActiveAttempt, Step, Task};
 
-/// A job that was accepted and is not yet forgotten.
+/// An accepted job, until the end of its retention time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
     pub(super) prefix_key: Arc<str>,
     pub(super) phase: JobPhase,
-    /// Time of day of the end, 0 while the job is open.
+    /// Time of day of the end in ms since 1970, 0 while the job is open.
     pub(super) ended_at_ms: u64,
-    /// Work of the job: kept until it has ended and nothing of it may be running.
+    /// Specification and progress, kept until the job has ended and none of its attempts may run.
     pub(super) work: Option<Box<Work>>,
 }
 
 /// Specification and progress of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Work {
-    /// The job as it was accepted; its `spec` is moved to `spec` below.
+    /// The job as it was accepted, except that the text of its `spec` is moved to the field `spec` below.
     pub(super) submit: SubmitJob,
     pub(super) spec: Arc<str>,
     /// For each step, the steps that depend on it.
     pub(super) dependents: Vec<Vec<u32>>,
-    /// Times of which a task was started and that are not done, or done with attempts not yet over.
-    pub(super) times: BTreeMap<u32, JobRepeat>,
-    pub(super) done_times: DoneTimes,
-    /// Attempts that may be running.
+    /// Progress of the repeats with a started task that are not done, or are done but have attempts that
+    /// may still run.
+    pub(super) repeats: BTreeMap<u32, JobRepeat>,
+    pub(super) done_repeats: DoneRepeats,
+    /// Number of attempts that may be running.
     pub(super) active: u32,
-    /// Whether a start of any task was ever intended.
+    /// Whether the start of any task was ever committed.
     pub(super) started: bool,
 }
 
-/// Progress of one time.
+/// Progress of one repeat of a job's steps.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRepeat {
     pub(super) steps: Vec<Step>,
@@ -58,17 +62,17 @@
         self.ended_at_ms
     }
 
-    /// Host and path prefix under which the job is asked for.
+    /// Host and path prefix under which the job was submitted.
     pub fn prefix_key(&self) -> &str {
         &self.prefix_key
     }
 
-    /// Specification and progress; `None` once the job has ended and nothing of it may be running.
+    /// Specification and progress; `None` once the job has ended and none of its attempts may run.
     pub fn work(&self) -> Option<&Work> {
         self.work.as_deref()
     }
 
-    /// Specification and progress of a job that has not ended.
+    /// Specification and progress; `None` if the job has ended.
     pub fn open_work(&self) -> Option<&Work> {
         if self.phase == JobPhase::OPEN {
             self.work()
@@ -77,12 +81,12 @@
         }
     }
 
-    /// Whether the job is open and no start of any task was ever intended.
+    /// Whether the job is open and no start of any of its tasks was ever committed.
     pub fn is_pending(&self) -> bool {
         self.open_work().is_some_and(|work| !work.started)
     }
 
-    /// The state that clients are shown.
+    /// The state of the job as clients see it.
     pub fn state_text(&self) -> &'static str {
         match self.phase {
             JobPhase::OPEN if self.is_pending() => "pending",
@@ -95,8 +99,8 @@
 }
 
 impl Work {
-    /// The work of an accepted job, or `None` if its steps cannot be run: no step, a step without tasks, or one
-    /// that depends on itself or a later step.
+    /// Creates the work of an accepted job. Returns `None` if its steps cannot be run: there is no step, a
+    /// step has no tasks, or a step depends on itself or a later step.
     pub(super) fn new(mut submit: SubmitJob) -> Option<Self> {
         let specification = submit.job.as_mut()?;
         let stages = &specification.stages;
@@ -121,75 +125,76 @@
             submit,
             spec,
             dependents,
-            times: BTreeMap::new(),
-            done_times: DoneTimes::default(),
+            repeats: BTreeMap::new(),
+            done_repeats: DoneRepeats::default(),
             active: 0,
             started: false,
         })
     }
 
-    /// What was accepted. The `spec` of its `job` is empty: see `spec`.
+    /// The job as it was accepted, with an empty `spec` in its `job`; see [`Work::spec`].
     pub fn submit(&self) -> &SubmitJob {
         &self.submit
     }
 
-    /// The text handed to workers.
+    /// The job's text for workers.
     pub fn spec(&self) -> &Arc<str> {
         &self.spec
     }
 
-    /// Steps and schedule.
+    /// Steps and schedule of the job.
     pub fn specification(&self) -> Option<&JobSpec> {
         self.submit.job.as_ref()
     }
 
-    /// The steps.
+    /// The steps of the job.
     pub fn stages(&self) -> &[Stage] {
         self.submit.job.as_ref().map_or(&[], |specification| &specification.stages)
     }
 
-    /// One step.
+    /// The specification of one step.
     pub fn stage(&self, step: u32) -> Option<&Stage> {
         self.stages().get(step as usize)
     }
 
-    /// Whether the steps run at times of day.
+    /// Whether the job is scheduled, that is, its steps run at given times of day.
     pub fn is_scheduled(&self) -> bool {
         self.specification().is_some_and(|specification| specification.repeat > 0)
     }
 
-    /// How many times the steps run.
+    /// Number of repeats of the steps.
     pub fn repeat_count(&self) -> u32 {
         self.specification().map_or(1, |specification| specification.repeat.max(1))
     }
 
-    /// Time of day in ms at which `time` falls due; 0 for a job that is not scheduled.
-    pub fn due_ms(&self, time: u32) -> u64 {
+    /// Time of day in ms since 1970 at which `repeat` is due; 0 for a job that is not scheduled.
+    pub fn due_ms(&self, repeat: u32) -> u64 {
         let Some(specification) = self.specification() else { return 0 };
         if specification.repeat == 0 {
             return specification.start_at_ms;
         }
-        let offset = u64::from(time).saturating_mul(specification.interval_ms);
+        let offset = u64::from(repeat).saturating_mul(specification.interval_ms);
         specification.start_at_ms.saturating_add(offset)
     }
 
-    /// Whether all tasks of `time` are done.
-    pub fn is_repeat_done(&self, time: u32) -> bool {
-        self.done_times.contains(time)
+    /// Whether all tasks of `repeat` are done.
+    pub fn is_repeat_done(&self, repeat: u32) -> bool {
+        self.done_repeats.contains(repeat)
     }
 
-    /// The least time at or after `time` that is not done; `repeat_count` or more if there is none.
-    pub fn next_open_repeat(&self, time: u32) -> u32 {
-        self.done_times.next_open(time)
+    /// The first repeat from `repeat` on that is not done; `repeat_count` or more if all are done.
+    pub fn next_open_repeat(&self, repeat: u32) -> u32 {
+        self.done_repeats.next_open(repeat)
     }
 
-    /// The task, or `None` while it was never started or its time is done and gone.
+    /// The state of a task; `None` if the task was never started, or its repeat is done and its progress
+    /// was dropped.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
-        let step = self.times.get(&key.time)?.steps.get(key.step as usize)?;
+        let step = self.repeats.get(&key.time)?.steps.get(key.step as usize)?;
         step.tasks.get(key.index as usize)
     }
 
-    /// The highest attempt of the task; of a gang's step, of all its members.
+    /// Highest attempt number of the task; for a gang, of all its members.
     pub fn last_attempt(&self, key: TaskKey) -> u32 {
         let is_gang = self.stage(key.step).is_some_and(|stage| stage.gang);
         if !is_gang {
@@ -198,36 +203,36 @@
         self.step(key.step_key()).map_or(0, Step::last_attempt)
     }
 
-    /// The checkpoint from which a start of the task resumes; a gang's members share one.
+    /// The checkpoint from which the next start of the task resumes. All members of a gang share one.
     pub fn checkpoint(&self, key: TaskKey) -> &str {
         let is_gang = self.stage(key.step).is_some_and(|stage| stage.gang);
         let owner = if is_gang { key.step_key().task(0) } else { key };
         self.task(owner).map_or("", |task| &task.checkpoint)
     }
 
-    /// Whether the task is done, by itself or with its time.
+    /// Whether the task is done, by itself or because its repeat is done.
     pub fn is_task_done(&self, key: TaskKey) -> bool {
         self.is_repeat_done(key.time) || self.task(key).is_some_and(|task| task.done)
     }
 
-    /// How many tasks of the step are done.
+    /// Number of tasks of the step that are done.
     pub fn done_in_step(&self, key: StepKey) -> u32 {
         self.step(key).map_or(0, |step| step.done)
     }
 
-    /// How many attempts of the step's tasks may be running.
+    /// Number of attempts of the step's tasks that may be running.
     pub fn active_in_step(&self, key: StepKey) -> usize {
         self.step(key).map_or(0, Step::active)
     }
 
-    /// The most failed runs that count of any of the step's tasks, or of its gang.
+    /// Highest number of counted failures of any of the step's tasks, or of its gang.
     pub fn failures_in_step(&self, key: StepKey) -> u32 {
         let Some(step) = self.step(key) else { return 0 };
         let single = step.tasks.iter().map(|task| task.failures).max().unwrap_or(0);
         single.max(step.gang_failures)
     }
 
-    /// Whether the step's tasks may start as far as other steps matter, and are not all done.
+    /// Whether the steps that this step depends on are done, and not all of its own tasks are.
     pub fn is_step_ready(&self, key: StepKey) -> bool {
         let Some(stage) = self.stage(key.step) else { return false };
         if key.time >= self.repeat_count() || self.is_repeat_done(key.time) {
@@ -243,29 +248,29 @@
     }
 
     fn step(&self, key: StepKey) -> Option<&Step> {
-        self.times.get(&key.time)?.steps.get(key.step as usize)
+        self.repeats.get(&key.time)?.steps.get(key.step as usize)
     }
 
-    /// The progress of `time`, made on first use.
-    pub(super) fn time_mut(&mut self, time: u32) -> &mut JobRepeat {
+    /// The progress of `repeat`, created on first use.
+    pub(super) fn repeat_mut(&mut self, repeat: u32) -> &mut JobRepeat {
         let steps = self.stages().len();
-        self.times.entry(time).or_insert_with(|| JobRepeat::new(steps))
+        self.repeats.entry(repeat).or_insert_with(|| JobRepeat::new(steps))
     }
 
-    /// All attempts that may be running, in order of their tasks.
-    pub fn active_attempts(&self) -> impl Iterator<Item = (TaskKey, &Active)> + '_ {
+    /// All attempts that may be running, in the order of their tasks.
+    pub fn active_attempts(&self) -> impl Iterator<Item = (TaskKey, &ActiveAttempt)> + '_ {
         let job = self.submit.id;
-        self.times.iter().flat_map(move |(time, progress)| {
+        self.repeats.iter().flat_map(move |(repeat, progress)| {
             progress.steps.iter().enumerate().flat_map(move |(step, state)| {
                 state.tasks.iter().enumerate().flat_map(move |(index, task)| {
-                    let key = TaskKey { job, time: *time, step: step as u32, index: index as u32 };
+                    let key = TaskKey { job, time: *repeat, step: step as u32, index: index as u32 };
                     task.active.iter().map(move |active| (key, active))
                 })
             })
         })
     }
 
-    /// Emits the steps of `time` that have become ready since `step` is done.
+    /// Emits the steps of the same repeat that have become ready because this step is done.
     pub(super) fn emit_ready_dependents(&self, key: StepKey, out: &mut Vec<StateChange>) {
         let Some(dependents) = self.dependents.get(key.step as usize) else { return };
         for step in dependents {
--- a/crates/scheduler/src/state/mod.rs
+++ b/crates/scheduler/src/state/mod.rs
@@ -1,9 +1,11 @@
-//! Replicated state of configuration, jobs and workers: deterministic, the same on every core process.
+//! Replicated state of configuration, jobs and workers. It is deterministic and the same on every core
+//! process.
 
 mod call_check;
 mod change;
 mod configuration;
 mod digest;
+mod done_repeats;
 mod ends;
 mod error;
 mod job;
@@ -11,7 +13,7 @@
 mod starts;
 mod submissions;
 mod task;
-mod times;
+
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -27,17 +29,17 @@
 pub use digest::{ConfigurationDigest, ConfigurationKey};
 pub use error::{SnapshotError, UncommittedCall};
 pub use job::{Job, JobRepeat, Work};
-pub use task::{Active, Task};
+pub use task::{ActiveAttempt, Task};
 pub use workers::Worker;
 
 use configuration::ConfigurationHistory;
 use workers::Workers;
 
-/// How long an ended job is known, by the replicated clock: over twice the `status_s` (120 s) of the pages, to
-/// allow for clocks that jump and for clients that ask at the end of a day.
+/// How long an ended job is retained, by the replicated clock. This is over twice the documented `status_s`
+/// (120 s), to allow for clock jumps and for clients that ask at the end of a day.
 pub const ENDED_JOB_RETENTION_MS: u64 = 300_000;
 
-/// Configuration, jobs and workers as of the commands applied so far.
+/// Configuration, jobs and workers after the commands applied so far.
 #[derive(Debug, Default, Clone)]
 pub struct State {
     configuration: ConfigurationHistory,
@@ -45,19 +47,19 @@
     workers: Workers,
     /// The latest time of day that a leader proposed, in ms since 1970.
     clock_ms: u64,
-    /// Ended jobs by the time of their end, with their identity.
-    ended: BTreeSet<(u64, u64)>,
-    /// Jobs by prefix of which no start was ever intended.
-    pending: HashMap<Arc<str>, u64>,
+    /// Ended jobs as pairs of the time of their end in ms since 1970 and their identity.
+    ended_jobs: BTreeSet<(u64, u64)>,
+    /// For each prefix, the number of open jobs without a committed start.
+    pending_by_prefix: HashMap<Arc<str>, u64>,
 }
 
 impl State {
-    /// A state in which nothing has happened.
+    /// Creates the state before the first command.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies the commands in order and gives what they changed.
+    /// Applies the commands in order and returns the changes they made.
     pub fn apply(&mut self, batch: &CommandBatch) -> Vec<StateChange> {
         let mut out = Vec::new();
         for command in &batch.commands {
@@ -89,37 +91,37 @@
         self.configuration.newest()
     }
 
-    /// All configurations that are remembered, the oldest first; the last one is in force.
+    /// All remembered configurations, from oldest to newest; the last one is in force.
     pub fn configurations(&self) -> impl Iterator<Item = AcceptedConfiguration> + '_ {
         self.configuration.all()
     }
 
-    /// The newest configuration's version, 0 while there is none.
+    /// Version of the newest configuration, 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.version()
     }
 
-    /// Whether exactly this body was ever accepted as a configuration.
+    /// Whether a configuration with exactly this body was accepted before, as far as remembered.
     pub fn was_configuration_accepted(&self, body: &[u8]) -> bool {
         self.configuration.was_accepted(body)
     }
 
-    /// A job by its identity.
+    /// The job with this identity.
     pub fn job(&self, id: u64) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// All jobs in order of their identities.
+    /// All jobs, in the order of their identities.
     pub fn jobs(&self) -> impl Iterator<Item = (u64, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// Work of a job that has not ended.
+    /// Specification and progress of a job; `None` if the job has ended.
     pub fn open_work(&self, id: u64) -> Option<&Work> {
         self.jobs.get(&id)?.open_work()
     }
 
-    /// A step of a job that has not ended, as it was specified.
+    /// Specification of a step; `None` if the job has ended.
     pub fn open_stage(&self, step: StepKey) -> Option<&Stage> {
         self.open_work(step.job)?.stage(step.step)
     }
@@ -134,9 +136,9 @@
         self.workers.get(instance)
     }
 
-    /// How many jobs of a prefix wait for their first start.
+    /// Number of jobs of a prefix that wait for their first start.
     pub fn pending_jobs(&self, prefix_key: &str) -> u64 {
-        self.pending.get(prefix_key).copied().unwrap_or(0)
+        self.pending_by_prefix.get(prefix_key).copied().unwrap_or(0)
     }
 
     /// The latest time of day that a leader proposed, in ms since 1970.
@@ -144,15 +146,16 @@
         self.clock_ms
     }
 
-    /// Forgets jobs that ended long ago. A clock that steps back changes nothing.
+    /// Advances the replicated clock and removes jobs whose retention time has passed. A time before the
+    /// current one has no effect on the clock. Jobs that still have attempts that may run are kept.
     fn advance_clock(&mut self, now_ms: u64, out: &mut Vec<StateChange>) {
         self.clock_ms = self.clock_ms.max(now_ms);
         let mut kept = Vec::new();
-        while let Some((ended_at_ms, id)) = self.ended.first().copied() {
+        while let Some((ended_at_ms, id)) = self.ended_jobs.first().copied() {
             if ended_at_ms.saturating_add(ENDED_JOB_RETENTION_MS) >= self.clock_ms {
                 break;
             }
-            self.ended.remove(&(ended_at_ms, id));
+            self.ended_jobs.remove(&(ended_at_ms, id));
             if self.jobs.get(&id).is_some_and(|job| job.work.is_some()) {
                 kept.push((ended_at_ms, id));
                 continue;
@@ -160,6 +163,6 @@
             self.jobs.remove(&id);
             out.push(StateChange::JobForgotten { job: id });
         }
-        self.ended.extend(kept);
+        self.ended_jobs.extend(kept);
     }
 }
--- a/crates/scheduler/src/state/snapshot.rs
+++ b/crates/scheduler/src/state/snapshot.rs
@@ -1,46 +1,49 @@
-//! The state as a message, and back.
+//! Conversion of the state to a snapshot message and back.
 //!
-//! Two entries of a job's tasks are not tasks: under the step `DONE_TIMES` a range of times that are done (`time`
-//! its first, `index` its length), and under the index `GANG` the failed runs of a gang (`failures`, and in
-//! `last_attempt` the highest attempt that was counted).
+//! Two kinds of entries among a job's tasks do not stand for a task. An entry with the step
+//! `DONE_REPEATS_STEP` is a range of repeats that are done: `time` is the first repeat and `index` the
+//! length. An entry with the index `GANG_INDEX` holds the failures of a gang: `failures` is their number,
+//! and `last_attempt` the highest attempt that was counted.
 
 use std::sync::Arc;
 
-use messages::job::{ActiveAttempt, JobPhase, JobState, SchedulerSnapshot, SubmitJob, TaskState};
+use messages::job::{
+    ActiveAttempt as ActiveAttemptMessage, JobPhase, JobState, SchedulerSnapshot, SubmitJob, TaskState,
+};
 
 use super::configuration::ConfigurationHistory;
 use super::error::SnapshotError;
 use super::job::{Job, Work};
-use super::task::{Active, Step, Task};
+use super::task::{ActiveAttempt, Step, Task};
 use super::workers::Workers;
 use super::State;
 
-/// Format of the snapshots that are written: 1 knows configurations by SHA-256, 0 knew them by FNV-1a.
-const FORMAT: u32 = 1;
-/// Step of an entry that stands for a range of done times.
-const DONE_TIMES: u32 = u32::MAX;
-/// Index of an entry that stands for a gang.
-const GANG: u32 = u32::MAX;
+/// Format of the snapshots that this program writes. Format 1 identifies configurations by SHA-256; format
+/// 0 used FNV-1a.
+const SNAPSHOT_FORMAT: u32 = 1;
+/// Step number of an entry that stands for a range of done repeats.
+const DONE_REPEATS_STEP: u32 = u32::MAX;
+/// Task index of an entry that stands for a gang.
+const GANG_INDEX: u32 = u32::MAX;
 
 impl State {
-    /// The complete state.
+    /// The complete state as a snapshot.
     pub fn snapshot(&self) -> SchedulerSnapshot {
         SchedulerSnapshot {
             configurations: self.configuration.snapshot(),
             jobs: self.jobs.iter().map(|(id, job)| job_state(*id, job)).collect(),
             workers: self.workers.snapshot(),
             clock_ms: self.clock_ms,
-            format: FORMAT,
+            format: SNAPSHOT_FORMAT,
         }
     }
 
-    /// The state of which `snapshot` was taken.
+    /// Restores the state from a snapshot.
     ///
-    /// # Errors
-    /// If any part of the snapshot cannot be read.
+    /// # Errors Returns an error if any part of the snapshot is invalid or its format is unknown.
     pub fn restore(snapshot: &SchedulerSnapshot) -> Result<Self, SnapshotError> {
-        if snapshot.format > FORMAT {
-            return Err(SnapshotError::UnsupportedFormat(snapshot.format, FORMAT));
+        if snapshot.format > SNAPSHOT_FORMAT {
+            return Err(SnapshotError::UnsupportedFormat(snapshot.format, SNAPSHOT_FORMAT));
         }
         let mut state = Self {
             configuration: ConfigurationHistory::restore(&snapshot.configurations)?,
@@ -70,7 +73,7 @@
             self.subtract_pending(&submit.prefix_key);
         }
         if job.phase != JobPhase::OPEN {
-            self.ended.insert((job.ended_at_ms, id));
+            self.ended_jobs.insert((job.ended_at_ms, id));
         }
         self.jobs.insert(id, job);
         Ok(())
@@ -87,7 +90,7 @@
     JobState { submit: Some(submit), phase: job.phase, ended_at_ms: job.ended_at_ms, tasks }
 }
 
-/// The job as it was accepted, with the text for workers in its `spec` again.
+/// The job as it was accepted, including the text for workers in its `spec`.
 fn complete_submit(work: &Work) -> SubmitJob {
     let mut submit = work.submit.clone();
     if let Some(specification) = submit.job.as_mut() {
@@ -98,14 +101,19 @@
 
 fn task_states(work: &Work) -> Vec<TaskState> {
     let mut states = Vec::new();
-    for (start, length) in work.done_times.ranges() {
-        let range =
-            TaskState { step: DONE_TIMES, time: start, index: length, done: true, ..TaskState::default() };
+    for (start, length) in work.done_repeats.ranges() {
+        let range = TaskState {
+            step: DONE_REPEATS_STEP,
+            time: start,
+            index: length,
+            done: true,
+            ..TaskState::default()
+        };
         states.push(range);
     }
-    for (time, progress) in &work.times {
+    for (repeat, progress) in &work.repeats {
         for (step, state) in progress.steps.iter().enumerate() {
-            step_states(*time, step as u32, state, &mut states);
+            step_states(*repeat, step as u32, state, &mut states);
         }
     }
     states
@@ -116,7 +124,7 @@
         states.push(TaskState {
             step,
             time,
-            index: GANG,
+            index: GANG_INDEX,
             failures: state.gang_failures,
             last_attempt: state.gang_failed_attempt,
             ..TaskState::default()
@@ -126,7 +134,7 @@
         if task.is_untouched() {
             continue;
         }
-        let active = |active: &Active| ActiveAttempt {
+        let active = |active: &ActiveAttempt| ActiveAttemptMessage {
             attempt: active.attempt,
             instance: active.instance.to_string(),
         };
@@ -147,8 +155,8 @@
     let mut work = Work::new(submit.clone())?;
     for saved in tasks {
         work.started = true;
-        if saved.step == DONE_TIMES {
-            work.done_times.insert(saved.time, saved.index);
+        if saved.step == DONE_REPEATS_STEP {
+            work.done_repeats.insert(saved.time, saved.index);
         } else {
             restore_task(&mut work, saved, workers);
         }
@@ -160,10 +168,10 @@
     let Some(count) = work.stage(saved.step).map(|stage| stage.count) else { return };
     let active = saved.active.len() as u32;
     work.active += active;
-    let time = work.time_mut(saved.time);
-    time.active += active;
-    let Some(step) = time.steps.get_mut(saved.step as usize) else { return };
-    if saved.index == GANG {
+    let repeat = work.repeat_mut(saved.time);
+    repeat.active += active;
+    let Some(step) = repeat.steps.get_mut(saved.step as usize) else { return };
+    if saved.index == GANG_INDEX {
         step.gang_failures = saved.failures;
         step.gang_failed_attempt = saved.last_attempt;
         return;
@@ -173,7 +181,7 @@
     if saved.done {
         step.done += 1;
         if step.done == count {
-            time.steps_done += 1;
+            repeat.steps_done += 1;
         }
     }
 }
@@ -181,9 +189,9 @@
 fn restored_task(saved: &TaskState, workers: &mut Workers) -> Task {
     let mut active = Vec::with_capacity(saved.active.len());
     for attempt in &saved.active {
-        let instance: Arc<str> = workers.name_or_insert(&attempt.instance);
+        let instance: Arc<str> = workers.shared_name_or_insert(&attempt.instance);
         workers.add_active(&instance);
-        active.push(Active { attempt: attempt.attempt, instance });
+        active.push(ActiveAttempt { attempt: attempt.attempt, instance });
     }
     Task {
         done: saved.done,
--- a/crates/scheduler/src/state/starts.rs
+++ b/crates/scheduler/src/state/starts.rs
@@ -1,4 +1,5 @@
-//! Intents to start: each is checked once more when it is applied, since ends and cancellations may have come between.
+//! Application of intents to start attempts. Each intent is validated again when it is applied, because
+//! ends and cancellations may have been committed since it was proposed.
 
 use std::sync::Arc;
 
@@ -8,10 +9,10 @@
 
 use super::change::StateChange;
 use super::job::Work;
-use super::task::Active;
+use super::task::ActiveAttempt;
 use super::State;
 
-/// One intent of a command.
+/// An intent to start one attempt.
 #[derive(Debug, Clone)]
 struct Intent {
     key: AttemptKey,
@@ -19,10 +20,11 @@
 }
 
 impl State {
-    /// Records intents to start. Members of a gang follow each other and are started all or not at all.
+    /// Records intents to start. The members of a gang are adjacent in the command, and either all or none
+    /// of them are started.
     pub(super) fn start_attempts(&mut self, command: &StartAttempts, out: &mut Vec<StateChange>) {
         for incarnation in &command.incarnations {
-            self.workers.learn(incarnation);
+            self.workers.record_incarnation(incarnation);
         }
         let mut rest = command.starts.as_slice();
         while let Some(first) = rest.first() {
@@ -34,7 +36,8 @@
         }
     }
 
-    /// How many of `starts` are one unit: a gang's members, or a single task.
+    /// Number of entries at the head of `starts` that form one unit: the members of a gang, or a single
+    /// task.
     fn group_length(&self, first: &AttemptStart, starts: &[AttemptStart]) -> usize {
         let Some(task) = first.task.as_ref() else { return 1 };
         let step = TaskKey::from(task).step_key();
@@ -53,7 +56,7 @@
     fn intent(&self, start: &AttemptStart) -> Option<Intent> {
         let task = TaskKey::from(start.task.as_ref()?);
         let instance =
-            self.workers.name(&start.instance).unwrap_or_else(|| Arc::from(start.instance.as_str()));
+            self.workers.shared_name(&start.instance).unwrap_or_else(|| Arc::from(start.instance.as_str()));
         Some(Intent { key: AttemptKey { task, attempt: start.attempt }, instance })
     }
 
@@ -70,12 +73,12 @@
         }
         self.record_started(first.key.task.job);
         for intent in intents {
-            self.activate(intent);
+            self.record_active_attempt(intent);
             out.push(StateChange::AttemptStarted { key: intent.key, instance: intent.instance.clone() });
         }
     }
 
-    /// A job whose first start is intended is no longer pending.
+    /// Marks the job as started, so that it is no longer pending.
     fn record_started(&mut self, id: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let was_pending = job.is_pending();
@@ -87,23 +90,23 @@
         }
     }
 
-    fn activate(&mut self, intent: &Intent) {
+    fn record_active_attempt(&mut self, intent: &Intent) {
         let key = intent.key.task;
         let Some(work) = self.jobs.get_mut(&key.job).and_then(|job| job.work.as_mut()) else { return };
         let Some(count) = work.stage(key.step).map(|stage| stage.count) else { return };
         work.active += 1;
-        let time = work.time_mut(key.time);
-        time.active += 1;
-        let Some(task) = time.steps[key.step as usize].tasks_mut(count).get_mut(key.index as usize) else {
+        let repeat = work.repeat_mut(key.time);
+        repeat.active += 1;
+        let Some(task) = repeat.steps[key.step as usize].tasks_mut(count).get_mut(key.index as usize) else {
             return;
         };
         task.last_attempt = intent.key.attempt;
-        task.active.push(Active { attempt: intent.key.attempt, instance: intent.instance.clone() });
+        task.active.push(ActiveAttempt { attempt: intent.key.attempt, instance: intent.instance.clone() });
         self.workers.add_active(&intent.instance);
     }
 }
 
-/// Whether the intents may be carried out as the job stands.
+/// Whether the attempts may start, given the current progress of the job.
 fn may_start(work: &Work, intents: &[Intent]) -> bool {
     let Some(first) = intents.first() else { return false };
     let step = first.key.task.step_key();
@@ -123,7 +126,8 @@
     })
 }
 
-/// A gang starts completely, under one number above all earlier ones, and only once every earlier run is over.
+/// Whether a gang may start: all members start under one attempt number above all earlier ones, and only
+/// once no earlier attempt may run.
 fn may_start_gang(work: &Work, step: StepKey, count: u32, intents: &[Intent]) -> bool {
     let attempt = intents[0].key.attempt;
     let mut members: Vec<u32> = intents.iter().map(|intent| intent.key.task.index).collect();
--- a/crates/scheduler/src/state/submissions.rs
+++ b/crates/scheduler/src/state/submissions.rs
@@ -1,4 +1,4 @@
-//! Jobs from submission to their end, and how many of each prefix are pending.
+//! Submission, cancellation and end of jobs, and the number of pending jobs of each prefix.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::State;
 
 impl State {
-    /// Accepts a job unless its identity is taken by another one.
+    /// Accepts a job unless its identity is already in use or its steps cannot be run.
     pub(super) fn submit_job(&mut self, submit: &SubmitJob, out: &mut Vec<StateChange>) {
         let id = submit.id;
         if let Some(job) = self.jobs.get(&id) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Ends an open job and asks for a stop of what still runs of it.
+    /// Ends an open job and requests a stop of its attempts that may be running.
     pub(super) fn end_job(&mut self, id: u64, phase: JobPhase, out: &mut Vec<StateChange>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let was_pending = job.is_pending();
@@ -70,14 +70,15 @@
             }
         }
         let prefix_key = job.prefix_key.clone();
-        self.ended.insert((self.clock_ms, id));
+        self.ended_jobs.insert((self.clock_ms, id));
         if was_pending {
             self.subtract_pending(&prefix_key);
         }
         self.drop_idle_work(id);
     }
 
-    /// Drops the work of a job that has ended and of which nothing may be running: only how it ended is kept.
+    /// Drops the specification and progress of an ended job none of whose attempts may be running. Only how
+    /// the job ended is retained.
     pub(super) fn drop_idle_work(&mut self, id: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let idle = job.work.as_ref().is_some_and(|work| work.active == 0);
@@ -86,16 +87,16 @@
         }
     }
 
-    /// Counts a pending job; gives the shared text of its prefix.
+    /// Counts a pending job and returns the shared text of its prefix.
     pub(super) fn add_pending(&mut self, prefix_key: &str) -> Arc<str> {
-        let known = self.pending.get_key_value(prefix_key).map(|(name, _)| name.clone());
+        let known = self.pending_by_prefix.get_key_value(prefix_key).map(|(name, _)| name.clone());
         let name = known.unwrap_or_else(|| Arc::from(prefix_key));
-        *self.pending.entry(name.clone()).or_insert(0) += 1;
+        *self.pending_by_prefix.entry(name.clone()).or_insert(0) += 1;
         name
     }
 
     pub(super) fn subtract_pending(&mut self, prefix_key: &str) {
-        if let Some(count) = self.pending.get_mut(prefix_key) {
+        if let Some(count) = self.pending_by_prefix.get_mut(prefix_key) {
             *count = count.saturating_sub(1);
         }
     }
--- a/crates/scheduler/src/state/workers.rs
+++ b/crates/scheduler/src/state/workers.rs
@@ -10,15 +10,15 @@
 /// One incarnation of a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Worker {
-    /// Where it is and what it serves.
+    /// Address of the worker and what it serves.
     pub incarnation: WorkerIncarnation,
-    /// Its ends up to this sequence are durable and may be forgotten by the worker.
+    /// The worker's ends up to this sequence number are durable and may be forgotten by the worker.
     pub acknowledged: u64,
-    /// Attempts of it that may be running.
+    /// Number of attempts that may be running on the worker.
     pub active: u32,
 }
 
-/// All known incarnations by instance.
+/// All known incarnations by instance name.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub(super) struct Workers {
     incarnations: BTreeMap<Arc<str>, Worker>,
@@ -37,22 +37,25 @@
         self.incarnations.contains_key(instance)
     }
 
-    /// The shared text of a known instance.
-    pub(super) fn name(&self, instance: &str) -> Option<Arc<str>> {
+    /// The shared name of a known instance.
+    pub(super) fn shared_name(&self, instance: &str) -> Option<Arc<str>> {
         self.incarnations.get_key_value(instance).map(|(name, _)| name.clone())
     }
 
-    /// The shared text of an instance, which becomes known.
-    pub(super) fn name_or_insert(&mut self, instance: &str) -> Arc<str> {
-        if let Some(name) = self.name(instance) {
+    /// The shared name of an instance, which is recorded if it was unknown.
+    pub(super) fn shared_name_or_insert(&mut self, instance: &str) -> Arc<str> {
+        if let Some(name) = self.shared_name(instance) {
             return name;
         }
-        self.learn(&WorkerIncarnation { instance: instance.to_owned(), ..WorkerIncarnation::default() });
+        self.record_incarnation(&WorkerIncarnation {
+            instance: instance.to_owned(),
+            ..WorkerIncarnation::default()
+        });
         Arc::from(instance)
     }
 
-    /// Records where an incarnation is; what is known of its ends stays.
-    pub(super) fn learn(&mut self, incarnation: &WorkerIncarnation) {
+    /// Records or updates an incarnation. Its acknowledged ends and active attempts are kept.
+    pub(super) fn record_incarnation(&mut self, incarnation: &WorkerIncarnation) {
         if let Some(worker) = self.incarnations.get_mut(incarnation.instance.as_str()) {
             if worker.incarnation != *incarnation {
                 worker.incarnation = incarnation.clone();
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Forgets an incarnation that runs no attempt.
+    /// Removes an incarnation unless attempts may be running on it.
     pub(super) fn forget(&mut self, instance: &str) {
         if self.incarnations.get(instance).is_some_and(|worker| worker.active == 0) {
             self.incarnations.remove(instance);
@@ -102,12 +105,13 @@
             .collect()
     }
 
-    /// The inverse of `snapshot`; active attempts are added by the caller.
+    /// Restores the incarnations from a snapshot; the inverse of `snapshot`. The caller adds the active
+    /// attempts.
     pub(super) fn restore(workers: &[WorkerState]) -> Result<Self, SnapshotError> {
         let mut restored = Self::default();
         for worker in workers {
             let incarnation = worker.incarnation.as_ref().ok_or(SnapshotError::WorkerWithoutInstance)?;
-            restored.learn(incarnation);
+            restored.record_incarnation(incarnation);
             restored.acknowledge(&incarnation.instance, worker.noted);
         }
         Ok(restored)
--- a/crates/scheduler/src/time.rs
+++ b/crates/scheduler/src/time.rs
@@ -1,7 +1,8 @@
-//! Factors between units of time. All instants and durations inside the crate are whole numbers: nanoseconds of a
-//! steady clock where no unit is named, milliseconds where a name ends in `_ms`.
+//! Conversion factors between units of time. All instants and durations inside the crate are integers. They
+//! are in nanoseconds unless the name ends in `_ms` for milliseconds; instants in nanoseconds are on a
+//! steady clock.
 
-/// Nanoseconds of one millisecond.
+/// Nanoseconds per millisecond.
 pub(crate) const NANOS_PER_MS: u64 = 1_000_000;
-/// Nanoseconds of one second.
+/// Nanoseconds per second.
 pub(crate) const NANOS_PER_S: u64 = 1_000 * NANOS_PER_MS;
