--- a/crates/mutants/src/list/answers.rs
+++ b/crates/mutants/src/list/answers.rs
@@ -50,8 +50,8 @@
             name: "hold-lapsed-by-the-newest-deadline",
             point: 5,
             file: "crates/scheduler/src/worker/lease_expiry.rs",
-            find: "self.sent_ms = self.sent_ms.max(least_ms.saturating_add(ahead));",
-            replace: "self.sent_ms = least_ms.saturating_add(ahead);",
+            find: "self.greatest_sent_deadline_ms = self.greatest_sent_deadline_ms.max(least_ms.saturating_add(ahead));",
+            replace: "self.greatest_sent_deadline_ms = least_ms.saturating_add(ahead);",
             test: "-p scheduler --test worker_suspicion lease_expiry_is_computed_from_the_greatest_deadline_that_was_sent",
         },
         Mutant {
--- a/crates/scheduler/src/worker/attempts.rs
+++ b/crates/scheduler/src/worker/attempts.rs
@@ -1,74 +1,76 @@
-//! What is known of one attempt at the worker.
+//! State of one attempt on the worker, as far as the session knows it.
 
 use super::types::StartOrder;
 
-/// The state of an attempt as far as it is known.
+/// Phase of an attempt, as far as it is known.
 ///
-/// Calls are numbered in the order of their sending. `conclusive_from` is the number of the first call that was sent
-/// after the last event of the attempt: only lists of that call or a later one can show that the attempt is absent.
+/// Calls are numbered in the order in which they are sent. `conclusive_from` is the number of the first
+/// call sent after the last event of the attempt. Only the lists of this call or a later one are
+/// conclusive, that is, can show that the attempt is absent.
 #[derive(Clone, Debug)]
-pub(super) enum Phase {
-    /// Its start has surely not left; not to be sent before the given time (nanoseconds of the steady clock).
+pub(super) enum AttemptPhase {
+    /// The start has certainly not been sent. It may not be sent before `not_before`, in nanoseconds of the
+    /// steady clock.
     Queued { order: StartOrder, failed_sends: u32, not_before: u64 },
-    /// Its start is in flight.
+    /// The start is in flight.
     Sending { call: u64, order: StartOrder, failed_sends: u32 },
-    /// It was there; a conclusive list that lacks it shows that it isn't any more.
+    /// The attempt was running. A conclusive list without it shows that it no longer is.
     Running { conclusive_from: u64 },
-    /// It is not known whether it runs; `absent`: a conclusive list lacked it.
+    /// It is unknown whether the attempt runs. `absent` is true if a conclusive list lacked it.
     Uncertain { conclusive_from: u64, absent: bool },
 }
 
-/// How far the stopping of an attempt has come.
+/// Progress of stopping an attempt. Times are nanoseconds of the steady clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopProgress {
-    /// No stop was sent, or it has to be sent again.
+    /// No stop has been sent, or the stop has to be sent again.
     Idle,
     /// A stop is in flight.
     InFlight { call: u64 },
-    /// A stop got no answer and is sent again at `at`.
+    /// A stop was not answered and is sent again at `at`.
     Retry { at: u64 },
-    /// A stop was answered; calls numbered `conclusive_from` or above were sent later. Still listed as running at
-    /// `repeat_at`, it is sent again.
+    /// A stop was answered. Calls from `conclusive_from` on were sent after that. If the attempt is
+    /// still listed as running at `repeat_at` or later, the stop is sent again.
     Answered { conclusive_from: u64, repeat_at: u64 },
 }
 
-/// One attempt at the worker.
+/// State of one attempt on the worker.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
-    pub(super) phase: Phase,
+    pub(super) phase: AttemptPhase,
     pub(super) stop: StopProgress,
-    /// Stops without an answer since the last answered one.
+    /// Number of unanswered stops since the last answered one.
     pub(super) failed_stops: u32,
-    /// No longer wanted: to be stopped.
+    /// Whether the attempt is no longer wanted and has to be stopped.
     pub(super) unwanted: bool,
-    /// Nobody here asked for it; nothing but its end is reported.
+    /// Whether this session was never asked for the attempt. Only its end is reported.
     pub(super) orphan: bool,
-    /// Its start was reported.
+    /// Whether it was reported that the attempt runs.
     pub(super) start_reported: bool,
     pub(super) checkpoint: String,
     pub(super) percent: u32,
 }
 
 impl Attempt {
-    /// An attempt that is to be started.
+    /// Creates an attempt that is to be started.
     pub(super) fn queued(order: StartOrder) -> Self {
-        Attempt::with_phase(Phase::Queued { order, failed_sends: 0, not_before: 0 })
+        Attempt::with_phase(AttemptPhase::Queued { order, failed_sends: 0, not_before: 0 })
     }
 
-    /// An attempt of an earlier leader.
+    /// Creates an attempt that an earlier leader started or meant to start.
     pub(super) fn adopted() -> Self {
-        Attempt::with_phase(Phase::Uncertain { conclusive_from: 0, absent: false })
+        Attempt::with_phase(AttemptPhase::Uncertain { conclusive_from: 0, absent: false })
     }
 
-    /// An attempt that runs though nobody here wants it.
+    /// Creates an attempt that runs on the worker although this session was not asked for it.
     pub(super) fn orphan(conclusive_from: u64) -> Self {
-        let mut attempt = Attempt::with_phase(Phase::Running { conclusive_from });
+        let mut attempt = Attempt::with_phase(AttemptPhase::Running { conclusive_from });
         attempt.unwanted = true;
         attempt.orphan = true;
         attempt
     }
 
-    fn with_phase(phase: Phase) -> Self {
+    fn with_phase(phase: AttemptPhase) -> Self {
         Attempt {
             phase,
             stop: StopProgress::Idle,
@@ -81,18 +83,20 @@
         }
     }
 
-    /// Whether its start has surely not left.
+    /// Whether the start has certainly not been sent.
     pub(super) fn is_queued(&self) -> bool {
-        matches!(self.phase, Phase::Queued { .. })
+        matches!(self.phase, AttemptPhase::Queued { .. })
     }
 
-    /// Whether it has to be stopped: nobody wants it, or it is uncertain and a conclusive list lacked it.
+    /// Whether the attempt has to be stopped, because it is unwanted or because it is uncertain and a
+    /// conclusive list lacked it.
     fn needs_stop(&self) -> bool {
-        let absent = matches!(self.phase, Phase::Uncertain { absent: true, .. });
+        let absent = matches!(self.phase, AttemptPhase::Uncertain { absent: true, .. });
         (self.unwanted || absent) && !self.is_queued()
     }
 
-    /// When a stop has to be sent; `None`: not by itself.
+    /// When the next stop has to be sent, in nanoseconds of the steady clock; `None` if no stop is due by
+    /// time alone.
     pub(super) fn stop_due(&self) -> Option<u64> {
         if !self.needs_stop() {
             return None;
@@ -104,14 +108,15 @@
         }
     }
 
-    /// The first call whose lists settle what is uncertain; `None`: nothing is.
+    /// Number of the first call whose lists can settle whether the attempt runs; `None` if this is not
+    /// uncertain.
     pub(super) fn status_query_needed(&self) -> Option<u64> {
         match (&self.phase, self.stop) {
             (
-                Phase::Uncertain { .. } | Phase::Sending { .. },
+                AttemptPhase::Uncertain { .. } | AttemptPhase::Sending { .. },
                 StopProgress::Answered { conclusive_from, .. },
             ) => Some(conclusive_from),
-            (Phase::Uncertain { conclusive_from, absent: false }, _) => Some(*conclusive_from),
+            (AttemptPhase::Uncertain { conclusive_from, absent: false }, _) => Some(*conclusive_from),
             _ => None,
         }
     }
--- a/crates/scheduler/src/worker/call_outcomes.rs
+++ b/crates/scheduler/src/worker/call_outcomes.rs
@@ -1,19 +1,20 @@
-//! What the outcome of a call shows of the worker, before it is handed to what the call was for.
+//! Handling of call outcomes: first what an outcome shows about the worker itself, then the effect for the
+//! purpose of the call.
 
 use super::calls::{CallKind, InFlightCall};
 use super::lists::Lists;
-use super::session::{Standing, WorkerSession};
+use super::session::{SessionStatus, WorkerSession};
 use super::types::{CallOutcome, Refusal, SessionOutput};
 
 impl WorkerSession {
-    /// Takes the outcome of a call.
+    /// Handles the outcome of a call. Outcomes of unknown or already completed calls are ignored.
     pub fn complete_call(&mut self, now: u64, call: u64, outcome: CallOutcome) {
         let Some(call) = self.calls.close(call) else {
             return;
         };
         self.wake_at = 0;
         self.resolve_expired(now);
-        self.take_reachability(&call, &outcome, now);
+        self.update_reachability(&call, &outcome, now);
         if let CallOutcome::Refused { reason, .. } = &outcome {
             match reason {
                 Refusal::WrongIncarnation => return self.incarnation_ended(now),
@@ -21,17 +22,17 @@
                 _ => {}
             }
         }
-        self.take_outcome(call, outcome, now);
+        self.handle_outcome(call, outcome, now);
     }
 
-    fn take_reachability(&mut self, call: &InFlightCall, outcome: &CallOutcome, now: u64) {
+    fn update_reachability(&mut self, call: &InFlightCall, outcome: &CallOutcome, now: u64) {
         let clock_ms = match outcome {
             CallOutcome::Answer { now_ms } | CallOutcome::Lists { now_ms, .. } => Some(*now_ms),
-            // Another incarnation's clock says nothing about this one's.
+            // The clock of another incarnation says nothing about the clock of this one.
             CallOutcome::Refused { reason: Refusal::WrongIncarnation, .. } => None,
             CallOutcome::Refused { now_ms, .. } => *now_ms,
-            CallOutcome::NoResponse => return self.reachability.unanswered(call),
-            CallOutcome::NotSent => return self.reachability.not_sent(call),
+            CallOutcome::NoResponse => return self.reachability.record_unanswered(call),
+            CallOutcome::NotSent => return self.reachability.record_not_sent(call),
             CallOutcome::Withheld | CallOutcome::Interrupted => return,
         };
         if let Some(clock_ms) = clock_ms {
@@ -40,50 +41,50 @@
         if call.wait == 0 {
             self.round_trip.observe(self.response_clock.at(now).since(call.sent.response));
         }
-        if self.reachability.answered(now) {
+        if self.reachability.record_answer(now) {
             self.outputs.push(SessionOutput::ReachabilityChanged { reachable: true });
         }
     }
 
-    fn take_outcome(&mut self, call: InFlightCall, outcome: CallOutcome, now: u64) {
+    fn handle_outcome(&mut self, call: InFlightCall, outcome: CallOutcome, now: u64) {
         match call.kind {
-            CallKind::Start(key) => self.start_finished(key, call.id, &outcome, now),
-            CallKind::Stop(key) => self.stop_finished(key, call.id, &outcome, now),
+            CallKind::Start(key) => self.handle_start_outcome(key, call.id, &outcome, now),
+            CallKind::Stop(key) => self.handle_stop_outcome(key, call.id, &outcome, now),
             CallKind::RenewLease { last_seen } => match outcome {
                 CallOutcome::Lists { running, finished, .. } => {
                     self.ends.confirm(last_seen);
-                    let has_new_ends = self.take_lists(Lists { call: call.id, running, finished }, now);
-                    self.lease_renewals.answered(now, has_new_ends);
+                    let has_new_ends = self.handle_lists(Lists { call: call.id, running, finished }, now);
+                    self.lease_renewals.record_answer(now, has_new_ends);
                 }
-                CallOutcome::Withheld | CallOutcome::Interrupted => self.lease_renewals.withheld(now),
-                _ => self.lease_renewals.failed(now),
+                CallOutcome::Withheld | CallOutcome::Interrupted => self.lease_renewals.record_withheld(now),
+                _ => self.lease_renewals.record_failure(now),
             },
         }
     }
 
-    /// Gives up calls that have timed out.
+    /// Completes calls that have timed out with the outcome `NoResponse`.
     pub(super) fn expire_calls(&mut self, now: u64) {
         let judged_until = self.response_clock.judged_until(now);
         while let Some(call) = self.calls.take_expired(judged_until) {
             self.outputs.push(SessionOutput::CancelCall { call: call.id });
-            self.reachability.unanswered(&call);
-            self.take_outcome(call, CallOutcome::NoResponse, now);
+            self.reachability.record_unanswered(&call);
+            self.handle_outcome(call, CallOutcome::NoResponse, now);
         }
     }
 
-    /// Gives up all calls.
+    /// Cancels all calls in flight.
     pub(super) fn cancel_calls(&mut self) {
         for call in self.calls.take_all() {
             self.outputs.push(SessionOutput::CancelCall { call: call.id });
         }
     }
 
-    /// The worker has seen a newer leader: this session acts no more.
+    /// Ends all activity of this session, because the worker has seen a newer leader.
     fn become_fenced(&mut self) {
-        if self.standing != Standing::Active {
+        if self.status != SessionStatus::Active {
             return;
         }
-        self.standing = Standing::Fenced;
+        self.status = SessionStatus::Fenced;
         self.cancel_calls();
         self.outputs.push(SessionOutput::Fenced);
     }
--- a/crates/scheduler/src/worker/calls.rs
+++ b/crates/scheduler/src/worker/calls.rs
@@ -1,10 +1,10 @@
-//! Calls in flight, numbered in the order of their sending.
+//! Calls in flight, numbered in the order in which they are sent.
 
 use crate::ids::AttemptKey;
 
 use super::response_clock::ResponseTime;
 
-/// What a call is for.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallKind {
     Start(AttemptKey),
@@ -12,12 +12,12 @@
     RenewLease { last_seen: u64 },
 }
 
-/// When a call was sent.
+/// Time at which a call was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendTime {
-    /// By the steady clock, in nanoseconds.
+    /// On the steady clock, in nanoseconds.
     pub(super) steady: u64,
-    /// By the clock that judges missing answers.
+    /// On the clock by which missing answers are judged.
     pub(super) response: ResponseTime,
 }
 
@@ -27,9 +27,9 @@
     pub(super) id: u64,
     pub(super) kind: CallKind,
     pub(super) sent: SendTime,
-    /// How long the worker was asked to wait, in nanoseconds.
+    /// How long the worker was asked to wait before it answers, in nanoseconds.
     pub(super) wait: u64,
-    /// From then on the call counts as unanswered.
+    /// Time at which the call counts as unanswered.
     pub(super) expires: ResponseTime,
 }
 
@@ -38,13 +38,13 @@
         matches!(self.kind, CallKind::RenewLease { .. })
     }
 
-    /// When an answer should have come if it takes `grace` on the way.
+    /// Time by which an answer is expected if it takes `grace` nanoseconds beyond the wait.
     pub(super) fn expected_by(&self, grace: u64) -> ResponseTime {
         self.sent.response.after(self.wait).after(grace)
     }
 }
 
-/// All calls in flight, in the order of their sending.
+/// All calls in flight, in the order in which they were sent.
 #[derive(Debug)]
 pub(super) struct InFlightCalls {
     calls: Vec<InFlightCall>,
@@ -56,12 +56,12 @@
         InFlightCalls { calls: Vec::new(), next_id: 1 }
     }
 
-    /// The number of the next call: calls from it on are sent later than now.
+    /// Number of the next call. Calls with this number or a higher one are sent later than now.
     pub(super) fn next_id(&self) -> u64 {
         self.next_id
     }
 
-    /// Records a call as sent and gives its number.
+    /// Records a call as sent and returns its number.
     pub(super) fn open(&mut self, kind: CallKind, sent: SendTime, wait: u64, timeout: u64) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
@@ -70,19 +70,19 @@
         id
     }
 
-    /// Takes a call out; `None` if it has its outcome already.
+    /// Removes a call; `None` if the call already has an outcome.
     pub(super) fn close(&mut self, id: u64) -> Option<InFlightCall> {
         let position = self.calls.iter().position(|call| call.id == id)?;
         Some(self.calls.remove(position))
     }
 
-    /// Takes out one call that has timed out by `judged_until`.
+    /// Removes one call that has timed out by `judged_until`.
     pub(super) fn take_expired(&mut self, judged_until: ResponseTime) -> Option<InFlightCall> {
         let position = self.calls.iter().position(|call| call.expires <= judged_until)?;
         Some(self.calls.remove(position))
     }
 
-    /// Takes out all calls.
+    /// Removes all calls.
     pub(super) fn take_all(&mut self) -> Vec<InFlightCall> {
         std::mem::take(&mut self.calls)
     }
@@ -95,7 +95,7 @@
         self.calls.iter().filter(|call| call.is_lease_renewal())
     }
 
-    /// Calls in flight that start or stop attempts.
+    /// Number of calls in flight that start or stop attempts.
     pub(super) fn orders(&self) -> usize {
         self.calls.iter().filter(|call| !call.is_lease_renewal()).count()
     }
--- a/crates/scheduler/src/worker/health.rs
+++ b/crates/scheduler/src/worker/health.rs
@@ -1,4 +1,4 @@
-//! Reports of whether the worker is reachable, suspected or unhealthy.
+//! Reports of changes in whether the worker is reachable, suspected or unhealthy.
 
 use messages::job::Resolution;
 
@@ -8,7 +8,7 @@
 use super::types::SessionOutput;
 
 impl WorkerSession {
-    /// Reports what has changed since the last poll, and gives up queued starts if the worker is out of reach.
+    /// Reports changes since the last poll, and rejects queued starts if the worker is unreachable.
     pub(super) fn check_health(&mut self, now: u64) {
         let judged_until = self.response_clock.judged_until(now);
         if self.reachability.becomes_healthy(now) {
@@ -25,25 +25,25 @@
             self.outputs.push(SessionOutput::SuspicionChanged { suspected });
         }
         if !self.reachability.is_reachable() {
-            self.reject_queued();
+            self.reject_queued_starts();
         }
     }
 
-    /// When the worker becomes suspected, unless it is already.
+    /// Time at which the worker becomes suspected; `None` if it already is or suspicion is disabled.
     pub(super) fn suspicion_due(&self) -> Option<ResponseTime> {
         let due = self.reachability.suspected_at(&self.calls, self.start_answer_timeout());
         due.filter(|_| self.options.suspicion && !self.suspected)
     }
 
-    /// Gives up starts that have not left, so that they can be placed elsewhere. None leaves until
-    /// `extend_start_limit` permits it.
+    /// Rejects starts that have not been sent, so that they can be placed elsewhere. No start is sent
+    /// before `extend_start_limit` permits it again.
     pub fn withdraw_starts(&mut self) {
         self.wake_at = 0;
         self.start_limit = 0;
-        self.reject_queued();
+        self.reject_queued_starts();
     }
 
-    fn reject_queued(&mut self) {
+    fn reject_queued_starts(&mut self) {
         let queued = std::mem::take(&mut self.start_queue);
         let held = std::mem::take(&mut self.held_starts);
         for key in queued.into_iter().chain(held) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Records that the worker refused a start as unhealthy.
+    /// Records that the worker refused a start because it is unhealthy.
     pub(super) fn refused_as_unhealthy(&mut self, now: u64) {
         if self.reachability.refused_as_unhealthy(now) {
             self.outputs.push(SessionOutput::HealthChanged { unhealthy: true });
--- a/crates/scheduler/src/worker/lease_schedule.rs
+++ b/crates/scheduler/src/worker/lease_schedule.rs
@@ -1,44 +1,46 @@
-//! The pace of lease renewals.
+//! Pacing of lease renewals.
 
 use crate::time::NANOS_PER_MS;
 
-use super::backoff::{exponential_backoff, RETRY_DELAY};
+use super::backoff::{exponential_backoff, RETRY_DELAY_NS};
 
-/// Least time between two status queries while an attempt is uncertain, in nanoseconds.
-pub(super) const MIN_STATUS_QUERY_SPACING: u64 = 50 * NANOS_PER_MS;
-/// Mean time between two lease renewals in ordinary operation, over longer times: each one has its price.
-const RENEWAL_INTERVAL: u64 = 100 * NANOS_PER_MS;
-/// How far ahead of that pace lease renewals may be, so that single ends are reported at once.
-const RENEWAL_BURST: u64 = 200 * NANOS_PER_MS;
-/// Least delay of a lease renewal while listed ends are not acknowledged yet: it would be answered at once.
-const UNACKNOWLEDGED_DELAY: u64 = 100 * NANOS_PER_MS;
+/// Shortest time between two status queries while it is uncertain whether an attempt runs.
+pub(super) const MIN_STATUS_QUERY_SPACING_NS: u64 = 50 * NANOS_PER_MS;
+/// Mean time between two lease renewals in normal operation, because each one has a cost.
+const RENEWAL_INTERVAL_NS: u64 = 100 * NANOS_PER_MS;
+/// How far lease renewals may be ahead of this pace, so that single ends are reported at once.
+const RENEWAL_BURST_NS: u64 = 200 * NANOS_PER_MS;
+/// Shortest delay of a lease renewal while listed ends are not acknowledged yet, because the worker would
+/// answer it at once.
+const UNACKNOWLEDGED_DELAY_NS: u64 = 100 * NANOS_PER_MS;
 
-/// Progress of the lease renewals of a session. Times are nanoseconds of the steady clock.
+/// Schedule of the lease renewals of a session. Times are nanoseconds of the steady clock.
 #[derive(Debug, Default)]
 pub(super) struct LeaseRenewalSchedule {
-    /// How far ahead of the pace lease renewals may be.
+    /// How far lease renewals may be ahead of the usual pace.
     burst: u64,
     last_sent: Option<u64>,
-    /// Up to when the lease renewals sent so far use up the ordinary pace.
+    /// Time up to which the lease renewals sent so far use up the usual pace.
     paced_until: u64,
-    /// The last lease renewal carried a deadline.
+    /// Whether the last lease renewal carried a deadline.
     carried_deadline: bool,
     last_lists_at: u64,
     failures: u32,
     not_before: u64,
-    /// Answers in a row without a new end while ends were not acknowledged.
+    /// Number of consecutive answers without a new end while ends were not acknowledged.
     unacknowledged_lists: u32,
 }
 
 impl LeaseRenewalSchedule {
-    /// The schedule of a session; with `bursts`, several lease renewals may follow each other quickly.
+    /// Creates the schedule of a session. With `bursts`, several lease renewals may follow each other
+    /// quickly.
     pub(super) fn new(bursts: bool) -> Self {
-        let burst = if bursts { RENEWAL_BURST } else { 0 };
+        let burst = if bursts { RENEWAL_BURST_NS } else { 0 };
         LeaseRenewalSchedule { burst, ..LeaseRenewalSchedule::default() }
     }
 
     /// Records an answered lease renewal.
-    pub(super) fn answered(&mut self, now: u64, has_new_ends: bool) {
+    pub(super) fn record_answer(&mut self, now: u64, has_new_ends: bool) {
         self.last_lists_at = now;
         self.failures = 0;
         self.not_before = 0;
@@ -50,32 +52,33 @@
     }
 
     /// Records that ends were acknowledged.
-    pub(super) fn ends_acknowledged(&mut self) {
+    pub(super) fn record_acknowledgement(&mut self) {
         self.unacknowledged_lists = 0;
     }
 
-    /// Records a lease renewal that got no answer or was refused.
-    pub(super) fn failed(&mut self, now: u64) {
-        self.not_before = now.saturating_add(exponential_backoff(RETRY_DELAY, self.failures));
+    /// Records a lease renewal that was refused or got no answer.
+    pub(super) fn record_failure(&mut self, now: u64) {
+        self.not_before = now.saturating_add(exponential_backoff(RETRY_DELAY_NS, self.failures));
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Records a lease renewal that this process withheld: it is repeated without regard to how often it was.
-    pub(super) fn withheld(&mut self, now: u64) {
-        self.not_before = now.saturating_add(RETRY_DELAY);
+    /// Records a lease renewal that this process withheld. It is repeated after a constant delay, however
+    /// often it was withheld.
+    pub(super) fn record_withheld(&mut self, now: u64) {
+        self.not_before = now.saturating_add(RETRY_DELAY_NS);
     }
 
     /// Records a lease renewal that was sent.
-    pub(super) fn sent(&mut self, now: u64, carries_deadline: bool) {
+    pub(super) fn record_sent(&mut self, now: u64, carries_deadline: bool) {
         self.last_sent = Some(now);
-        // Status queries that settle what is uncertain come faster than the pace: they must not put off ordinary
-        // lease renewals for longer.
-        let furthest = now.saturating_add(RENEWAL_INTERVAL).saturating_add(self.burst);
-        self.paced_until = self.paced_until.max(now).saturating_add(RENEWAL_INTERVAL).min(furthest);
+        // Status queries that settle uncertain attempts come faster than the usual pace. The cap prevents
+        // them from delaying ordinary lease renewals for longer.
+        let furthest = now.saturating_add(RENEWAL_INTERVAL_NS).saturating_add(self.burst);
+        self.paced_until = self.paced_until.max(now).saturating_add(RENEWAL_INTERVAL_NS).min(furthest);
         self.carried_deadline = carries_deadline;
     }
 
-    /// When the newest lists came; 0: none came.
+    /// Time at which the newest lists were received; 0 if none were.
     pub(super) fn last_lists_at(&self) -> u64 {
         self.last_lists_at
     }
@@ -85,24 +88,24 @@
         self.carried_deadline
     }
 
-    /// The backoff after failures: no lease renewal leaves before.
+    /// Earliest time of the next lease renewal according to the backoff after failures.
     pub(super) fn not_before(&self) -> u64 {
         self.not_before
     }
 
-    /// When the next lease renewal keeps to the ordinary pace.
-    pub(super) fn paced(&self) -> u64 {
+    /// Earliest time of the next lease renewal at the usual pace.
+    pub(super) fn next_paced(&self) -> u64 {
         self.paced_until.saturating_sub(self.burst)
     }
 
-    /// When the next lease renewal is due while listed ends are not acknowledged.
-    pub(super) fn paced_by_acknowledgements(&self) -> u64 {
-        let delay = exponential_backoff(UNACKNOWLEDGED_DELAY, self.unacknowledged_lists);
-        self.paced().max(self.last_lists_at.saturating_add(delay))
+    /// Earliest time of the next lease renewal while listed ends are not acknowledged.
+    pub(super) fn next_paced_while_unacknowledged(&self) -> u64 {
+        let delay = exponential_backoff(UNACKNOWLEDGED_DELAY_NS, self.unacknowledged_lists);
+        self.next_paced().max(self.last_lists_at.saturating_add(delay))
     }
 
-    /// When `spacing` has passed since the last lease renewal.
-    pub(super) fn spaced(&self, spacing: u64) -> u64 {
+    /// Time at which `spacing` has passed since the last lease renewal.
+    pub(super) fn after_spacing(&self, spacing: u64) -> u64 {
         self.last_sent.map_or(0, |sent| sent.saturating_add(spacing))
     }
 }
--- a/crates/scheduler/src/worker/lists.rs
+++ b/crates/scheduler/src/worker/lists.rs
@@ -1,4 +1,4 @@
-//! What the two lists of a lease renewal's answer show about attempts.
+//! Handling of the two lists in the answer to a lease renewal: running attempts and ends.
 
 use std::collections::btree_map::Entry;
 
@@ -6,44 +6,45 @@
 
 use crate::ids::{AttemptKey, TaskKey};
 
-use super::attempts::{Attempt, Phase, StopProgress};
+use super::attempts::{Attempt, AttemptPhase, StopProgress};
 use super::session::WorkerSession;
 use super::types::{RunningEntry, SessionOutput};
 
-/// The most ends that a worker lists at once: a list of this length may lack some.
-const FINISHED_PAGE: usize = 500;
+/// Most ends that a worker lists at once. A list of this length may be incomplete.
+const MAX_LISTED_ENDS: usize = 500;
 
 /// Both lists of one answer.
 ///
-/// A worker makes them at one moment between the call and its answer. So an attempt that was at the worker when the
-/// call was sent is in one of them, unless its end was acknowledged or the list of ends is full; and only lists of a
-/// call that was sent after an attempt's last event can show that it is absent.
+/// The worker creates both lists at one moment between the call and its answer. An attempt that was on the
+/// worker when the call was sent is therefore in one of them, unless its end was acknowledged or the list
+/// of ends is full. Only lists of a call that was sent after an attempt's last event can show that the
+/// attempt is absent.
 pub(super) struct Lists {
-    /// Number of the call that brought them.
+    /// Number of the call that the lists answer.
     pub(super) call: u64,
     pub(super) running: Vec<RunningEntry>,
     pub(super) finished: Vec<WorkerEnd>,
 }
 
 impl WorkerSession {
-    /// Takes both lists; true if they contain an end that was not reported before.
-    pub(super) fn take_lists(&mut self, lists: Lists, now: u64) -> bool {
-        let is_newest = lists.call > self.newest_lists;
-        self.newest_lists = self.newest_lists.max(lists.call);
-        let may_lack_ends = lists.finished.len() >= FINISHED_PAGE;
+    /// Handles both lists; true if they contain an end that was not reported before.
+    pub(super) fn handle_lists(&mut self, lists: Lists, now: u64) -> bool {
+        let is_newest = lists.call > self.newest_lists_call;
+        self.newest_lists_call = self.newest_lists_call.max(lists.call);
+        let may_lack_ends = lists.finished.len() >= MAX_LISTED_ENDS;
         let mut listed: Vec<AttemptKey> = lists.running.iter().map(|entry| entry.key).collect();
         listed.sort_unstable();
         for entry in lists.running {
-            self.take_running(entry, is_newest, now);
+            self.handle_running(entry, is_newest, now);
         }
-        let has_new_ends = self.take_finished(lists.finished);
+        let has_new_ends = self.handle_ends(lists.finished);
         if !may_lack_ends {
-            self.take_absent(lists.call, &listed);
+            self.record_absent(lists.call, &listed);
         }
         has_new_ends
     }
 
-    fn take_running(&mut self, entry: RunningEntry, is_newest: bool, now: u64) {
+    fn handle_running(&mut self, entry: RunningEntry, is_newest: bool, now: u64) {
         let conclusive_from = self.calls.next_id();
         let attempt = match self.attempts.entry(entry.key) {
             Entry::Occupied(occupied) => occupied.into_mut(),
@@ -59,8 +60,8 @@
                 attempt.stop = StopProgress::Idle;
             }
         }
-        if !matches!(attempt.phase, Phase::Running { .. }) {
-            attempt.phase = Phase::Running { conclusive_from };
+        if !matches!(attempt.phase, AttemptPhase::Running { .. }) {
+            attempt.phase = AttemptPhase::Running { conclusive_from };
         }
         let has_moved = attempt.checkpoint != entry.checkpoint || attempt.percent != entry.percent;
         let reports_progress = has_moved && is_newest && !attempt.orphan;
@@ -75,22 +76,22 @@
         }
     }
 
-    fn take_finished(&mut self, mut finished: Vec<WorkerEnd>) -> bool {
+    fn handle_ends(&mut self, mut finished: Vec<WorkerEnd>) -> bool {
         finished.sort_unstable_by_key(|end| end.sequence);
         let expired = finished.iter().rev().find(|end| end.kind == EndKind::LAPSED);
         let last_expired = expired.map_or(0, |end| end.sequence);
         let reported_before = self.ends.reported();
         for end in finished {
             if end.sequence > self.ends.reported() {
-                self.take_end(end, last_expired);
+                self.handle_end(end, last_expired);
             }
         }
         self.ends.reported() > reported_before
     }
 
-    /// Reports an end. It doesn't count if the worker's lease has certainly expired since: an attempt that ended by
-    /// expiry ended later, or this attempt was resolved before.
-    fn take_end(&mut self, mut end: WorkerEnd, last_expired: u64) {
+    /// Reports an end. The end does not count if the worker's lease has certainly expired since: either an
+    /// attempt that ended by lease expiry has a later sequence number, or this attempt was resolved before.
+    fn handle_end(&mut self, mut end: WorkerEnd, last_expired: u64) {
         self.ends.report(end.sequence);
         let Some(task) = end.task.as_ref().map(TaskKey::from) else {
             return;
@@ -102,23 +103,26 @@
         self.outputs.push(SessionOutput::Ended { end });
     }
 
-    /// Records which attempts a list lacks.
-    fn take_absent(&mut self, call: u64, listed: &[AttemptKey]) {
+    /// Records which attempts the lists of a call lack, and resolves stopped ones among them.
+    fn record_absent(&mut self, call: u64, listed: &[AttemptKey]) {
         let mut gone = Vec::new();
         for (key, attempt) in &mut self.attempts {
             if attempt.is_queued() || listed.binary_search(key).is_ok() {
                 continue;
             }
-            if matches!(attempt.stop, StopProgress::Answered { conclusive_from, .. } if conclusive_from <= call)
-            {
+            if matches!(
+                attempt.stop,
+                StopProgress::Answered { conclusive_from, .. } if conclusive_from <= call
+            ) {
                 gone.push(*key);
                 continue;
             }
             match attempt.phase {
-                Phase::Running { conclusive_from } | Phase::Uncertain { conclusive_from, .. }
+                AttemptPhase::Running { conclusive_from }
+                | AttemptPhase::Uncertain { conclusive_from, .. }
                     if conclusive_from <= call =>
                 {
-                    attempt.phase = Phase::Uncertain { conclusive_from, absent: true };
+                    attempt.phase = AttemptPhase::Uncertain { conclusive_from, absent: true };
                 }
                 _ => {}
             }
--- a/crates/scheduler/src/worker/mod.rs
+++ b/crates/scheduler/src/worker/mod.rs
@@ -1,12 +1,12 @@
-//! Reconciler of one incarnation of a worker. Its inputs are the attempts that should run and the outcomes of calls; its
-//! outputs are calls to send and reports for the leader.
+//! Reconciler of one incarnation of a worker. Its inputs are the attempts that should run and the outcomes
+//! of calls; its outputs are calls to send and reports for the leader.
 //!
-//! It does no input or output of its own. The caller hands in attempts and the outcomes of calls, calls
-//! [`WorkerSession::poll`] after that and whenever [`WorkerSession::next_timer`] has come, and carries out what
-//! comes of it.
+//! The reconciler does no input or output itself. The caller passes in attempts and call outcomes, calls
+//! [`WorkerSession::poll`] afterwards and whenever [`WorkerSession::next_timer`] has come, and carries out
+//! the outputs: it sends the calls and handles the reports.
 //!
-//! Two leases are told apart everywhere: the worker's lease is the permission for everything that runs at the worker,
-//! and is extended by calls named lease renewals; the leader's lease is the permission to send such calls.
+//! Two leases must be distinguished. The worker's lease is the permission for everything that runs on the
+//! worker; calls named lease renewals extend it. The leader's lease is the permission to send such calls.
 
 mod attempts;
 mod backoff;
--- a/crates/scheduler/src/worker/reachability.rs
+++ b/crates/scheduler/src/worker/reachability.rs
@@ -1,26 +1,28 @@
-//! Whether a worker answers, and whether it takes starts.
+//! Tracks whether a worker answers and whether it accepts starts.
 
 use crate::time::NANOS_PER_MS;
 
 use super::calls::{InFlightCall, InFlightCalls};
 use super::response_clock::ResponseTime;
 
-/// A worker is unreachable after this many calls without an answer in between.
+/// Number of consecutive unanswered calls after which a worker is unreachable.
 const UNANSWERED_CALLS_LIMIT: u32 = 2;
-/// A worker is unreachable this long after a call should have been answered, if nothing was answered since.
-const OVERDUE_AFTER: u64 = 600 * NANOS_PER_MS;
-/// How long a worker counts as unhealthy after it refused a start as such.
-const UNHEALTHY_FOR: u64 = 2_000 * NANOS_PER_MS;
-
-/// What is known of the way to a worker. Times without a type of their own are nanoseconds of the steady clock.
+/// Time after the expected answer to a call at which a worker is unreachable, if it has answered nothing
+/// since.
+const OVERDUE_AFTER_NS: u64 = 600 * NANOS_PER_MS;
+/// How long a worker counts as unhealthy after it refused a start for this reason.
+const UNHEALTHY_DURATION_NS: u64 = 2_000 * NANOS_PER_MS;
+
+/// Reachability and health of a worker. Times are nanoseconds of the steady clock, except those of type
+/// `ResponseTime`.
 #[derive(Debug)]
 pub(super) struct Reachability {
     reachable: bool,
     unanswered_calls: u32,
-    /// Whether a call that was sent got no answer, and none was answered since.
+    /// Whether a call that was sent got no answer and no call has been answered since.
     lacks_answer: bool,
     last_answer: Option<u64>,
-    /// When the first of the unanswered calls should have been answered at the latest.
+    /// Earliest time at which one of the unanswered calls should have been answered.
     unanswered_since: Option<ResponseTime>,
     unhealthy_until: Option<u64>,
 }
@@ -42,7 +44,7 @@
     }
 
     /// Records an answer; true if the worker was unreachable before.
-    pub(super) fn answered(&mut self, now: u64) -> bool {
+    pub(super) fn record_answer(&mut self, now: u64) -> bool {
         self.last_answer = Some(now);
         self.unanswered_calls = 0;
         self.lacks_answer = false;
@@ -51,16 +53,16 @@
     }
 
     /// Records that a call that was sent got no answer.
-    pub(super) fn unanswered(&mut self, call: &InFlightCall) {
+    pub(super) fn record_unanswered(&mut self, call: &InFlightCall) {
         if !self.answered_since(call) {
             self.lacks_answer = true;
             self.count_unanswered(call);
         }
     }
 
-    /// Records that a call could not be sent. It says nothing if the worker answered since, or just when it was to
-    /// leave: the connection of that answer may have been closed.
-    pub(super) fn not_sent(&mut self, call: &InFlightCall) {
+    /// Records that a call could not be sent. This is ignored if the worker answered after, or at the very
+    /// moment, the call was to be sent, because the connection of that answer may have been closed.
+    pub(super) fn record_not_sent(&mut self, call: &InFlightCall) {
         if self.last_answer.is_none_or(|at| at < call.sent.steady) {
             self.count_unanswered(call);
         }
@@ -72,7 +74,8 @@
         self.unanswered_since = Some(self.unanswered_since.map_or(since, |earlier| earlier.min(since)));
     }
 
-    /// Whether an answer is missing: the worker may be partitioned, though it is too early to take that for certain.
+    /// Whether an answer is missing, so that the worker may be partitioned although it is too early to be
+    /// certain.
     pub(super) fn is_suspected(
         &self,
         calls: &InFlightCalls,
@@ -82,13 +85,14 @@
         self.lacks_answer || self.suspected_at(calls, answer_timeout).is_some_and(|at| at <= judged_until)
     }
 
-    /// When the worker becomes suspected if nothing is answered.
+    /// When the worker becomes suspected if it answers nothing.
     pub(super) fn suspected_at(&self, calls: &InFlightCalls, answer_timeout: u64) -> Option<ResponseTime> {
         let unanswered = calls.iter().filter(|call| !self.answered_since(call));
         unanswered.map(|call| call.expected_by(answer_timeout)).min()
     }
 
-    /// Whether the worker has just become unreachable.
+    /// Marks the worker as unreachable if an answer is overdue or too many calls were unanswered; true if
+    /// it was reachable before.
     pub(super) fn becomes_unreachable(&mut self, calls: &InFlightCalls, judged_until: ResponseTime) -> bool {
         if !self.reachable {
             return false;
@@ -100,7 +104,8 @@
         !self.reachable
     }
 
-    /// When the worker becomes unreachable if nothing is answered.
+    /// When the worker becomes unreachable if it answers nothing; `None` if it already is or no answer is
+    /// expected.
     pub(super) fn overdue_at(&self, calls: &InFlightCalls) -> Option<ResponseTime> {
         if !self.reachable {
             return None;
@@ -108,12 +113,13 @@
         let unanswered = calls.iter().filter(|call| !self.answered_since(call));
         let expected = unanswered.map(|call| call.expected_by(0)).min();
         let first = [expected, self.unanswered_since].into_iter().flatten().min();
-        first.map(|at| at.after(OVERDUE_AFTER))
+        first.map(|at| at.after(OVERDUE_AFTER_NS))
     }
 
-    /// Records that a start was refused as unhealthy; true if the worker was healthy before.
+    /// Records that a start was refused because the worker is unhealthy; true if the worker was healthy
+    /// before.
     pub(super) fn refused_as_unhealthy(&mut self, now: u64) -> bool {
-        self.unhealthy_until.replace(now.saturating_add(UNHEALTHY_FOR)).is_none()
+        self.unhealthy_until.replace(now.saturating_add(UNHEALTHY_DURATION_NS)).is_none()
     }
 
     /// Records that a start was accepted; true if the worker was unhealthy before.
@@ -121,18 +127,20 @@
         self.unhealthy_until.take().is_some()
     }
 
-    /// Whether the time of being unhealthy has just ended.
+    /// Marks the worker as healthy if the time for which it counts as unhealthy has passed; true if this
+    /// happened now.
     pub(super) fn becomes_healthy(&mut self, now: u64) -> bool {
         let over = self.unhealthy_until.is_some_and(|until| until <= now);
         over && self.start_accepted()
     }
 
-    /// When the worker counts as healthy again.
+    /// When the worker counts as healthy again; `None` if it already is.
     pub(super) fn healthy_at(&self) -> Option<u64> {
         self.unhealthy_until
     }
 
-    /// Whether the worker answered after the call was sent. Calls that an answer causes leave in the same instant.
+    /// Whether the worker answered after the call was sent. The comparison is strict, because calls
+    /// triggered by an answer are sent at the same instant.
     fn answered_since(&self, call: &InFlightCall) -> bool {
         self.last_answer.is_some_and(|at| at > call.sent.steady)
     }
--- a/crates/scheduler/src/worker/resolution.rs
+++ b/crates/scheduler/src/worker/resolution.rs
@@ -1,4 +1,4 @@
-//! Reports of attempts that run, and of those that certainly never will again.
+//! Reports of attempts that run, and of attempts that certainly do not run and never will.
 
 use messages::job::Resolution;
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Drops an attempt that certainly does not run and never will, and reports it.
+    /// Removes an attempt that certainly does not run and never will, and reports it.
     pub(super) fn resolve(&mut self, key: AttemptKey, resolution: Resolution) {
         let Some(attempt) = self.attempts.remove(&key) else {
             return;
@@ -34,7 +34,7 @@
         self.outputs.push(SessionOutput::Resolved { key, resolution, checkpoint });
     }
 
-    /// Resolves all that may have run once the worker's lease has certainly expired.
+    /// Resolves all attempts that may have run, once the worker's lease has certainly expired.
     pub(super) fn resolve_expired(&mut self, now: u64) {
         if self.lease_expiry_due().is_none_or(|at| at > now) {
             return;
@@ -46,7 +46,8 @@
         }
     }
 
-    /// When the worker's lease has certainly expired, if anything may run under it.
+    /// When the worker's lease has certainly expired, in nanoseconds of the steady clock; `None` if no
+    /// attempt may run under it.
     pub(super) fn lease_expiry_due(&self) -> Option<u64> {
         let may_run = self.attempts.values().any(|attempt| !attempt.is_queued());
         may_run.then(|| self.worker_lease.certainly_expired_at(&self.clock))
--- a/crates/scheduler/src/worker/round_trip.rs
+++ b/crates/scheduler/src/worker/round_trip.rs
@@ -1,39 +1,40 @@
-//! How long an answer of a worker takes, and from when on it is missing.
+//! Estimate of how long a worker takes to answer, and the timeouts after which an answer is missing.
 
 use std::collections::VecDeque;
 
 use crate::time::NANOS_PER_MS;
 
-/// An answer never counts as missing sooner than this.
-const MIN_ANSWER_TIMEOUT: u64 = 300 * NANOS_PER_MS;
-/// The same for starts to a worker whose last answers were all quick: shorter, since the task waits until the fate of
-/// its start is known.
-const MIN_START_ANSWER_TIMEOUT: u64 = 120 * NANOS_PER_MS;
-/// Answers that show how quickly a worker answers.
-const RECENT_ANSWERS: usize = 16;
-/// The answer to a start may take so many times the longest of them.
+/// Lower bound of the answer timeout.
+const MIN_ANSWER_TIMEOUT_NS: u64 = 300 * NANOS_PER_MS;
+/// Lower bound of the answer timeout for starts to a worker whose recent answers were all quick. It is
+/// shorter because the task waits until the outcome of its start is known.
+const MIN_START_ANSWER_TIMEOUT_NS: u64 = 120 * NANOS_PER_MS;
+/// Number of recent answers that determine how quickly a worker answers.
+const RECENT_ANSWER_COUNT: usize = 16;
+/// The timeout for the answer to a start is at least this multiple of the slowest recent answer. The
+/// product is clamped to the range between the two lower bounds above.
 const START_TIMEOUT_FACTOR: u64 = 2;
-/// The newest answer weighs `1 / MEAN_DIVISOR` in the mean.
+/// The newest answer has the weight `1 / MEAN_DIVISOR` in the mean.
 const MEAN_DIVISOR: u64 = 8;
-/// The newest answer weighs `1 / DEVIATION_DIVISOR` in the mean deviation.
+/// The newest answer has the weight `1 / DEVIATION_DIVISOR` in the mean deviation.
 const DEVIATION_DIVISOR: u64 = 4;
-/// Mean deviations beyond the mean that an answer may take.
+/// Number of mean deviations by which an answer may exceed the mean.
 const DEVIATION_FACTOR: u64 = 4;
 
-/// Running mean of the time between a call and its answer, as in TCP's retransmission timer (RFC 6298, section 2). All
-/// in nanoseconds.
+/// Running mean and mean deviation of the time between a call and its answer, as in TCP's retransmission
+/// timer (RFC 6298, section 2), in nanoseconds.
 #[derive(Debug, Default)]
 pub(super) struct RoundTripEstimate {
     mean: Option<u64>,
     deviation: u64,
-    /// The last times, oldest first; `RECENT_ANSWERS` at most.
+    /// The most recent times, oldest first; at most `RECENT_ANSWER_COUNT`.
     recent: VecDeque<u64>,
 }
 
 impl RoundTripEstimate {
-    /// Takes in how long an answer took that was given at once.
+    /// Updates the estimate by the time that an answer without a wait took.
     pub(super) fn observe(&mut self, elapsed: u64) {
-        if self.recent.len() == RECENT_ANSWERS {
+        if self.recent.len() == RECENT_ANSWER_COUNT {
             self.recent.pop_front();
         }
         self.recent.push_back(elapsed);
@@ -47,22 +48,24 @@
         self.mean = Some((mean * (MEAN_DIVISOR - 1) + elapsed) / MEAN_DIVISOR);
     }
 
-    /// How long an answer may take before it counts as missing: `max` at most, and as long as nothing is known.
+    /// How long an answer may take before it counts as missing: at most `max`, and exactly `max` before the
+    /// first answer.
     pub(super) fn answer_timeout(&self, max: u64) -> u64 {
-        self.timeout_within(MIN_ANSWER_TIMEOUT, max)
+        self.timeout_within(MIN_ANSWER_TIMEOUT_NS, max)
     }
 
-    /// The same for the answer to a start.
+    /// How long the answer to a start may take before it counts as missing: at most `max`, and exactly
+    /// `max` before the first answer.
     pub(super) fn start_answer_timeout(&self, max: u64) -> u64 {
         self.timeout_within(self.min_start_answer_timeout(), max)
     }
 
     fn min_start_answer_timeout(&self) -> u64 {
-        if self.recent.len() < RECENT_ANSWERS {
-            return MIN_ANSWER_TIMEOUT;
+        if self.recent.len() < RECENT_ANSWER_COUNT {
+            return MIN_ANSWER_TIMEOUT_NS;
         }
-        let slowest = self.recent.iter().copied().max().unwrap_or(MIN_ANSWER_TIMEOUT);
-        slowest.saturating_mul(START_TIMEOUT_FACTOR).clamp(MIN_START_ANSWER_TIMEOUT, MIN_ANSWER_TIMEOUT)
+        let slowest = self.recent.iter().copied().max().unwrap_or(MIN_ANSWER_TIMEOUT_NS);
+        slowest.saturating_mul(START_TIMEOUT_FACTOR).clamp(MIN_START_ANSWER_TIMEOUT_NS, MIN_ANSWER_TIMEOUT_NS)
     }
 
     fn timeout_within(&self, min: u64, max: u64) -> u64 {
--- a/crates/scheduler/src/worker/session.rs
+++ b/crates/scheduler/src/worker/session.rs
@@ -1,4 +1,4 @@
-//! The state of a session and what its caller asks of it.
+//! State of a session, and the operations that its caller uses.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,61 +13,62 @@
 use super::clock::ClockEstimate;
 use super::end_watermarks::EndWatermarks;
 use super::lease_expiry::WorkerLeaseBound;
-use super::lease_schedule::{LeaseRenewalSchedule, MIN_STATUS_QUERY_SPACING};
+use super::lease_schedule::{LeaseRenewalSchedule, MIN_STATUS_QUERY_SPACING_NS};
 use super::reachability::Reachability;
 use super::response_clock::{ResponseClock, ResponseTime};
 use super::round_trip::RoundTripEstimate;
 use super::types::{SessionOptions, SessionOutput, StartOrder};
 
-/// Whether the session still acts.
+/// Whether the session is active, or why it is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum SessionStatus {
     Active,
     IncarnationEnded,
     Fenced,
 }
 
-/// The state of one incarnation of a worker as its leader knows it. Times are nanoseconds of the steady clock.
+/// The leader's session with one incarnation of a worker. Times are nanoseconds of the steady clock unless
+/// stated otherwise.
 #[derive(Debug)]
 pub struct WorkerSession {
     incarnation: job::WorkerIncarnation,
     pub(super) options: SessionOptions,
-    pub(super) standing: Standing,
+    pub(super) status: SessionStatus,
     pub(super) clock: ClockEstimate,
-    /// How far missing answers may be judged.
+    /// Clock by which missing answers are judged.
     pub(super) response_clock: ResponseClock,
     pub(super) worker_lease: WorkerLeaseBound,
     pub(super) reachability: Reachability,
-    /// Whether it was reported that an answer is missing.
+    /// Whether the worker was last reported as suspected, that is, an answer was missing.
     pub(super) suspected: bool,
     pub(super) round_trip: RoundTripEstimate,
     pub(super) calls: InFlightCalls,
     pub(super) lease_renewals: LeaseRenewalSchedule,
     pub(super) attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Attempts whose start has not left, in the order in which they were asked for.
+    /// Attempts whose start has not been sent, in the order in which the starts are to be sent.
     pub(super) start_queue: VecDeque<AttemptKey>,
-    /// Attempts whose start waits until the leader releases it.
+    /// Attempts whose start is held until the leader releases it.
     pub(super) held_starts: BTreeSet<AttemptKey>,
     pub(super) ends: EndWatermarks,
-    /// The highest number of a call whose lists were taken.
-    pub(super) newest_lists: u64,
-    /// Until when the leader's lease permits calls that start attempts or extend the worker's lease.
+    /// Highest number of a call whose lists were handled.
+    pub(super) newest_lists_call: u64,
+    /// Time until which the leader's lease permits calls that start attempts or extend the worker's lease.
     pub(super) leader_lease_until: u64,
-    /// Until when starts may leave, in nanoseconds of the steady clock.
+    /// Time until which starts may be sent.
     pub(super) start_limit: u64,
     /// How far ahead the worker's lease is set, in milliseconds of the worker's clock.
     pub(super) worker_lease_ms: u64,
-    /// Least time between two status queries, in nanoseconds.
+    /// Shortest time between two status queries, in nanoseconds.
     pub(super) status_query_spacing: u64,
     pub(super) outputs: Vec<SessionOutput>,
-    /// When the session wants to be polled next, in nanoseconds of the steady clock.
+    /// Time at which the session has to be polled next.
     pub(super) wake_at: u64,
-    /// Whether a time limit for an answer has passed that is not judged before more input is read.
+    /// Whether a time limit for an answer has passed but is not judged before more input is read.
     awaits_input: bool,
 }
 
 impl WorkerSession {
-    /// A session with the given incarnation; ends up to `acknowledged` are durable.
+    /// Creates a session with an incarnation whose ends up to `acknowledged` are durable.
     pub fn new(
         incarnation: job::WorkerIncarnation,
         acknowledged: u64,
@@ -76,7 +77,7 @@
     ) -> Self {
         WorkerSession {
             incarnation,
-            standing: Standing::Active,
+            status: SessionStatus::Active,
             clock: ClockEstimate::default(),
             response_clock: ResponseClock::default(),
             worker_lease: WorkerLeaseBound::new(&options),
@@ -89,11 +90,11 @@
             start_queue: VecDeque::new(),
             held_starts: BTreeSet::new(),
             ends: EndWatermarks::new(acknowledged),
-            newest_lists: 0,
+            newest_lists_call: 0,
             leader_lease_until: 0,
             start_limit: 0,
             worker_lease_ms: options.worker_lease_ms,
-            status_query_spacing: MIN_STATUS_QUERY_SPACING,
+            status_query_spacing: MIN_STATUS_QUERY_SPACING_NS,
             outputs: Vec::new(),
             wake_at: now,
             awaits_input: false,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The incarnation this session is with.
+    /// The worker's incarnation.
     pub fn incarnation(&self) -> &job::WorkerIncarnation {
         &self.incarnation
     }
@@ -114,7 +115,8 @@
         }
     }
 
-    /// As `start`, but the order leaves only after `release_start`; until then the session gets ready for it.
+    /// Like `start`, but the start is sent only after `release_start`. Until then the session prepares for
+    /// it.
     pub fn hold_start(&mut self, order: StartOrder) {
         let key = order.key;
         if self.enqueue_order(order) {
@@ -122,12 +124,12 @@
         }
     }
 
-    /// Whether the attempt's order is held.
+    /// Whether the attempt's start is held.
     pub fn holds_start(&self, key: AttemptKey) -> bool {
         self.held_starts.contains(&key) && self.attempts.contains_key(&key)
     }
 
-    /// Lets an order leave that was held, ahead of all others.
+    /// Releases a held start. It is sent ahead of all queued starts.
     pub fn release_start(&mut self, key: AttemptKey) {
         if self.held_starts.remove(&key) && self.attempts.contains_key(&key) {
             self.wake_at = 0;
@@ -135,11 +137,11 @@
         }
     }
 
-    /// Takes an order; false if it is not to be sent.
+    /// Records the attempt of an order; false if the order must not be sent.
     fn enqueue_order(&mut self, order: StartOrder) -> bool {
         let key = order.key;
         self.wake_at = 0;
-        if self.standing == Standing::IncarnationEnded {
+        if self.status == SessionStatus::IncarnationEnded {
             self.report_resolved(key, Resolution::INCARNATION_ENDED, String::new());
             return false;
         }
@@ -150,22 +152,23 @@
         true
     }
 
-    /// Finds out about an attempt whose intent an earlier leader committed: it may run, have ended or never arrive.
+    /// Adopts an attempt whose intent an earlier leader committed, and determines its state: it may be
+    /// running, have ended, or never have reached the worker.
     pub fn adopt(&mut self, key: AttemptKey) {
         self.wake_at = 0;
-        if self.standing == Standing::IncarnationEnded {
+        if self.status == SessionStatus::IncarnationEnded {
             self.report_resolved(key, Resolution::INCARNATION_ENDED, String::new());
             return;
         }
         self.attempts.entry(key).or_insert_with(Attempt::adopted);
     }
 
-    /// How many attempts the session knows of.
+    /// Number of attempts that the session tracks.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Stops an attempt that is no longer wanted; it ends with `Ended` or `Resolved`.
+    /// Stops an attempt that is no longer wanted. The session later reports `Ended` or `Resolved` for it.
     pub fn stop(&mut self, key: AttemptKey) {
         self.wake_at = 0;
         let Some(attempt) = self.attempts.get_mut(&key) else {
@@ -177,33 +180,34 @@
         }
     }
 
-    /// Ends up to `sequence` are durable: the worker may forget them.
+    /// Records that ends up to `sequence` are durable, so that the worker may forget them.
     pub fn acknowledge_ends(&mut self, sequence: u64) {
         if self.ends.acknowledge(sequence) {
-            self.lease_renewals.ends_acknowledged();
+            self.lease_renewals.record_acknowledgement();
             self.wake_at = 0;
         }
     }
 
-    /// How long the worker may wait for an end from the next lease renewal on, in milliseconds.
+    /// Sets how long the worker may wait for an end from the next lease renewal on, in milliseconds.
     pub fn set_long_poll_wait(&mut self, wait_ms: u64) {
         self.options.long_poll_wait_ms = wait_ms;
     }
 
-    /// How far ahead the worker's lease is set from the next call on, in milliseconds of the worker's clock. What was
-    /// sent before stays in force at the worker, and counts until it has certainly expired.
+    /// Sets how far ahead the worker's lease is set from the next call on, in milliseconds of the worker's
+    /// clock. Deadlines sent before stay in force on the worker, and count until they have certainly
+    /// expired.
     pub fn set_worker_lease(&mut self, worker_lease_ms: u64) {
         self.worker_lease_ms = worker_lease_ms.min(self.options.worker_lease_ms);
     }
 
-    /// Least time between two status queries from the next poll on, in nanoseconds; never below
-    /// `MIN_STATUS_QUERY_SPACING`. Lease renewals that the worker's lease rests on are not affected.
+    /// Sets the shortest time between two status queries from the next poll on, in nanoseconds; at least
+    /// `MIN_STATUS_QUERY_SPACING_NS`. Lease renewals that keep up the worker's lease are not affected.
     pub fn set_status_query_spacing(&mut self, spacing: u64) {
-        self.status_query_spacing = spacing.max(MIN_STATUS_QUERY_SPACING);
+        self.status_query_spacing = spacing.max(MIN_STATUS_QUERY_SPACING_NS);
     }
 
-    /// The leader's lease lasts until then, in nanoseconds of the steady clock: so long, calls that start attempts or
-    /// extend the worker's lease may leave.
+    /// Sets the end of the leader's lease, in nanoseconds of the steady clock. Calls that start attempts or
+    /// extend the worker's lease may be sent until then.
     pub fn set_leader_lease(&mut self, until: u64) {
         if until != self.leader_lease_until {
             self.leader_lease_until = until;
@@ -211,8 +215,9 @@
         }
     }
 
-    /// Starts may leave until then, in nanoseconds of the steady clock, or until the latest limit set before: what is
-    /// known of the worker is too old afterwards. Returns whether the session has starts to send and is to be polled.
+    /// Permits starts until `until`, in nanoseconds of the steady clock, or until the latest limit set
+    /// before. After that the information about the worker is too old for starts. Returns whether the
+    /// session has starts to send and has to be polled.
     pub fn extend_start_limit(&mut self, until: u64) -> bool {
         self.start_limit = self.start_limit.max(until);
         let has_starts = !self.start_queue.is_empty();
@@ -222,18 +227,18 @@
         has_starts
     }
 
-    /// How far missing answers may be judged from the next poll on. Without it, `poll` is taken to be called in time
-    /// and after all that has arrived was handed in.
+    /// Sets the clock by which missing answers are judged from the next poll on. Without this call, `poll`
+    /// is assumed to be called in time and after all input that has arrived was passed in.
     pub fn set_response_clock(&mut self, clock: ResponseClock) {
         self.response_clock = clock;
     }
 
-    /// The incarnation has certainly ended.
+    /// Records that the incarnation has certainly ended, and resolves all its attempts.
     pub fn incarnation_ended(&mut self, _now: u64) {
-        if self.standing == Standing::IncarnationEnded {
+        if self.status == SessionStatus::IncarnationEnded {
             return;
         }
-        self.standing = Standing::IncarnationEnded;
+        self.status = SessionStatus::IncarnationEnded;
         self.wake_at = 0;
         self.cancel_calls();
         self.start_queue.clear();
@@ -246,9 +251,9 @@
         self.outputs.push(SessionOutput::IncarnationEnded);
     }
 
-    /// Gives what is due at `now`: facts and calls, in their order.
+    /// Appends the reports and calls that are due at `now` to `out`, in their order.
     pub fn poll(&mut self, now: u64, out: &mut Vec<SessionOutput>) {
-        if self.standing == Standing::Active {
+        if self.status == SessionStatus::Active {
             self.expire_calls(now);
             self.resolve_expired(now);
             self.check_health(now);
@@ -263,18 +268,19 @@
             limits.into_iter().flatten().any(|limit| self.response_clock.awaits_input(limit, now));
     }
 
-    /// When `poll` has something to do, unless something else happens before; `u64::MAX`: never.
+    /// Time at which `poll` has to be called next unless something else happens before; `u64::MAX` if
+    /// never.
     pub fn next_timer(&self) -> u64 {
         self.wake_at
     }
 
-    /// Whether the session has to be polled once more input is read: a time limit for an answer has passed, but the
-    /// answer may have arrived.
+    /// Whether the session has to be polled once more input is read: a time limit for an answer has passed,
+    /// but the answer may have arrived without having been read.
     pub fn awaits_input(&self) -> bool {
         self.awaits_input
     }
 
-    /// When the newest lists came, in nanoseconds of the steady clock; 0: none came.
+    /// Time at which the newest lists were received, in nanoseconds of the steady clock; 0 if none were.
     pub fn last_lists_at(&self) -> u64 {
         self.lease_renewals.last_lists_at()
     }
@@ -284,34 +290,35 @@
         self.clock.is_known()
     }
 
-    /// Whether there are no attempts and no ends left to be acknowledged there, so that no call is needed.
+    /// Whether the session needs no calls: it is not active, or it has no attempts and the worker has
+    /// confirmed all ends.
     pub fn is_idle(&self) -> bool {
-        let is_active = self.standing == Standing::Active;
+        let is_active = self.status == SessionStatus::Active;
         !is_active || (self.attempts.is_empty() && self.ends.all_confirmed())
     }
 
-    /// How long a call may take beyond its wait.
+    /// How long a call may take beyond its wait, in nanoseconds.
     pub(super) fn call_timeout(&self) -> u64 {
         self.options.call_timeout_ms.saturating_mul(NANOS_PER_MS)
     }
 
-    /// How long an answer that is given at once may take before it is missing.
+    /// How long an answer without a wait may take before it is missing, in nanoseconds.
     pub(super) fn answer_timeout(&self) -> u64 {
         self.round_trip.answer_timeout(self.call_timeout())
     }
 
-    /// How long the answer to a start may take before it is missing.
+    /// How long the answer to a start may take before it is missing, in nanoseconds.
     pub(super) fn start_answer_timeout(&self) -> u64 {
         self.round_trip.start_answer_timeout(self.call_timeout())
     }
 
-    /// The moment of a call that leaves at `now`.
+    /// The send time of a call that is sent at `now`.
     pub(super) fn send_time(&self, now: u64) -> SendTime {
         SendTime { steady: now, response: self.response_clock.at(now) }
     }
 
-    /// From when on, by the steady clock, an answer that is due at `due` is missing; `u64::MAX`: not before more input
-    /// is read.
+    /// Time of the steady clock from which an answer that is due at `due` is missing; `u64::MAX` if this
+    /// cannot be judged before more input is read.
     pub(super) fn missing_at(&self, due: ResponseTime, now: u64) -> u64 {
         match self.response_clock.awaits_input(due, now) {
             true => u64::MAX,
@@ -319,9 +326,9 @@
         }
     }
 
-    /// The next time limit for an answer that changes what is known of the worker.
+    /// The next time limit for an answer after which the session's view of the worker changes.
     fn response_due(&self) -> Option<ResponseTime> {
-        if self.standing != Standing::Active {
+        if self.status != SessionStatus::Active {
             return None;
         }
         let due = [
@@ -333,7 +340,7 @@
     }
 
     fn next_due(&self, now: u64) -> u64 {
-        if self.standing != Standing::Active {
+        if self.status != SessionStatus::Active {
             return u64::MAX;
         }
         let due = [
