--- a/crates/scheduler/src/placement/fleet.rs
+++ b/crates/scheduler/src/placement/fleet.rs
@@ -57,7 +57,7 @@
     by_rack: BTreeMap<Symbol, Vec<WorkerKey>>,
     /// The workers on which each step's tasks have reservations.
     by_step: BTreeMap<StepKey, Vec<WorkerKey>>,
-    index: BTreeMap<WorkerKey, usize>,
+    position_by_key: BTreeMap<WorkerKey, usize>,
     total: Resources,
     free: Resources,
     /// Number of ejected workers.
@@ -87,7 +87,7 @@
         let rack = facts.rack.as_deref().map(|rack| self.racks.intern(rack));
         let quality = clamped_factor(facts.pace) * clamped_factor(facts.success_rate);
         let (capacity, usable, ejected) = (facts.capacity.min(MAX_CAPACITY), facts.usable, facts.ejected);
-        match self.index.get(&key).copied() {
+        match self.position_by_key.get(&key).copied() {
             Some(position) => {
                 let before = self.slots[position].capacity;
                 self.remove_from_rack(position);
@@ -123,7 +123,7 @@
 
     /// Removes a worker and its reservations. Returns whether the worker was known.
     pub fn remove(&mut self, key: WorkerKey) -> bool {
-        let Some(position) = self.index.remove(&key) else { return false };
+        let Some(position) = self.position_by_key.remove(&key) else { return false };
         self.remove_slot(position);
         self.recompute_largest();
         true
@@ -133,7 +133,7 @@
     /// because an attempt may have been placed before the worker's capacity shrank. Returns false and
     /// changes nothing if the worker is unknown.
     pub fn reserve(&mut self, key: WorkerKey, step: StepKey, need: Resources) -> bool {
-        let Some(position) = self.index.get(&key).copied() else { return false };
+        let Some(position) = self.position_by_key.get(&key).copied() else { return false };
         if self.slots[position].tasks_of(&step) == 0 {
             self.by_step.entry(step).or_default().push(key);
         }
@@ -150,7 +150,7 @@
     /// Releases `need`, which a task of `step` had reserved on a worker. Returns false and changes nothing
     /// if no task of the step has a reservation there or if less than `need` is reserved on the worker.
     pub fn release(&mut self, key: WorkerKey, step: StepKey, need: Resources) -> bool {
-        let Some(position) = self.index.get(&key).copied() else { return false };
+        let Some(position) = self.position_by_key.get(&key).copied() else { return false };
         let slot = &self.slots[position];
         let Some(step_position) = slot.steps.iter().position(|count| count.step == step) else {
             return false;
@@ -226,7 +226,7 @@
     }
 
     pub(super) fn slot(&self, key: WorkerKey) -> Option<&Slot> {
-        self.index.get(&key).map(|position| &self.slots[*position])
+        self.position_by_key.get(&key).map(|position| &self.slots[*position])
     }
 
     /// Recomputes the largest capacity of any worker from the blocks.
@@ -237,11 +237,11 @@
     /// Changes a slot and updates the totals and the index by free capacity.
     fn change_slot(&mut self, position: usize, change: impl FnOnce(&mut Slot)) {
         let slot = &mut self.slots[position];
-        let before = sums(slot);
+        let before = totals_of(slot);
         self.free_index.remove(position, slot);
         change(slot);
         self.free_index.insert(position, slot);
-        let after = sums(slot);
+        let after = totals_of(slot);
         self.ejected = self.ejected + after.ejected - before.ejected;
         self.total = self.total.minus(before.total).plus(after.total);
         self.free = self.free.minus(before.free).plus(after.free);
@@ -249,12 +249,12 @@
     }
 
     fn add_slot(&mut self, slot: Slot) {
-        let sums = sums(&slot);
-        self.ejected += sums.ejected;
-        self.total = self.total.plus(sums.total);
-        self.free = self.free.plus(sums.free);
+        let totals = totals_of(&slot);
+        self.ejected += totals.ejected;
+        self.total = self.total.plus(totals.total);
+        self.free = self.free.plus(totals.free);
         let position = self.slots.len();
-        self.index.insert(slot.key, position);
+        self.position_by_key.insert(slot.key, position);
         self.free_index.insert(position, &slot);
         self.slots.push(slot);
         self.add_to_rack(position);
@@ -274,12 +274,12 @@
         for count in &slot.steps {
             remove_key(&mut self.by_step, count.step, slot.key);
         }
-        let sums = sums(&slot);
-        self.ejected -= sums.ejected;
-        self.total = self.total.minus(sums.total);
-        self.free = self.free.minus(sums.free);
+        let totals = totals_of(&slot);
+        self.ejected -= totals.ejected;
+        self.total = self.total.minus(totals.total);
+        self.free = self.free.minus(totals.free);
         if let Some(moved) = self.slots.get(position) {
-            self.index.insert(moved.key, position);
+            self.position_by_key.insert(moved.key, position);
             self.update_block(position / SLOTS_PER_BLOCK);
         }
         self.update_block(self.slots.len() / SLOTS_PER_BLOCK);
@@ -360,18 +360,18 @@
 }
 
 /// The contribution of one worker to the totals of the fleet.
-struct Sums {
+struct Totals {
     total: Resources,
     free: Resources,
     ejected: usize,
 }
 
-fn sums(slot: &Slot) -> Sums {
+fn totals_of(slot: &Slot) -> Totals {
     let ejected = usize::from(slot.ejected);
     if slot.may_take_starts() {
-        Sums { total: slot.capacity, free: slot.free(), ejected }
+        Totals { total: slot.capacity, free: slot.free(), ejected }
     } else {
-        Sums { total: Resources::ZERO, free: Resources::ZERO, ejected }
+        Totals { total: Resources::ZERO, free: Resources::ZERO, ejected }
     }
 }
 
--- a/crates/scheduler/src/placement/slot.rs
+++ b/crates/scheduler/src/placement/slot.rs
@@ -14,22 +14,22 @@
 /// Interned labels or racks.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Symbols {
-    numbers: BTreeMap<String, Symbol>,
+    symbols: BTreeMap<String, Symbol>,
 }
 
 impl Symbols {
     pub(super) fn intern(&mut self, text: &str) -> Symbol {
-        if let Some(symbol) = self.numbers.get(text) {
+        if let Some(symbol) = self.symbols.get(text) {
             return *symbol;
         }
-        let symbol = Symbol::try_from(self.numbers.len()).unwrap_or(Symbol::MAX);
-        self.numbers.insert(text.to_owned(), symbol);
+        let symbol = Symbol::try_from(self.symbols.len()).unwrap_or(Symbol::MAX);
+        self.symbols.insert(text.to_owned(), symbol);
         symbol
     }
 
     /// The symbol of a text; `None` if no worker has ever had the text.
     pub(super) fn find(&self, text: &str) -> Option<Symbol> {
-        self.numbers.get(text).copied()
+        self.symbols.get(text).copied()
     }
 }
 
--- a/crates/scheduler/src/state/ends.rs
+++ b/crates/scheduler/src/state/ends.rs
@@ -41,20 +41,20 @@
 impl State {
     /// Records ends that a worker listed. Each end counts once: ends up to the acknowledged sequence number
     /// are repeats and are skipped.
-    pub(super) fn record_ends(&mut self, command: &RecordEnds, out: &mut Vec<StateChange>) {
+    pub(super) fn record_ends(&mut self, command: &RecordEnds, changes: &mut Vec<StateChange>) {
         let instance = self.workers.shared_name_or_insert(&command.instance);
         for end in &command.ends {
             if end.sequence <= self.workers.acknowledged(&instance) {
                 continue;
             }
             self.workers.acknowledge(&instance, end.sequence);
-            self.record_end(end, out);
+            self.record_end(end, changes);
         }
         let sequence = self.workers.acknowledged(&instance);
-        out.push(StateChange::EndsAcknowledged { instance, sequence });
+        changes.push(StateChange::EndsAcknowledged { instance, sequence });
     }
 
-    fn record_end(&mut self, end: &WorkerEnd, out: &mut Vec<StateChange>) {
+    fn record_end(&mut self, end: &WorkerEnd, changes: &mut Vec<StateChange>) {
         let Some(task) = end.task.as_ref() else { return };
         let task_outcome = match end.kind {
             EndKind::DONE if end.counted => TaskOutcome::Done,
@@ -69,18 +69,18 @@
                 task_outcome,
                 checkpoint: &end.checkpoint,
             },
-            out,
+            changes,
         );
     }
 
     /// Records attempts that certainly do not run.
-    pub(super) fn resolve_attempts(&mut self, command: &ResolveAttempts, out: &mut Vec<StateChange>) {
+    pub(super) fn resolve_attempts(&mut self, command: &ResolveAttempts, changes: &mut Vec<StateChange>) {
         for resolved in &command.resolved {
-            self.resolve(resolved, out);
+            self.resolve(resolved, changes);
         }
     }
 
-    fn resolve(&mut self, resolved: &AttemptResolved, out: &mut Vec<StateChange>) {
+    fn resolve(&mut self, resolved: &AttemptResolved, changes: &mut Vec<StateChange>) {
         let Some(task) = resolved.task.as_ref() else { return };
         let key = AttemptKey { task: TaskKey::from(task), attempt: resolved.attempt };
         let outcome = AttemptOutcome::Resolved(resolved.resolution);
@@ -91,22 +91,22 @@
                 task_outcome: TaskOutcome::Retry,
                 checkpoint: &resolved.checkpoint,
             },
-            out,
+            changes,
         );
     }
 
-    fn finish_attempt(&mut self, finished: FinishedAttempt<'_>, out: &mut Vec<StateChange>) {
+    fn finish_attempt(&mut self, finished: FinishedAttempt<'_>, changes: &mut Vec<StateChange>) {
         let id = finished.key.task.job;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let is_open = job.open_work().is_some();
         let Some(work) = job.work.as_mut() else { return };
-        let (progress, freed) = work.finish_attempt(&finished, is_open, out);
+        let (progress, freed) = work.finish_attempt(&finished, is_open, changes);
         if let Some(instance) = freed {
             self.workers.subtract_active(&instance);
         }
         match progress {
-            JobProgress::Completed => self.end_job(id, messages::job::JobPhase::COMPLETED, out),
-            JobProgress::Failed => self.end_job(id, messages::job::JobPhase::JOB_FAILED, out),
+            JobProgress::Completed => self.end_job(id, messages::job::JobPhase::COMPLETED, changes),
+            JobProgress::Failed => self.end_job(id, messages::job::JobPhase::JOB_FAILED, changes),
             JobProgress::Open => self.drop_idle_work(id),
         }
     }
@@ -119,7 +119,7 @@
         &mut self,
         finished: &FinishedAttempt<'_>,
         is_open: bool,
-        out: &mut Vec<StateChange>,
+        changes: &mut Vec<StateChange>,
     ) -> (JobProgress, Option<Arc<str>>) {
         let key = finished.key.task;
         let Some(stage) = self.stage(key.step) else { return (JobProgress::Open, None) };
@@ -140,10 +140,14 @@
         if let Some(instance) = freed.clone() {
             repeat.active -= 1;
             self.active -= 1;
-            out.push(StateChange::AttemptFinished { key: finished.key, instance, outcome: finished.outcome });
+            changes.push(StateChange::AttemptFinished {
+                key: finished.key,
+                instance,
+                outcome: finished.outcome,
+            });
         }
         let progress = if is_open {
-            self.progress_after(finished, freed.is_some(), gang_was_complete, out)
+            self.progress_after(finished, freed.is_some(), gang_was_complete, changes)
         } else {
             JobProgress::Open
         };
@@ -157,7 +161,7 @@
         finished: &FinishedAttempt<'_>,
         was_active: bool,
         gang_was_complete: bool,
-        out: &mut Vec<StateChange>,
+        changes: &mut Vec<StateChange>,
     ) -> JobProgress {
         let key = finished.key.task;
         let is_long_running = self.stage(key.step).is_some_and(|stage| stage.long_running);
@@ -165,17 +169,17 @@
             return JobProgress::Open;
         }
         if finished.task_outcome == TaskOutcome::Done && !is_long_running {
-            return self.complete_task(finished.key, out);
+            return self.complete_task(finished.key, changes);
         }
         if finished.task_outcome == TaskOutcome::Failed {
             let failures = self.count_failure(finished.key);
-            out.push(StateChange::TaskFailed { task: key, failures });
+            changes.push(StateChange::TaskFailed { task: key, failures });
             if !is_long_running && failures >= self.submit.max_retries.max(1) {
                 return JobProgress::Failed;
             }
         }
         if was_active {
-            self.requeue(key, gang_was_complete, out);
+            self.requeue(key, gang_was_complete, changes);
         }
         JobProgress::Open
     }
@@ -200,36 +204,36 @@
 
     /// Makes the task wait to be started again. If a gang has lost a member, the other members are stopped
     /// first.
-    fn requeue(&self, key: TaskKey, gang_was_complete: bool, out: &mut Vec<StateChange>) {
+    fn requeue(&self, key: TaskKey, gang_was_complete: bool, changes: &mut Vec<StateChange>) {
         let is_gang = self.stage(key.step).is_some_and(|stage| stage.gang);
         if !is_gang {
             if self.task(key).is_some_and(|task| task.active.is_empty()) {
-                out.push(StateChange::TaskReady { task: key });
+                changes.push(StateChange::TaskReady { task: key });
             }
             return;
         }
         if self.active_in_step(key.step_key()) == 0 {
-            out.push(StateChange::TaskReady { task: key.step_key().task(0) });
+            changes.push(StateChange::TaskReady { task: key.step_key().task(0) });
         } else if gang_was_complete {
-            self.stop_step(key.step_key(), out);
+            self.stop_step(key.step_key(), changes);
         }
     }
 
     /// Requests a stop of all active attempts of the step.
-    fn stop_step(&self, step: StepKey, out: &mut Vec<StateChange>) {
+    fn stop_step(&self, step: StepKey, changes: &mut Vec<StateChange>) {
         let Some(repeat) = self.repeats.get(&step.time) else { return };
         let Some(state) = repeat.steps.get(step.step as usize) else { return };
         for (index, task) in state.tasks.iter().enumerate() {
             for active in &task.active {
                 let key = AttemptKey { task: step.task(index as u32), attempt: active.attempt };
-                out.push(StateChange::StopRequested { key, instance: active.instance.clone() });
+                changes.push(StateChange::StopRequested { key, instance: active.instance.clone() });
             }
         }
     }
 
     /// Marks the task as done, and with it all members of its gang. Requests a stop of the other attempts
     /// of a single task.
-    fn complete_task(&mut self, key: AttemptKey, out: &mut Vec<StateChange>) -> JobProgress {
+    fn complete_task(&mut self, key: AttemptKey, changes: &mut Vec<StateChange>) -> JobProgress {
         let step_key = key.task.step_key();
         let Some(stage) = self.stage(step_key.step) else { return JobProgress::Open };
         let (count, is_gang) = (stage.count, stage.gang);
@@ -241,28 +245,28 @@
             }
             task.done = true;
             step.done += 1;
-            out.push(StateChange::TaskDone { task: step_key.task(index as u32) });
+            changes.push(StateChange::TaskDone { task: step_key.task(index as u32) });
             if is_gang {
                 continue;
             }
             for copy in &task.active {
                 let key = AttemptKey { task: key.task, attempt: copy.attempt };
-                out.push(StateChange::StopRequested { key, instance: copy.instance.clone() });
+                changes.push(StateChange::StopRequested { key, instance: copy.instance.clone() });
             }
         }
         if step.done < count {
             return JobProgress::Open;
         }
-        self.finish_step(step_key, out)
+        self.finish_step(step_key, changes)
     }
 
-    fn finish_step(&mut self, step: StepKey, out: &mut Vec<StateChange>) -> JobProgress {
-        out.push(StateChange::StepDone { step });
+    fn finish_step(&mut self, step: StepKey, changes: &mut Vec<StateChange>) -> JobProgress {
+        changes.push(StateChange::StepDone { step });
         let step_count = self.stages().len() as u32;
         let repeat = self.repeat_mut(step.time);
         repeat.steps_done += 1;
         if repeat.steps_done < step_count {
-            self.emit_ready_dependents(step, out);
+            self.emit_ready_dependents(step, changes);
             return JobProgress::Open;
         }
         self.done_repeats.insert(step.time, 1);
--- a/crates/scheduler/src/state/job.rs
+++ b/crates/scheduler/src/state/job.rs
@@ -271,12 +271,12 @@
     }
 
     /// Emits the steps of the same repeat that have become ready because this step is done.
-    pub(super) fn emit_ready_dependents(&self, key: StepKey, out: &mut Vec<StateChange>) {
+    pub(super) fn emit_ready_dependents(&self, key: StepKey, changes: &mut Vec<StateChange>) {
         let Some(dependents) = self.dependents.get(key.step as usize) else { return };
         for step in dependents {
             let dependent = StepKey { step: *step, ..key };
             if self.is_step_ready(dependent) {
-                out.push(StateChange::StepReady { step: dependent });
+                changes.push(StateChange::StepReady { step: dependent });
             }
         }
     }
--- a/crates/scheduler/src/state/mod.rs
+++ b/crates/scheduler/src/state/mod.rs
@@ -61,27 +61,27 @@
 
     /// Applies the commands in order and returns the changes they made.
     pub fn apply(&mut self, batch: &CommandBatch) -> Vec<StateChange> {
-        let mut out = Vec::new();
+        let mut changes = Vec::new();
         for command in &batch.commands {
-            self.apply_command(command, &mut out);
+            self.apply_command(command, &mut changes);
         }
-        out
+        changes
     }
 
-    fn apply_command(&mut self, command: &Command, out: &mut Vec<StateChange>) {
+    fn apply_command(&mut self, command: &Command, changes: &mut Vec<StateChange>) {
         match &command.kind {
-            OneOfkind::put_configuration(put) => out.push(self.configuration.put(put)),
-            OneOfkind::submit_job(submit) => self.submit_job(submit, out),
-            OneOfkind::cancel_job(cancel) => self.cancel_job(cancel, out),
-            OneOfkind::start_attempts(starts) => self.start_attempts(starts, out),
-            OneOfkind::record_ends(ends) => self.record_ends(ends, out),
-            OneOfkind::resolve_attempts(resolved) => self.resolve_attempts(resolved, out),
+            OneOfkind::put_configuration(put) => changes.push(self.configuration.put(put)),
+            OneOfkind::submit_job(submit) => self.submit_job(submit, changes),
+            OneOfkind::cancel_job(cancel) => self.cancel_job(cancel, changes),
+            OneOfkind::start_attempts(starts) => self.start_attempts(starts, changes),
+            OneOfkind::record_ends(ends) => self.record_ends(ends, changes),
+            OneOfkind::resolve_attempts(resolved) => self.resolve_attempts(resolved, changes),
             OneOfkind::forget_workers(forget) => {
                 for instance in &forget.instances {
                     self.workers.forget(instance);
                 }
             }
-            OneOfkind::advance_clock(advance) => self.advance_clock(advance.now_ms, out),
+            OneOfkind::advance_clock(advance) => self.advance_clock(advance.now_ms, changes),
             OneOfkind::None => {}
         }
     }
@@ -148,7 +148,7 @@
 
     /// Advances the replicated clock and removes jobs whose retention time has passed. A time before the
     /// current one has no effect on the clock. Jobs that still have attempts that may run are kept.
-    fn advance_clock(&mut self, now_ms: u64, out: &mut Vec<StateChange>) {
+    fn advance_clock(&mut self, now_ms: u64, changes: &mut Vec<StateChange>) {
         self.clock_ms = self.clock_ms.max(now_ms);
         let mut kept = Vec::new();
         while let Some((ended_at_ms, id)) = self.ended_jobs.first().copied() {
@@ -161,7 +161,7 @@
                 continue;
             }
             self.jobs.remove(&id);
-            out.push(StateChange::JobForgotten { job: id });
+            changes.push(StateChange::JobForgotten { job: id });
         }
         self.ended_jobs.extend(kept);
     }
--- a/crates/scheduler/src/state/starts.rs
+++ b/crates/scheduler/src/state/starts.rs
@@ -22,7 +22,7 @@
 impl State {
     /// Records intents to start. The members of a gang are adjacent in the command, and either all or none
     /// of them are started.
-    pub(super) fn start_attempts(&mut self, command: &StartAttempts, out: &mut Vec<StateChange>) {
+    pub(super) fn start_attempts(&mut self, command: &StartAttempts, changes: &mut Vec<StateChange>) {
         for incarnation in &command.incarnations {
             self.workers.record_incarnation(incarnation);
         }
@@ -32,7 +32,7 @@
             let (group, tail) = rest.split_at(length);
             rest = tail;
             let intents: Vec<Intent> = group.iter().filter_map(|start| self.intent(start)).collect();
-            self.start_group(&intents, intents.len() == group.len(), out);
+            self.start_group(&intents, intents.len() == group.len(), changes);
         }
     }
 
@@ -60,21 +60,22 @@
         Some(Intent { key: AttemptKey { task, attempt: start.attempt }, instance })
     }
 
-    fn start_group(&mut self, intents: &[Intent], complete: bool, out: &mut Vec<StateChange>) {
+    fn start_group(&mut self, intents: &[Intent], complete: bool, changes: &mut Vec<StateChange>) {
         let Some(first) = intents.first() else { return };
         let known = intents.iter().all(|intent| self.workers.is_known(&intent.instance));
         let work = self.jobs.get(&first.key.task.job).and_then(|job| job.open_work());
         let valid = complete && known && work.is_some_and(|work| may_start(work, intents));
         if !valid {
             for intent in intents {
-                out.push(StateChange::StartDropped { key: intent.key, instance: intent.instance.clone() });
+                changes
+                    .push(StateChange::StartDropped { key: intent.key, instance: intent.instance.clone() });
             }
             return;
         }
         self.record_started(first.key.task.job);
         for intent in intents {
             self.record_active_attempt(intent);
-            out.push(StateChange::AttemptStarted { key: intent.key, instance: intent.instance.clone() });
+            changes.push(StateChange::AttemptStarted { key: intent.key, instance: intent.instance.clone() });
         }
     }
 
--- a/crates/scheduler/src/state/submissions.rs
+++ b/crates/scheduler/src/state/submissions.rs
@@ -12,10 +12,10 @@
 
 impl State {
     /// Accepts a job unless its identity is already in use or its steps cannot be run.
-    pub(super) fn submit_job(&mut self, submit: &SubmitJob, out: &mut Vec<StateChange>) {
+    pub(super) fn submit_job(&mut self, submit: &SubmitJob, changes: &mut Vec<StateChange>) {
         let id = submit.id;
         if let Some(job) = self.jobs.get(&id) {
-            out.push(if *job.prefix_key == *submit.prefix_key {
+            changes.push(if *job.prefix_key == *submit.prefix_key {
                 StateChange::JobAlreadyAccepted { job: id }
             } else {
                 StateChange::JobRejected { job: id, prefix_key: submit.prefix_key.clone() }
@@ -23,14 +23,14 @@
             return;
         }
         let Some(work) = Work::new(submit.clone()) else {
-            out.push(StateChange::JobRejected { job: id, prefix_key: submit.prefix_key.clone() });
+            changes.push(StateChange::JobRejected { job: id, prefix_key: submit.prefix_key.clone() });
             return;
         };
-        out.push(StateChange::JobAccepted { job: id });
+        changes.push(StateChange::JobAccepted { job: id });
         if !work.is_scheduled() {
             for (step, stage) in work.stages().iter().enumerate() {
                 if stage.depends_on.is_empty() {
-                    out.push(StateChange::StepReady {
+                    changes.push(StateChange::StepReady {
                         step: StepKey { job: id, time: 0, step: step as u32 },
                     });
                 }
@@ -42,31 +42,31 @@
     }
 
     /// Cancels a job unless it has ended.
-    pub(super) fn cancel_job(&mut self, cancel: &CancelJob, out: &mut Vec<StateChange>) {
+    pub(super) fn cancel_job(&mut self, cancel: &CancelJob, changes: &mut Vec<StateChange>) {
         let prefix_key = cancel.prefix_key.clone();
         let job = self.jobs.get(&cancel.id).filter(|job| *job.prefix_key == *cancel.prefix_key);
         let Some(job) = job else {
-            out.push(StateChange::NoSuchJob { job: cancel.id, prefix_key });
+            changes.push(StateChange::NoSuchJob { job: cancel.id, prefix_key });
             return;
         };
         let is_open = job.phase == JobPhase::OPEN;
-        out.push(StateChange::CancelDone { job: cancel.id, prefix_key });
+        changes.push(StateChange::CancelDone { job: cancel.id, prefix_key });
         if is_open {
-            self.end_job(cancel.id, JobPhase::CANCELLED, out);
+            self.end_job(cancel.id, JobPhase::CANCELLED, changes);
         }
     }
 
     /// Ends an open job and requests a stop of its attempts that may be running.
-    pub(super) fn end_job(&mut self, id: u64, phase: JobPhase, out: &mut Vec<StateChange>) {
+    pub(super) fn end_job(&mut self, id: u64, phase: JobPhase, changes: &mut Vec<StateChange>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let was_pending = job.is_pending();
         job.phase = phase;
         job.ended_at_ms = self.clock_ms;
-        out.push(StateChange::JobEnded { job: id, phase });
+        changes.push(StateChange::JobEnded { job: id, phase });
         if let Some(work) = job.work() {
             for (task, active) in work.active_attempts() {
                 let key = AttemptKey { task, attempt: active.attempt };
-                out.push(StateChange::StopRequested { key, instance: active.instance.clone() });
+                changes.push(StateChange::StopRequested { key, instance: active.instance.clone() });
             }
         }
         let prefix_key = job.prefix_key.clone();
--- a/crates/scheduler/src/worker/health.rs
+++ b/crates/scheduler/src/worker/health.rs
@@ -11,10 +11,10 @@
     /// Reports changes since the last poll, and rejects queued starts if the worker is unreachable.
     pub(super) fn check_health(&mut self, now: u64) {
         let judged_until = self.response_clock.judged_until(now);
-        if self.reachability.becomes_healthy(now) {
+        if self.reachability.mark_if_healthy(now) {
             self.outputs.push(SessionOutput::HealthChanged { unhealthy: false });
         }
-        if self.reachability.becomes_unreachable(&self.calls, judged_until) {
+        if self.reachability.mark_if_unreachable(&self.calls, judged_until) {
             self.outputs.push(SessionOutput::ReachabilityChanged { reachable: false });
         }
         let answer_timeout = self.start_answer_timeout();
@@ -54,15 +54,15 @@
     }
 
     /// Records that the worker accepted a start.
-    pub(super) fn start_accepted(&mut self) {
-        if self.reachability.start_accepted() {
+    pub(super) fn record_start_accepted(&mut self) {
+        if self.reachability.record_start_accepted() {
             self.outputs.push(SessionOutput::HealthChanged { unhealthy: false });
         }
     }
 
     /// Records that the worker refused a start because it is unhealthy.
-    pub(super) fn refused_as_unhealthy(&mut self, now: u64) {
-        if self.reachability.refused_as_unhealthy(now) {
+    pub(super) fn record_unhealthy_refusal(&mut self, now: u64) {
+        if self.reachability.record_unhealthy_refusal(now) {
             self.outputs.push(SessionOutput::HealthChanged { unhealthy: true });
         }
     }
--- a/crates/scheduler/src/worker/orders.rs
+++ b/crates/scheduler/src/worker/orders.rs
@@ -139,7 +139,7 @@
             CallOutcome::Answer { .. } => {
                 attempt.phase = AttemptPhase::Running { conclusive_from };
                 self.report_started(key);
-                self.start_accepted();
+                self.record_start_accepted();
             }
             CallOutcome::Refused { reason: Refusal::NoCapacity, .. } => {
                 self.resolve(key, Resolution::REJECTED_NO_CAPACITY);
@@ -149,7 +149,7 @@
             }
             CallOutcome::Refused { reason: Refusal::Unhealthy, .. } => {
                 self.resolve(key, Resolution::REJECTED);
-                self.refused_as_unhealthy(now);
+                self.record_unhealthy_refusal(now);
             }
             CallOutcome::NotSent => {
                 let (order, failed_sends) = (order.clone(), *failed_sends);
--- a/crates/scheduler/src/worker/reachability.rs
+++ b/crates/scheduler/src/worker/reachability.rs
@@ -93,7 +93,7 @@
 
     /// Marks the worker as unreachable if an answer is overdue or too many calls were unanswered; true if
     /// it was reachable before.
-    pub(super) fn becomes_unreachable(&mut self, calls: &InFlightCalls, judged_until: ResponseTime) -> bool {
+    pub(super) fn mark_if_unreachable(&mut self, calls: &InFlightCalls, judged_until: ResponseTime) -> bool {
         if !self.reachable {
             return false;
         }
@@ -118,20 +118,20 @@
 
     /// Records that a start was refused because the worker is unhealthy; true if the worker was healthy
     /// before.
-    pub(super) fn refused_as_unhealthy(&mut self, now: u64) -> bool {
+    pub(super) fn record_unhealthy_refusal(&mut self, now: u64) -> bool {
         self.unhealthy_until.replace(now.saturating_add(UNHEALTHY_DURATION_NS)).is_none()
     }
 
     /// Records that a start was accepted; true if the worker was unhealthy before.
-    pub(super) fn start_accepted(&mut self) -> bool {
+    pub(super) fn record_start_accepted(&mut self) -> bool {
         self.unhealthy_until.take().is_some()
     }
 
     /// Marks the worker as healthy if the time for which it counts as unhealthy has passed; true if this
     /// happened now.
-    pub(super) fn becomes_healthy(&mut self, now: u64) -> bool {
+    pub(super) fn mark_if_healthy(&mut self, now: u64) -> bool {
         let over = self.unhealthy_until.is_some_and(|until| until <= now);
-        over && self.start_accepted()
+        over && self.record_start_accepted()
     }
 
     /// When the worker counts as healthy again; `None` if it already is.
