--- a/crates/gateway-simulation/src/world/gateways.rs
+++ b/crates/gateway-simulation/src/world/gateways.rs
@@ -51,7 +51,7 @@
     fn carry_out(&mut self, gateway: usize, action: Action) -> Result<(), Box<Breach>> {
         match action {
             Action::Send { id, server, attempt_deadline } => {
-                self.send(gateway, id, &server, attempt_deadline)?
+                self.send(gateway, id, &server, attempt_deadline)?;
             }
             Action::Reject { id, retry_after } => self.final_answer(id, true, retry_after)?,
             Action::Fail { id } => self.final_answer(id, false, 0)?,
--- a/crates/gateway/src/driver/event_loop.rs
+++ b/crates/gateway/src/driver/event_loop.rs
@@ -100,7 +100,7 @@
     fn carry_out(self: &Rc<Self>, state: &mut DriverState, action: Action, now: Instant) {
         match action {
             Action::Send { id, server, attempt_deadline } => {
-                self.send(state, id, server, attempt_deadline, now)
+                self.send(state, id, server, attempt_deadline, now);
             }
             Action::Reject { id, retry_after } => self.finish(state, id, true, retry_after),
             Action::Fail { id } => self.finish(state, id, false, 0),
