--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -3,7 +3,7 @@
 use crate::error::ControlError;
 use configuration::ProcessSettings;
 use consensus::{Founding, Member, Membership, Node, NodeId, Restored};
-use log_records::{restored, snapshot_to_stored, write_batch};
+use log_records::{restored_from_stored, snapshot_to_stored, write_batch};
 use std::collections::BTreeSet;
 use std::fs::{self, File};
 use std::io;
@@ -74,7 +74,7 @@
     finish_clearing(path).map_err(ControlError::DataDirectory)?;
     let (mut store, mut recovered) = open_store(path)?;
     if let Some(identity) = recovered.identity {
-        let restored = restored(recovered).map_err(ControlError::Stored)?;
+        let restored = restored_from_stored(recovered).map_err(ControlError::Stored)?;
         return Ok(OpenedDisk { store, id: identity.node_id, restored });
     }
     if recovered != Recovered::default() {
--- a/crates/control/tests/golden_folder.rs
+++ b/crates/control/tests/golden_folder.rs
@@ -7,7 +7,7 @@
 //! change of the stored format, and then keep the old directory beside the new one.
 
 use consensus::Payload;
-use log_records::restored;
+use log_records::restored_from_stored;
 use messages::job::mod_Command::OneOfkind;
 use messages::job::{
     AdvanceClock, AttemptResolved, AttemptStart, CancelJob, Command, CommandBatch, EndKind, ForgetWorkers,
@@ -263,7 +263,7 @@
 
 /// Applies all recovered entries and returns the resulting state.
 fn replay(recovered: Recovered, out: &mut String) -> State {
-    let restored = restored(recovered).expect("a log of this system");
+    let restored = restored_from_stored(recovered).expect("a log of this system");
     let mut state = State::new();
     if let Some(snapshot) = &restored.snapshot {
         let saved: SchedulerSnapshot = decode(&snapshot.data).expect("a state");
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -127,7 +127,7 @@
             entries: entries.iter().cloned().map(log_records::entry_to_stored).collect(),
         };
         let expected = Restored { hard_state, snapshot: Some(snapshot), entries };
-        log_records::restored(recovered) == Ok(expected)
+        log_records::restored_from_stored(recovered) == Ok(expected)
     }
 
     fn arbitrary_bytes_do_not_panic(bytes: Vec<u8>) -> bool {
--- a/crates/log-records/src/lib.rs
+++ b/crates/log-records/src/lib.rs
@@ -12,8 +12,9 @@
 mod records;
 
 pub use log_write::{LogChange, LogWrite};
-pub use merge::{merge, MAX_MERGED_ENTRIES};
+pub use merge::{merge_batch, MAX_MERGED_ENTRIES};
 pub use records::{
     entry_to_stored, hard_state_to_stored, member_from_wire, member_to_wire, membership_from_wire,
-    membership_to_wire, payload_from_bytes, payload_to_bytes, restored, snapshot_to_stored, write_batch,
+    membership_to_wire, payload_from_bytes, payload_to_bytes, restored_from_stored, snapshot_to_stored,
+    write_batch,
 };
--- a/crates/log-records/src/log_write.rs
+++ b/crates/log-records/src/log_write.rs
@@ -1,6 +1,6 @@
 //! Writes that wait for the disk, and which of them become one write with one sync.
 
-use crate::merge::{merge, MAX_MERGED_ENTRIES};
+use crate::merge::{merge_batch, MAX_MERGED_ENTRIES};
 use consensus::Snapshot;
 use storage::{StoredSnapshot, WriteBatch};
 
@@ -36,7 +36,7 @@
             LogWrite::Change(LogChange { ticket, snapshot: None, batch })
                 if self.batch.entries.len() < MAX_MERGED_ENTRIES =>
             {
-                merge(&mut self.batch, batch);
+                merge_batch(&mut self.batch, batch);
                 self.ticket = ticket;
                 Ok(())
             }
--- a/crates/log-records/src/merge.rs
+++ b/crates/log-records/src/merge.rs
@@ -6,7 +6,7 @@
 pub const MAX_MERGED_ENTRIES: usize = 4_096;
 
 /// Merges a later write into an earlier one, so that writing the result leaves the log that writing both would.
-pub fn merge(batch: &mut WriteBatch, later: WriteBatch) {
+pub fn merge_batch(batch: &mut WriteBatch, later: WriteBatch) {
     batch.hard_state = later.hard_state.or(batch.hard_state);
     if let Some(from) = later.truncate_from {
         let first = batch.entries.first().map(|entry| entry.index);
--- a/crates/log-records/src/records.rs
+++ b/crates/log-records/src/records.rs
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// A record is not a complete message.
-pub fn restored(recovered: Recovered) -> Result<Restored, FrameError> {
+pub fn restored_from_stored(recovered: Recovered) -> Result<Restored, FrameError> {
     let entries = recovered.entries.into_iter().map(entry_from_stored).collect::<Result<_, _>>()?;
     Ok(Restored {
         hard_state: HardState { term: recovered.hard_state.term, vote: recovered.hard_state.vote },
--- a/crates/log-records/tests/merge.rs
+++ b/crates/log-records/tests/merge.rs
@@ -1,6 +1,6 @@
 //! Changes of the log that wait are merged into one that leaves the same log.
 
-use log_records::merge;
+use log_records::merge_batch;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use storage::{HardState, StoredEntry, WriteBatch};
 
@@ -61,7 +61,7 @@
         }
         let mut merged = WriteBatch::default();
         for batch in batches {
-            merge(&mut merged, batch);
+            merge_batch(&mut merged, batch);
         }
         let (mut log, mut state) = (vec![1; start], HardState::default());
         apply(&mut log, &mut state, &merged);
--- a/crates/simulation/src/core_process/identity.rs
+++ b/crates/simulation/src/core_process/identity.rs
@@ -2,7 +2,7 @@
 
 use consensus::{Member, Membership, Node, NodeId, Restored};
 use fastrand::Rng;
-use log_records::{restored, write_batch};
+use log_records::{restored_from_stored, write_batch};
 use messages::FrameError;
 use storage::model::ModelDirectory;
 use storage::{Identity, Recovered, StorageError, Store, StoreOptions};
@@ -67,7 +67,7 @@
     let options = StoreOptions { segment_bytes: SEGMENT_BYTES };
     let (mut store, mut recovered) = Store::open(directory.clone(), options)?;
     if let Some(identity) = recovered.identity {
-        let restored = restored(recovered).map_err(unreadable)?;
+        let restored = restored_from_stored(recovered).map_err(unreadable)?;
         return Ok(Opened { store, id: identity.node_id, restored });
     }
     if recovered != Recovered::default() {
--- a/crates/simulation/src/world/fault_injection/cores.rs
+++ b/crates/simulation/src/world/fault_injection/cores.rs
@@ -97,7 +97,7 @@
             DiskStall(_) => self.cores[machine].disk_stalled_until = until,
             DiskFull(_) => {
                 let directory = &self.cores[machine].directory;
-                directory.set_capacity(Some(directory.used()));
+                directory.set_capacity(Some(directory.used_bytes()));
             }
             _ => {}
         }
--- a/crates/storage/examples/append_and_recover.rs
+++ b/crates/storage/examples/append_and_recover.rs
@@ -26,6 +26,10 @@
 
     let (store, recovered) = Store::open(FileDirectory::new(&directory)?, StoreOptions::default())?;
     println!("snapshot up to {:?}", recovered.snapshot.map(|found| found.index));
-    println!("entries after it: {}, bytes on the disk: {}", recovered.entries.len(), store.usage());
+    println!(
+        "entries after it: {}, bytes on the disk: {}",
+        recovered.entries.len(),
+        store.disk_usage_bytes()
+    );
     Ok(())
 }
--- a/crates/storage/src/model.rs
+++ b/crates/storage/src/model.rs
@@ -66,8 +66,8 @@
     }
 
     /// Bytes of all files together.
-    pub fn used(&self) -> u64 {
-        self.lock().used()
+    pub fn used_bytes(&self) -> u64 {
+        self.lock().used_bytes()
     }
 
     /// Replaces the content of a file, durably: damage, or a prepared disk.
--- a/crates/storage/src/model/state.rs
+++ b/crates/storage/src/model/state.rs
@@ -88,7 +88,7 @@
         self.capacity = capacity;
     }
 
-    pub(super) fn used(&self) -> u64 {
+    pub(super) fn used_bytes(&self) -> u64 {
         let named = self.names.values().filter_map(|number| self.inodes.get(number));
         named.map(|inode| inode.content().len() as u64).sum()
     }
@@ -226,7 +226,7 @@
 
     pub(super) fn append(&mut self, handle: Handle, bytes: &[u8]) -> io::Result<()> {
         let progress = self.begin()?;
-        let free = self.capacity.map_or(u64::MAX, |capacity| capacity.saturating_sub(self.used()));
+        let free = self.capacity.map_or(u64::MAX, |capacity| capacity.saturating_sub(self.used_bytes()));
         let fitting = bytes.len().min(usize::try_from(free).unwrap_or(usize::MAX));
         let written = match progress {
             Progress::Completes => fitting,
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -125,7 +125,7 @@
     }
 
     /// Bytes of the store on the disk.
-    pub fn usage(&self) -> u64 {
+    pub fn disk_usage_bytes(&self) -> u64 {
         let obsolete: u64 = self.obsolete.iter().map(|file| file.bytes).sum();
         let snapshot = self.snapshot.map_or(0, |snapshot| snapshot.bytes);
         self.segments.bytes() + snapshot + self.identity_bytes + obsolete
--- a/crates/storage/tests/contract.rs
+++ b/crates/storage/tests/contract.rs
@@ -110,10 +110,10 @@
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&append(1..=3, 1)).expect("append");
-    let before = store.usage();
+    let before = store.disk_usage_bytes();
     store.write(&WriteBatch { truncate_from: Some(4), ..WriteBatch::default() }).expect("truncate");
     store.write(&WriteBatch::default()).expect("nothing");
-    assert_eq!(store.usage(), before);
+    assert_eq!(store.disk_usage_bytes(), before);
     assert_eq!(store.last_index(), 3);
 }
 
@@ -159,9 +159,9 @@
     let directory = fixture.directory();
     let size = |name: &String| directory.read(name).expect("read").len() as u64;
     let total: u64 = names(&directory).iter().map(size).sum();
-    assert_eq!(store.usage(), total);
+    assert_eq!(store.disk_usage_bytes(), total);
     drop(store);
-    assert_eq!(open(fixture.directory()).0.usage(), total);
+    assert_eq!(open(fixture.directory()).0.disk_usage_bytes(), total);
 }
 
 fn a_snapshot_replaces_the_log_before_it<F: Fixture>() {
--- a/crates/storage/tests/faults.rs
+++ b/crates/storage/tests/faults.rs
@@ -14,12 +14,12 @@
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=2, 1)).expect("append");
-    let used = disk.used();
+    let used = disk.used_bytes();
     disk.set_capacity(Some(used + 20));
     let error = store.write(&append(3..=5, 1)).expect_err("full");
     assert!(error.is_full(), "{error}");
     assert!(error.to_string().contains("free space"), "{error}");
-    assert_eq!(disk.used(), used);
+    assert_eq!(disk.used_bytes(), used);
     assert_eq!(store.last_index(), 2);
     disk.set_capacity(None);
     store.write(&append(3..=3, 2)).expect("append");
@@ -32,7 +32,7 @@
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=10, 1)).expect("append");
-    disk.set_capacity(Some(disk.used() + 10));
+    disk.set_capacity(Some(disk.used_bytes() + 10));
     assert!(store.write(&append(11..=11, 1)).expect_err("full").is_full());
     assert_eq!(segments(&disk).len(), 1);
     disk.set_capacity(None);
@@ -47,10 +47,10 @@
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=2, 1)).expect("append");
-    let used = disk.used();
+    let used = disk.used_bytes();
     disk.set_capacity(Some(used + 50));
     assert!(store.save_snapshot(&snapshot(2, 1)).expect_err("full").is_full());
-    assert_eq!(disk.used(), used);
+    assert_eq!(disk.used_bytes(), used);
     disk.set_capacity(None);
     store.save_snapshot(&snapshot(2, 1)).expect("snapshot");
     disk.lose_power();
--- a/crates/storage/tests/support/script.rs
+++ b/crates/storage/tests/support/script.rs
@@ -140,7 +140,7 @@
             Step::LosePower => self.lose_power(),
             Step::FailSyncs { good, failing } => self.disk.fail_syncs(good.into(), failing.into()),
             Step::Capacity { bytes } => {
-                let capacity = bytes.map(|bytes| self.disk.used() + u64::from(bytes % 1024));
+                let capacity = bytes.map(|bytes| self.disk.used_bytes() + u64::from(bytes % 1024));
                 self.disk.set_capacity(capacity);
             }
             Step::Halt { operations } => self.disk.halt_after(operations.into()),
@@ -175,8 +175,8 @@
             }
         };
         self.compare(&recovered)?;
-        if store.usage() != self.disk.used() {
-            return Err(format!("usage {} of {}", store.usage(), self.disk.used()));
+        if store.disk_usage_bytes() != self.disk.used_bytes() {
+            return Err(format!("usage {} of {}", store.disk_usage_bytes(), self.disk.used_bytes()));
         }
         self.possible_identities = vec![recovered.identity];
         self.possible.clear();
