--- a/crates/storage/examples/append_and_recover.rs
+++ b/crates/storage/examples/append_and_recover.rs
@@ -1,4 +1,4 @@
-//! Writes a few entries and a snapshot to a folder, then opens it again as after a restart.
+//! Writes entries and a snapshot to a directory, then opens the directory again as after a restart.
 
 use std::error::Error;
 use std::path::PathBuf;
--- a/crates/storage/src/directory.rs
+++ b/crates/storage/src/directory.rs
@@ -1,82 +1,82 @@
-//! The directory of files that a store is built on.
+//! Abstraction of the directory in which a store keeps its files.
 
 use std::io;
 
 /// A flat directory of files.
 ///
-/// Data is durable once [`Directory::sync`] of its file returned; names are durable once
-/// [`Directory::sync_directory`] returned.
+/// File data is durable once [`Directory::sync`] has returned for the file. Created, renamed and removed
+/// names are durable once [`Directory::sync_directory`] has returned.
 pub trait Directory {
-    /// An open file. It stays valid when its name changes.
+    /// An open file. The handle stays valid when the file is renamed.
     type File;
 
     /// Creates an empty file.
     ///
     /// # Errors
     ///
-    /// `AlreadyExists` if there is a file of this name, else what the disk reports.
+    /// `AlreadyExists` if a file with this name exists, otherwise the error that the disk reports.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Opens an existing file for [`append`](Directory::append).
     ///
     /// # Errors
     ///
-    /// `NotFound` if there is no such file, else what the disk reports.
+    /// `NotFound` if the file does not exist, otherwise the error that the disk reports.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// The complete content of a file.
+    /// Reads the complete content of a file.
     ///
     /// # Errors
     ///
-    /// `NotFound` if there is no such file, else what the disk reports.
+    /// `NotFound` if the file does not exist, otherwise the error that the disk reports.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Writes all bytes at the end of the file.
+    /// Appends `bytes` to the file.
     ///
     /// # Errors
     ///
-    /// What the disk reports. Any part of the bytes may have been written then.
+    /// The error that the disk reports. After an error, any part of the bytes may have been written.
     fn append(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes content and length of the file durable.
+    /// Makes the content and the length of the file durable.
     ///
     /// # Errors
     ///
-    /// What the disk reports. It is then unknown what is durable.
+    /// The error that the disk reports. After an error, it is unknown which data is durable.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
 
     /// Truncates the file to `length` bytes.
     ///
     /// # Errors
     ///
-    /// What the disk reports.
+    /// The error that the disk reports.
     fn truncate(&self, file: &mut Self::File, length: u64) -> io::Result<()>;
 
-    /// Renames the file `from` to `to`, in place of a file of that name.
+    /// Renames the file `from` to `to`, replacing an existing file `to`.
     ///
     /// # Errors
     ///
-    /// `NotFound` if there is no such file, else what the disk reports.
+    /// `NotFound` if the file does not exist, otherwise the error that the disk reports.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// `NotFound` if there is no such file, else what the disk reports.
+    /// `NotFound` if the file does not exist, otherwise the error that the disk reports.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// The names of all files, in no particular order.
+    /// Lists the names of all files, in no particular order.
     ///
     /// # Errors
     ///
-    /// What the disk reports.
+    /// The error that the disk reports.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Makes all names durable as they are.
+    /// Makes the current names of all files durable.
     ///
     /// # Errors
     ///
-    /// What the disk reports. It is then unknown which names are durable.
+    /// The error that the disk reports. After an error, it is unknown which names are durable.
     fn sync_directory(&self) -> io::Result<()>;
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -5,37 +5,43 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why an operation of the store failed. Unless it says otherwise, the store stays usable.
+    /// Error of a store operation. The store stays usable unless a variant says otherwise.
     ///
-    /// `file` is the name of the file, `action` what was attempted on it, `offset` counts bytes from its start.
+    /// `file` is the name of the affected file, `action` the attempted operation, and `offset` the position
+    /// in the file in bytes.
     #[derive(Debug)]
-    #[allow(missing_docs)] // The macro takes no documentation of fields.
+    #[allow(missing_docs)] // The macro does not accept doc comments on fields.
     pub enum StorageError {
-        /// The disk is full. Nothing of the operation has an effect; a later one may succeed.
+        /// The disk is full. The operation has no effect; a later attempt may succeed.
         Full { action: &'static str, file: String } {
-            display("disk full while trying to {} {}: free space or raise the disk limit, then try again", action, file)
+            display("disk full while trying to {} {}: free space or raise the disk limit, then try again",
+                action, file)
         }
-        /// The disk failed otherwise. Nothing of the operation has an effect while the store is open. After a restart it
-        /// may be found nevertheless, as after a loss of power in the middle of it.
+        /// The disk reported another error. The operation has no effect while the store is open. After a
+        /// restart, its changes may be found on the disk completely or in part, as after a power loss during
+        /// the operation.
         Io { action: &'static str, file: String, error: io::Error } {
-            display("cannot {} {}: {}; check the disk and its permissions, then try again", action, file, error)
+            display("cannot {} {}: {}; check the disk and its permissions, then try again",
+                action, file, error)
             source(error)
         }
-        /// Content that had been durable is damaged.
+        /// Content that was durable is damaged.
         Corrupt { file: String, offset: u64, reason: &'static str } {
-            display("{} is damaged at byte {} ({}): remove this machine's data so that it joins as a new member",
+            display("{} is damaged at byte {} ({}): \
+                remove this machine's data so that it joins as a new member",
                 file, offset, reason)
         }
-        /// A file that had been durable is missing.
+        /// A file that was durable is missing.
         Missing { file: String } {
             display("{} is missing: remove this machine's data so that it joins as a new member", file)
         }
-        /// The batch does not continue the log: the next entry must have the index `expected`.
+        /// The batch does not continue the log. The next entry must have the index `expected`.
         OutOfOrder { expected: u64, found: u64 } {
-            display("entry {} does not follow the log, which expects {}: truncate the log first, or send the entries between",
+            display("entry {} does not continue the log, which expects entry {}: \
+                truncate the log first, or send the missing entries",
                 found, expected)
         }
-        /// The batch is larger than a segment can address.
+        /// The batch exceeds the maximum batch size.
         TooLarge { bytes: u64, limit: u64 } {
             display("a batch of {} bytes is over the limit of {}: split it", bytes, limit)
         }
@@ -43,7 +49,7 @@
 }
 
 impl StorageError {
-    /// Whether the disk was full.
+    /// Returns whether the operation failed because the disk is full.
     pub fn is_full(&self) -> bool {
         matches!(self, StorageError::Full { .. })
     }
--- a/crates/storage/src/file_directory.rs
+++ b/crates/storage/src/file_directory.rs
@@ -1,4 +1,4 @@
-//! A directory of the operating system.
+//! Implementation of [`Directory`] for a directory of the operating system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -10,16 +10,16 @@
 #[derive(Debug)]
 pub struct FileDirectory {
     path: PathBuf,
-    /// Open for syncs of the names.
+    /// Handle of the directory itself, used to sync file names.
     handle: File,
 }
 
 impl FileDirectory {
-    /// Opens the directory, after it is created if it is missing.
+    /// Opens the directory, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// What the operating system reports.
+    /// The error that the operating system reports.
     pub fn new(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Self::existing(path)
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// What the operating system reports.
+    /// The error that the operating system reports.
     pub fn existing(path: &Path) -> io::Result<Self> {
         let handle = File::open(path)?;
         Ok(FileDirectory { path: path.to_owned(), handle })
@@ -74,7 +74,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            // A name that is not UTF-8 is none of this program.
+            // Names that are not UTF-8 cannot belong to the store.
             if let Ok(name) = entry?.file_name().into_string() {
                 names.push(name);
             }
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! Encoding of the identity file: magic, crc32 of the rest, node identity.
+//! Encoding of the identity file: magic, CRC-32 of the rest, node identifier.
 
 use crate::codec::{take, take_u32, take_u64};
 use crate::types::Identity;
@@ -14,7 +14,7 @@
     bytes
 }
 
-/// Decodes the content of the identity file; `None` if it is damaged.
+/// Decodes the content of the identity file. Returns `None` if the content is damaged.
 pub(crate) fn decode(mut bytes: &[u8]) -> Option<Identity> {
     if take(&mut bytes, MAGIC.len())? != MAGIC {
         return None;
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -1,4 +1,5 @@
-//! Read-only inspection of a directory: every file with its checksums verified, and what a start would find.
+//! Read-only inspection of a directory: verifies the checksums of every file and reports the state that a
+//! start would recover.
 
 use crate::directory::Directory;
 use crate::error::StorageError;
@@ -10,50 +11,51 @@
 use crate::snapshot;
 use crate::types::{HardState, Identity, StoredEntry, StoredSnapshot};
 
-/// What a file holds.
+/// Content of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FileContent {
     /// The identity of the node.
     Identity(Identity),
     /// A snapshot.
     Snapshot {
-        /// The last entry that it covers.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Term of that entry.
+        /// Term of the entry at `index`.
         term: u64,
-        /// Segments with a lower number are not needed with it.
+        /// Number of the first segment that is needed together with the snapshot.
         first_segment: u64,
-        /// Size of the state in it.
+        /// Size of the state in bytes.
         data_bytes: usize,
     },
     /// A segment of the log.
     Segment {
-        /// Complete records.
+        /// Number of complete records.
         records: usize,
-        /// First and last index of the entries in it, in the order in which they were written.
+        /// Indexes of the first and the last entry in the order of writing; `None` if there are no entries.
         entries: Option<(u64, u64)>,
-        /// How its readable part ends.
+        /// How the readable part of the segment ends.
         end: SegmentHealth,
     },
-    /// It was being written under this name, and is removed at the next start.
+    /// An incomplete file that was being written. The next start removes it.
     Temporary,
-    /// It is not of this store.
+    /// A file that does not belong to the store.
     Foreign,
-    /// It cannot be read, or its checksum is wrong.
+    /// The file cannot be read or its checksum is wrong.
     Damaged(&'static str),
 }
 
 /// How the readable part of a segment ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SegmentHealth {
-    /// At the end of the file.
+    /// The file ends after the last record.
     Complete,
-    /// At this byte, in a write that was never known to be durable: usual in the last segment after a loss of power.
+    /// The bytes from `offset` on are an incomplete write that was never reported durable. This is normal in
+    /// the last segment after a power loss.
     Torn {
         /// Where the readable part ends.
         offset: u64,
     },
-    /// At this byte, though what follows had been durable.
+    /// The bytes from `offset` on were durable and are damaged.
     Damaged {
         /// Where the readable part ends.
         offset: u64,
@@ -63,46 +65,48 @@
 /// A file of the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InspectedFile {
-    /// Its name.
+    /// Name of the file.
     pub name: String,
-    /// Its size.
+    /// Size of the file.
     pub bytes: u64,
-    /// What it holds.
+    /// Content of the file.
     pub content: FileContent,
 }
 
-/// What a start would find.
+/// State that a start would recover.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InspectedLog {
-    /// The owner of the disk; none before the first start is complete.
+    /// The node that owns the disk; `None` if the first start did not complete.
     pub identity: Option<Identity>,
-    /// The last term and vote.
+    /// The last durable term and vote.
     pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<StoredSnapshot>,
     /// Entries after the snapshot.
     pub entries: Vec<StoredEntry>,
-    /// Whether a torn tail of the last segment would be truncated.
+    /// Whether a start would truncate a torn tail of the last segment.
     pub truncates_torn_tail: bool,
-    /// Files that would be removed, since they are not needed.
+    /// Files that a start would remove because they are not needed.
     pub leftovers: Vec<String>,
 }
 
-/// All that was found in a directory.
+/// Result of the inspection of a directory.
 #[derive(Debug)]
 pub struct Inspection {
-    /// Every file, by name.
+    /// All files, sorted by name.
     pub files: Vec<InspectedFile>,
-    /// What a start would find, or why it would fail.
+    /// State that a start would recover, or the error with which the start would fail.
     pub log: Result<InspectedLog, StorageError>,
 }
 
-/// Reads all files of a directory and changes nothing. A process that runs on it may change it meanwhile: then the
-/// result may be inconsistent, and the caller inspects again.
+/// Reads all files of a directory without changing any.
+///
+/// If a running process changes the directory during the inspection, the result may be inconsistent and the
+/// inspection must be repeated.
 ///
 /// # Errors
 ///
-/// Only if the directory cannot be listed; what is wrong with its files is in the result.
+/// Fails only if the directory cannot be listed. Problems of single files are part of the result.
 pub fn inspect<D: Directory>(directory: &D) -> Result<Inspection, StorageError> {
     let mut names =
         directory.list().map_err(|error| StorageError::from_io("list", "the data folder", error))?;
@@ -126,7 +130,7 @@
 fn inspect_file<D: Directory>(directory: &D, name: String) -> InspectedFile {
     let kind = names::classify(&name);
     let Ok(bytes) = directory.read(&name) else {
-        // A directory within the directory, or a file without permission.
+        // A subdirectory, or a file without read permission.
         let content =
             if kind == FileKind::Foreign { FileContent::Foreign } else { FileContent::Damaged("unreadable") };
         return InspectedFile { name, bytes: 0, content };
@@ -153,7 +157,7 @@
             first_segment: found.first_segment,
             data_bytes: found.snapshot.data.len(),
         },
-        Some(_) => FileContent::Damaged("its name is of another index"),
+        Some(_) => FileContent::Damaged("file name does not match the index"),
         None => FileContent::Damaged("wrong checksum"),
     }
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,13 +1,17 @@
-//! Durable log of a replicated state machine: entries and hard state in segments, snapshots beside them, and the
+//! Durable log of a replicated state machine.
+//!
+//! The store keeps log entries and the hard state in segment files, snapshots in files beside them, and the
 //! identity of the node that owns the disk.
 //!
-//! [`Store::open`] recovers what is on the disk, [`Store::write`] appends a batch and returns once it is synced, and
-//! [`Store::save_snapshot`] replaces the log before an index. The disk is reached through the [`Directory`] trait:
-//! [`FileDirectory`] is one of the operating system, [`model::ModelDirectory`] one in memory that can lose power.
+//! [`Store::open`] recovers the state on the disk. [`Store::write`] appends a batch and returns once the
+//! batch is synced. [`Store::save_snapshot`] replaces the log up to an index. The store accesses the disk
+//! through the [`Directory`] trait: [`FileDirectory`] implements it for a directory of the operating system,
+//! [`model::ModelDirectory`] for a directory in memory that can simulate a power loss.
 //!
-//! What is assumed of the disk: the data of a file lasts once the file is synced, and a name that was made, renamed or
-//! removed lasts once the directory is synced. When power is lost before that, every write and every change of a name
-//! may be found done, undone or (for writes) torn, each independently of the others.
+//! Assumptions about the disk: file data is durable once the file is synced, and the creation, renaming or
+//! removal of a file is durable once the directory is synced. If power is lost earlier, each write may be
+//! found complete, missing or torn, and each name change may be found done or undone, independently of the
+//! others.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/storage/src/log_index.rs
+++ b/crates/storage/src/log_index.rs
@@ -1,13 +1,13 @@
-//! The store's index of its log in memory: the last index and the terms, not the entries.
+//! In-memory index of the log. Holds the last index and the terms of the entries, not the entries themselves.
 
-/// Entries from `first` on have this term, up to the next run.
+/// A run of entries with the same term. It starts at index `first` and ends before the next run.
 #[derive(Debug, Clone, Copy)]
 struct TermRun {
     first: u64,
     term: u64,
 }
 
-/// Indexes and terms of the log.
+/// Last index and terms of the log.
 #[derive(Debug, Default)]
 pub(crate) struct LogIndex {
     last: u64,
@@ -15,12 +15,12 @@
 }
 
 impl LogIndex {
-    /// Index of the last entry, or the snapshot's index if that is greater; 0 if there is neither.
+    /// Index of the last entry, or of the snapshot if that is greater; 0 if there is neither.
     pub(crate) fn last(&self) -> u64 {
         self.last
     }
 
-    /// Term of an entry that is in the log.
+    /// Term of the entry at `index`; `None` if the log does not contain the entry.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index > self.last {
             return None;
@@ -30,7 +30,7 @@
         Some(run.term)
     }
 
-    /// Records the next entry.
+    /// Adds the next entry.
     pub(crate) fn append(&mut self, index: u64, term: u64) {
         let same_term = self.runs.last().is_some_and(|run| run.term == term);
         if !same_term {
@@ -39,13 +39,13 @@
         self.last = index;
     }
 
-    /// Removes the entries from an index on.
+    /// Removes the entries from index `from` on.
     pub(crate) fn truncate(&mut self, from: u64) {
         self.runs.retain(|run| run.first < from);
         self.last = self.last.min(from.saturating_sub(1));
     }
 
-    /// Drops the entries up to `index`, which a snapshot covers now.
+    /// Removes the entries up to `index`, which a new snapshot covers.
     pub(crate) fn compact(&mut self, index: u64) {
         if self.last <= index {
             self.reset(index);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Drops all entries; the log continues after `index`.
+    /// Removes all entries. The log continues after `index`.
     pub(crate) fn reset(&mut self, index: u64) {
         self.runs.clear();
         self.last = index;
--- a/crates/storage/src/model.rs
+++ b/crates/storage/src/model.rs
@@ -1,6 +1,8 @@
-//! A directory in memory that can lose power, be full, fail to sync, and stop in the middle of an operation.
+//! A directory in memory that simulates power loss, a full disk, failing syncs, and halts in the middle of an
+//! operation.
 //!
-//! The model is harsher than the real disk: a new name lasts only once the directory is synced, even if its file was.
+//! The model is stricter than a real disk: a new name is durable only once the directory is synced, even if
+//! the file was synced before.
 
 mod inode;
 mod state;
@@ -11,7 +13,8 @@
 use crate::directory::Directory;
 use crate::model::state::{Handle, State};
 
-/// A modelled directory. Clones share it, so that a test can inject faults into the disk of an open store.
+/// A directory in memory. Clones share the same state, so that a test can inject faults into the disk of an
+/// open store.
 #[derive(Debug, Clone)]
 pub struct ModelDirectory {
     state: Arc<Mutex<State>>,
@@ -24,64 +27,69 @@
 }
 
 impl ModelDirectory {
-    /// An empty directory. `seed` determines what a loss of power loses.
+    /// Creates an empty directory. `seed` determines which changes a power loss keeps, loses or tears.
     pub fn new(seed: u64) -> Self {
         ModelDirectory { state: Arc::new(Mutex::new(State::new(seed))) }
     }
 
-    /// Loses power: each change that was not synced is kept, lost or torn, and open files become unusable.
+    /// Simulates a power loss: each change that was not synced is kept, lost or torn, and open files become
+    /// unusable.
     pub fn lose_power(&self) {
         self.lock().lose_power();
     }
 
-    /// The process ends: all that was written stays, synced or not, and open files become unusable.
+    /// Simulates the end of the process: all written data is kept, synced or not, and open files become
+    /// unusable.
     pub fn kill(&self) {
         self.lock().kill();
     }
 
-    /// After this many more operations that change anything, the next one stops in the middle, and it and all after it
-    /// fail until [`lose_power`](Self::lose_power) or [`kill`](Self::kill).
+    /// Lets `operations` more changing operations complete and halts the next one in the middle. The halted
+    /// operation and all later ones fail until [`lose_power`](Self::lose_power) or [`kill`](Self::kill) is
+    /// called.
     pub fn halt_after(&self, operations: u64) {
         self.lock().halt_after(operations);
     }
 
-    /// Whether an operation was stopped by [`halt_after`](Self::halt_after).
+    /// Returns whether [`halt_after`](Self::halt_after) has halted an operation.
     pub fn is_halted(&self) -> bool {
         self.lock().is_halted()
     }
 
-    /// Operations so far that change anything, failed ones included.
+    /// Number of changing operations so far, including failed ones.
     pub fn operations(&self) -> u64 {
         self.lock().operations()
     }
 
-    /// Of the next syncs of files and of the directory, `successes` succeed, then `failures` fail.
+    /// Lets the next `successes` syncs of files or of the directory succeed and the following `failures`
+    /// syncs fail.
     pub fn fail_syncs(&self, successes: u64, failures: u64) {
         self.lock().fail_syncs(successes, failures);
     }
 
-    /// Limits the bytes of all files together; `None`: no limit.
+    /// Limits the total size of all files to `capacity` bytes; `None` removes the limit.
     pub fn set_capacity(&self, capacity: Option<u64>) {
         self.lock().set_capacity(capacity);
     }
 
-    /// Bytes of all files together.
+    /// Total size of all files in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.lock().used_bytes()
     }
 
-    /// Replaces the content of a file, durably: damage, or a prepared disk.
+    /// Durably replaces the content of a file, to simulate damage or to prepare a disk.
     pub fn overwrite(&self, name: &str, content: &[u8]) {
         self.lock().overwrite(name, content);
     }
 
-    /// The disk is lost: the directory is empty.
+    /// Simulates the loss of the disk: the directory is empty afterwards.
     pub fn erase(&self) {
         self.lock().erase();
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic in another thread leaves no operation of the model incomplete.
+        // The state is usable after a panic in another thread, because a panic leaves no operation
+        // incomplete.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/storage/src/model/inode.rs
+++ b/crates/storage/src/model/inode.rs
@@ -1,20 +1,20 @@
-//! Content of a modelled file: what is durable, and the changes since then.
+//! Content of a simulated file: the durable content and the changes that were not synced.
 
 use fastrand::Rng;
 
-/// A change that was not synced yet.
+/// A change that has not been synced.
 #[derive(Debug, Clone)]
 enum Change {
     Write { offset: usize, bytes: Vec<u8> },
     SetLength(usize),
 }
 
-/// A file without its name.
+/// Content of a file, independent of its name.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Inode {
     content: Vec<u8>,
     durable: Vec<u8>,
-    /// Changes from `durable` to `content`, in order.
+    /// Changes that lead from `durable` to `content`, in order.
     changes: Vec<Change>,
 }
 
@@ -46,13 +46,14 @@
         }
     }
 
-    /// Draws for each change that was not synced whether it is kept, lost or torn.
+    /// Chooses randomly for each change that was not synced whether it is kept, lost or torn. `lose_all`
+    /// loses all of them.
     pub(super) fn lose_power(&mut self, rng: &mut Rng, lose_all: bool) {
         for change in std::mem::take(&mut self.changes) {
             let survives = !lose_all && rng.bool();
             if survives {
-                let found = if rng.bool() { change } else { tear(change, rng) };
-                apply(&mut self.durable, found);
+                let surviving = if rng.bool() { change } else { tear(change, rng) };
+                apply(&mut self.durable, surviving);
             }
         }
         self.content.clone_from(&self.durable);
@@ -72,7 +73,7 @@
     }
 }
 
-/// The bytes of a write that reached the disk: often its beginning, sometimes a range with a hole before it.
+/// Reduces a write to the part that reached the disk: a random prefix, or a random range that starts later.
 fn tear(change: Change, rng: &mut Rng) -> Change {
     match change {
         Change::SetLength(length) => Change::SetLength(length),
--- a/crates/storage/src/model/state.rs
+++ b/crates/storage/src/model/state.rs
@@ -1,4 +1,4 @@
-//! Names and files of a modelled directory, and the faults injected into it.
+//! Names and files of a simulated directory, and the faults injected into it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,14 +13,15 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Handle {
     inode: InodeNumber,
-    /// Incarnation of the process that opened it.
+    /// Incarnation of the process that opened the file.
     incarnation: u64,
 }
 
-/// The directory.
+/// State of the directory.
 ///
-/// `names` is what the process sees, `durable_names` what a loss of power leaves at least; `changed_names` lists the
-/// changes between the two. An inode is kept while any of them can lead to it.
+/// `names` are the names that the process sees, `durable_names` the names as of the last sync of the
+/// directory, and `changed_names` the changes since that sync. An inode is kept as long as any of these three
+/// refers to it.
 #[derive(Debug)]
 pub(super) struct State {
     rng: Rng,
@@ -28,23 +29,28 @@
     next_inode: InodeNumber,
     names: BTreeMap<String, InodeNumber>,
     durable_names: BTreeMap<String, InodeNumber>,
-    /// What each name changed to since the directory was synced; `None`: removed.
+    /// Successive inodes of each name that changed since the directory was synced; `None` stands for a
+    /// removal.
     changed_names: BTreeMap<String, Vec<Option<InodeNumber>>>,
+    /// Incarnation of the current process.
     incarnation: u64,
+    /// Number of changing operations so far.
     operations: u64,
+    /// Value of `operations` at which the next changing operation halts.
     halt_at: Option<u64>,
     halted: bool,
-    /// Syncs that succeed before the failing ones.
+    /// Number of syncs that succeed before `failing_syncs` take effect.
     successful_syncs: u64,
     failing_syncs: u64,
+    /// Maximum total size of the files in bytes.
     capacity: Option<u64>,
 }
 
-/// How far an operation that changes something gets.
+/// How far a changing operation proceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Completes,
-    /// The process or the power stops in the middle of it.
+    /// The process or the power supply stops in the middle of the operation.
     Halts,
 }
 
@@ -117,7 +123,7 @@
     pub(super) fn lose_power(&mut self) {
         const LOSE_ALL_ONE_IN: u8 = 4;
         let lose_all = self.rng.u8(0..LOSE_ALL_ONE_IN) == 0;
-        self.draw_names(lose_all);
+        self.choose_surviving_names(lose_all);
         for inode in self.inodes.values_mut() {
             inode.lose_power(&mut self.rng, lose_all);
         }
@@ -125,14 +131,15 @@
         self.drop_unreachable();
     }
 
-    /// Draws for each name one of its states since the directory was synced.
-    fn draw_names(&mut self, lose_all: bool) {
+    /// Chooses randomly for each changed name its durable state or one of its later states. `lose_all` keeps
+    /// the durable states.
+    fn choose_surviving_names(&mut self, lose_all: bool) {
         for (name, states) in std::mem::take(&mut self.changed_names) {
-            let drawn = self.rng.usize(0..=states.len());
-            if lose_all || drawn == states.len() {
+            let chosen = self.rng.usize(0..=states.len());
+            if lose_all || chosen == states.len() {
                 continue;
             }
-            match states[drawn] {
+            match states[chosen] {
                 Some(number) => self.durable_names.insert(name, number),
                 None => self.durable_names.remove(&name),
             };
@@ -153,7 +160,7 @@
         number
     }
 
-    /// Drops inodes that no name can lead to any more.
+    /// Removes inodes that no name refers to.
     fn drop_unreachable(&mut self) {
         let names = self.names.values();
         let durable = self.durable_names.values();
@@ -170,7 +177,7 @@
         self.changed_names.entry(name.to_owned()).or_default().push(to);
     }
 
-    /// Counts an operation and determines how far it gets.
+    /// Counts an operation and determines how far it proceeds.
     fn begin(&mut self) -> io::Result<Progress> {
         if self.halted {
             return Err(halted());
@@ -181,7 +188,8 @@
         Ok(if halts { Progress::Halts } else { Progress::Completes })
     }
 
-    /// For operations without intermediate states: whether this one takes effect.
+    /// Decides whether an operation without intermediate states takes effect. A halted operation takes effect
+    /// at random.
     fn takes_effect(&mut self, progress: Progress) -> bool {
         progress == Progress::Completes || self.rng.bool()
     }
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -1,43 +1,43 @@
-//! Names of the files of a store.
+//! File names of a store.
 
-/// The identity of the node.
+/// Name of the identity file.
 pub(crate) const IDENTITY: &str = "identity";
-/// Ending of files that are not complete yet.
+/// Suffix of files that are still being written.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
 
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// Name of the segment with this number.
+/// Returns the file name of the segment with this number.
 pub(crate) fn segment(number: u64) -> String {
     format!("{SEGMENT_PREFIX}{number:020}")
 }
 
-/// Name of the snapshot of this index.
+/// Returns the file name of the snapshot up to this index.
 pub(crate) fn snapshot(index: u64) -> String {
     format!("{SNAPSHOT_PREFIX}{index:020}")
 }
 
-/// Name under which a file is written before it is renamed.
+/// Returns the name under which a file is written before it is renamed to `name`.
 pub(crate) fn temporary(name: &str) -> String {
     format!("{name}{TEMPORARY_SUFFIX}")
 }
 
-/// What a file is, by its name.
+/// Kind of a file, determined by its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Identity,
     /// The segment with this number.
     Segment(u64),
-    /// The snapshot of this index.
+    /// The snapshot up to this index.
     Snapshot(u64),
-    /// Written under this name until it is complete.
+    /// An incomplete file that was being written.
     Temporary,
-    /// Not of this store: never touched.
+    /// A file that does not belong to the store. The store never changes it.
     Foreign,
 }
 
-/// What the file of this name is.
+/// Determines the kind of the file with this name.
 pub(crate) fn classify(name: &str) -> FileKind {
     if name == IDENTITY {
         return FileKind::Identity;
@@ -48,18 +48,18 @@
             _ => FileKind::Temporary,
         };
     }
-    if let Some(number) = numbered(name, SEGMENT_PREFIX) {
+    if let Some(number) = parse_numbered(name, SEGMENT_PREFIX) {
         return FileKind::Segment(number);
     }
-    match numbered(name, SNAPSHOT_PREFIX) {
+    match parse_numbered(name, SNAPSHOT_PREFIX) {
         Some(index) => FileKind::Snapshot(index),
         None => FileKind::Foreign,
     }
 }
 
-fn numbered(name: &str, prefix: &str) -> Option<u64> {
+fn parse_numbered(name: &str, prefix: &str) -> Option<u64> {
     let digits = name.strip_prefix(prefix)?;
     let number = digits.parse().ok()?;
-    // Only the canonical spelling, so that the name made from the number is the name that was found.
+    // Accepts only the zero-padded spelling, so that formatting the number gives the name of the file again.
     (format!("{number:020}") == digits).then_some(number)
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,14 +1,17 @@
 //! Records of a segment.
 //!
-//! A record is a crc32, the length of its payload, the offset at which its batch starts (all `u32`, little endian), a
-//! kind and the payload. The checksum covers all of that, the number of the segment and the offset of the record, so
-//! that bytes left over from another offset or segment never pass for a record. A batch is written only after the one
-//! before was synced: a valid record therefore proves that everything before the start of its batch had been durable.
+//! A record consists of a CRC-32 checksum, the length of its payload, the offset at which its batch starts
+//! (all three `u32`, little endian), a kind byte and the payload. The checksum covers all other fields, the
+//! number of the segment and the offset of the record, so that stale bytes from another offset or segment are
+//! never accepted as a record.
+//!
+//! A batch is written only after the previous batch was synced. A valid record therefore proves that
+//! everything before the start of its batch was durable.
 
 use crate::codec::{take, take_u32, take_u64, take_u8};
 use crate::types::{HardState, StoredEntry};
 
-/// Bytes before the payload.
+/// Length of the fields before the payload.
 pub(crate) const HEADER_BYTES: usize = 13;
 
 const CHECKSUM_BYTES: usize = 4;
@@ -22,23 +25,23 @@
 pub(crate) enum Record {
     HardState(HardState),
     Entry(StoredEntry),
-    /// Entries from this index on are removed.
+    /// Removes the entries from this index on.
     Truncation(u64),
 }
 
-/// A record whose checksum is right.
+/// A record whose checksum is valid and whose payload is not decoded yet.
 pub(crate) struct RawRecord<'a> {
     kind: u8,
     payload: &'a [u8],
 }
 
 impl RawRecord<'_> {
-    /// Bytes of the record with its header.
+    /// Length of the record in bytes, including the header.
     pub(crate) fn length(&self) -> usize {
         HEADER_BYTES + self.payload.len()
     }
 
-    /// The decoded record; `None` if this version does not know its kind or layout.
+    /// Decodes the payload. Returns `None` if this version does not support the kind or the layout.
     pub(crate) fn decode(&self) -> Option<Record> {
         let mut bytes = self.payload;
         let record = match self.kind {
@@ -53,9 +56,9 @@
 
 fn decode_hard_state(bytes: &mut &[u8]) -> Option<HardState> {
     let term = take_u64(bytes)?;
-    let voted = take_u8(bytes)?;
+    let has_vote = take_u8(bytes)?;
     let vote = take_u64(bytes)?;
-    Some(HardState { term, vote: (voted != 0).then_some(vote) })
+    Some(HardState { term, vote: (has_vote != 0).then_some(vote) })
 }
 
 fn decode_entry(bytes: &mut &[u8]) -> Option<StoredEntry> {
@@ -66,18 +69,20 @@
     Some(StoredEntry { index, term, kind, payload })
 }
 
-/// Reads the record at `offset` of a segment; `None` if there is no complete, undamaged one.
+/// Reads the record at `offset` of a segment. Returns `None` if there is no complete, undamaged record.
 pub(crate) fn read(segment: u64, bytes: &[u8], offset: usize) -> Option<RawRecord<'_>> {
     read_after(segment, bytes, offset, 0)
 }
 
-/// As [`read`], but only a record whose batch starts at `least_batch_start` or later. Most offsets without such a record
-/// are excluded before a checksum is computed.
+/// Like [`read`], but accepts only a record whose batch starts at `min_batch_start` or later.
+///
+/// The header fields are checked first, which excludes most offsets without a valid record before a checksum
+/// is computed.
 pub(crate) fn read_after(
     segment: u64,
     bytes: &[u8],
     offset: usize,
-    least_batch_start: u32,
+    min_batch_start: u32,
 ) -> Option<RawRecord<'_>> {
     let record = bytes.get(offset..)?;
     let mut fields = record;
@@ -86,26 +91,26 @@
     let batch_start = take_u32(&mut fields)?;
     let kind = take_u8(&mut fields)?;
     let position = u32::try_from(offset).ok()?;
-    if kind == 0 || kind > LAST_KIND || batch_start > position || batch_start < least_batch_start {
+    if kind == 0 || kind > LAST_KIND || batch_start > position || batch_start < min_batch_start {
         return None;
     }
     let payload = take(&mut fields, length)?;
-    let covered = record.get(CHECKSUM_BYTES..HEADER_BYTES + length)?;
-    if checksum != compute_checksum(segment, position, covered) {
+    let checksummed = record.get(CHECKSUM_BYTES..HEADER_BYTES + length)?;
+    if checksum != compute_checksum(segment, position, checksummed) {
         return None;
     }
     Some(RawRecord { kind, payload })
 }
 
-fn compute_checksum(segment: u64, offset: u32, covered: &[u8]) -> u32 {
+fn compute_checksum(segment: u64, offset: u32, checksummed: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&segment.to_le_bytes());
     hasher.update(&offset.to_le_bytes());
-    hasher.update(covered);
+    hasher.update(checksummed);
     hasher.finalize()
 }
 
-/// Encodes the records of one batch into a buffer that is reused from batch to batch.
+/// Encodes the records of one batch into a buffer that is reused for later batches.
 #[derive(Debug, Default)]
 pub(crate) struct BatchEncoder {
     bytes: Vec<u8>,
@@ -113,11 +118,11 @@
     batch_start: u32,
 }
 
-/// The buffer shrinks to this after a larger batch.
+/// Capacity to which the buffer shrinks before the next batch.
 const MAX_IDLE_BUFFER_BYTES: usize = 1 << 20;
 
 impl BatchEncoder {
-    /// Starts a batch at `batch_start` of a segment.
+    /// Starts a batch at offset `batch_start` of a segment.
     pub(crate) fn begin(&mut self, segment: u64, batch_start: u32) {
         self.bytes.clear();
         self.bytes.shrink_to(MAX_IDLE_BUFFER_BYTES);
@@ -125,17 +130,17 @@
         self.batch_start = batch_start;
     }
 
-    /// The batch so far.
+    /// The bytes of the batch encoded so far.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Adds bytes that are no record: the header of a segment.
+    /// Adds bytes that are not a record. Used for the segment header.
     pub(crate) fn push_raw(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Adds a hard state.
+    /// Adds a hard state record.
     pub(crate) fn push_hard_state(&mut self, state: &HardState) {
         let start = self.begin_record();
         self.bytes.extend_from_slice(&state.term.to_le_bytes());
@@ -144,7 +149,7 @@
         self.finish_record(start, KIND_HARD_STATE);
     }
 
-    /// Adds an entry.
+    /// Adds an entry record.
     pub(crate) fn push_entry(&mut self, entry: &StoredEntry) {
         let start = self.begin_record();
         self.bytes.extend_from_slice(&entry.index.to_le_bytes());
@@ -154,7 +159,7 @@
         self.finish_record(start, KIND_ENTRY);
     }
 
-    /// Adds the removal of all entries from an index on.
+    /// Adds a record that removes all entries from index `from` on.
     pub(crate) fn push_truncation(&mut self, from: u64) {
         let start = self.begin_record();
         self.bytes.extend_from_slice(&from.to_le_bytes());
@@ -167,7 +172,7 @@
         start
     }
 
-    // Lengths fit: the store rejects batches over `segment::MAXIMUM_BATCH_BYTES`.
+    // Lengths fit into 32 bits: the store rejects batches larger than `segment::MAXIMUM_BATCH_BYTES`.
     fn finish_record(&mut self, start: usize, kind: u8) {
         let length = (self.bytes.len() - start - HEADER_BYTES) as u32;
         let offset = self.batch_start + start as u32;
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads what is on the disk and finds what has to be repaired. Changes nothing itself.
+//! Reads the files of a store and determines the necessary repairs. Does not change any file.
 
 use crate::directory::Directory;
 use crate::error::StorageError;
@@ -9,37 +9,38 @@
 use crate::snapshot::{self, SnapshotFile};
 use crate::types::Identity;
 
-/// The files found, by kind.
+/// Files of the store, grouped by kind.
 #[derive(Default)]
 struct Listing {
+    /// Whether there is an identity file.
     identity: bool,
-    /// Ascending.
+    /// Numbers in ascending order.
     segments: Vec<u64>,
-    /// Ascending.
+    /// Indexes in ascending order.
     snapshots: Vec<u64>,
     temporary: Vec<String>,
 }
 
-/// A file that was read, and its size.
-struct ReadFile<T> {
+/// Decoded content and size of a file.
+struct DecodedFile<T> {
     content: T,
     bytes: u64,
 }
 
-/// What was found, and what has to be done before the store may be written to.
+/// Recovered state, and the repairs that are necessary before the first write.
 pub(crate) struct Scan {
     pub identity: Option<Identity>,
     pub identity_bytes: u64,
     pub snapshot: Option<SnapshotFile>,
     pub snapshot_bytes: u64,
     pub replay: Replay,
-    /// The last segment has bytes after its last complete record, to be truncated.
+    /// Whether the last segment has bytes after its last complete record, which must be truncated.
     pub has_torn_tail: bool,
-    /// Files that are not needed any more, to be removed.
+    /// Files that are not needed and must be removed.
     pub leftovers: Vec<String>,
 }
 
-/// Reads all files of the directory.
+/// Reads and verifies all needed files of the directory.
 pub(crate) fn scan<D: Directory>(directory: &D) -> Result<Scan, StorageError> {
     let listing = list(directory)?;
     let identity = read_identity(directory, &listing)?;
@@ -60,8 +61,8 @@
     for number in &needed {
         scan.read_segment(directory, *number, Some(number) == needed.last())?;
     }
-    let had_a_segment = scan.identity.is_some() || scan.snapshot.is_some();
-    if had_a_segment && scan.replay.segments.is_none() {
+    let must_have_segment = scan.identity.is_some() || scan.snapshot.is_some();
+    if must_have_segment && scan.replay.segments.is_none() {
         return Err(StorageError::Missing { file: names::segment(first_segment) });
     }
     Ok(scan)
@@ -94,22 +95,23 @@
 fn read_identity<D: Directory>(
     directory: &D,
     listing: &Listing,
-) -> Result<Option<ReadFile<Identity>>, StorageError> {
+) -> Result<Option<DecodedFile<Identity>>, StorageError> {
     if !listing.identity {
         return Ok(None);
     }
     let bytes = read_file(directory, names::IDENTITY)?;
     let content = identity::decode(&bytes)
         .ok_or_else(|| StorageError::corrupt(names::IDENTITY, 0, "wrong checksum of the identity"))?;
-    Ok(Some(ReadFile { content, bytes: bytes.len() as u64 }))
+    Ok(Some(DecodedFile { content, bytes: bytes.len() as u64 }))
 }
 
-// A snapshot gets its name only after its content is durable, and what it replaces is removed only after that: the
-// newest one is complete, and an older one beside it is a leftover that may lack its segments.
+// A snapshot is renamed to its final name only after its content is durable, and the files that it replaces
+// are removed only after the rename is durable. The newest snapshot is therefore complete. Segments that an
+// older snapshot needs may already be removed, so older snapshots are only leftovers.
 fn read_newest_snapshot<D: Directory>(
     directory: &D,
     listing: &Listing,
-) -> Result<Option<ReadFile<SnapshotFile>>, StorageError> {
+) -> Result<Option<DecodedFile<SnapshotFile>>, StorageError> {
     let Some(index) = listing.snapshots.last() else {
         return Ok(None);
     };
@@ -118,7 +120,7 @@
     let content = snapshot::decode(&bytes)
         .filter(|found| found.snapshot.index == *index)
         .ok_or_else(|| StorageError::corrupt(&name, 0, "wrong checksum of the snapshot"))?;
-    Ok(Some(ReadFile { content, bytes: bytes.len() as u64 }))
+    Ok(Some(DecodedFile { content, bytes: bytes.len() as u64 }))
 }
 
 fn collect_leftovers(listing: &Listing, first_segment: u64) -> Vec<String> {
@@ -130,7 +132,8 @@
     leftovers
 }
 
-/// The segments from the first needed one on, which must be without gaps.
+/// Numbers of the segments from `first_segment` on. Returns [`StorageError::Missing`] if the numbers are not
+/// contiguous.
 fn needed_segments(listing: &Listing, first_segment: u64) -> Result<Vec<u64>, StorageError> {
     let needed: Vec<u64> =
         listing.segments.iter().copied().filter(|number| *number >= first_segment).collect();
@@ -159,9 +162,14 @@
                 return Err(StorageError::corrupt(&name, offset as u64, reason));
             }
             SegmentEnd::Torn { offset } if !is_last => {
-                return Err(StorageError::corrupt(&name, offset as u64, "bad record before a later segment"));
+                return Err(StorageError::corrupt(
+                    &name,
+                    offset as u64,
+                    "invalid record before a later segment",
+                ));
             }
-            // Not even its first record is complete: the segment was being created, and nothing else was ever in it.
+            // The first record is incomplete: the creation of the segment was interrupted, and no batch was
+            // written to it.
             SegmentEnd::Torn { .. } if content.records.is_empty() => {
                 self.leftovers.push(name);
                 return Ok(());
--- a/crates/storage/src/replay.rs
+++ b/crates/storage/src/replay.rs
@@ -5,19 +5,19 @@
 use crate::segment_set::{SegmentInfo, SegmentSet};
 use crate::types::{HardState, StoredEntry};
 
-/// The log as far as it has been replayed.
+/// State of the log after the records replayed so far.
 pub(crate) struct Replay {
     snapshot_index: u64,
     pub hard_state: HardState,
     /// Entries after the snapshot.
     pub entries: Vec<StoredEntry>,
     pub log: LogIndex,
-    /// `None` before the first segment.
+    /// Segments read so far; `None` before the first segment.
     pub segments: Option<SegmentSet>,
 }
 
 impl Replay {
-    /// Starts from a snapshot of this index, or 0.
+    /// Starts from a snapshot up to `snapshot_index`; 0 if there is no snapshot.
     pub(crate) fn new(snapshot_index: u64) -> Self {
         let mut log = LogIndex::default();
         log.reset(snapshot_index);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Applies a record; the error says why it cannot follow the ones before.
+    /// Applies a record. The error is the reason why the record cannot follow the previous ones.
     pub(crate) fn apply(&mut self, record: Record) -> Result<(), &'static str> {
         match record {
             Record::HardState(state) => self.hard_state = state,
@@ -56,7 +56,7 @@
             return Ok(());
         }
         if entry.index != self.log.last().saturating_add(1) {
-            return Err("entry does not follow the one before");
+            return Err("entry does not follow the previous one");
         }
         self.log.append(entry.index, entry.term);
         self.entries.push(entry);
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,19 +1,22 @@
-//! Segments, the files of the log: a header, then records, of which the first is the hard state at the segment's start.
+//! Segments, the files of the log.
+//!
+//! A segment consists of a header and records. The first record is the hard state at the time the segment was
+//! started.
 
 use crate::codec::{take, take_u32, take_u64};
 use crate::record::{self, BatchEncoder, Record};
 use crate::types::HardState;
 
-/// Bytes before the first record.
+/// Length of the header: magic, segment number and checksum.
 pub(crate) const HEADER_BYTES: usize = 20;
-/// Largest batch. A segment holds at most its size by the options and one batch beyond it.
+/// Maximum size of a batch. A segment may exceed its configured size by at most one batch.
 pub(crate) const MAXIMUM_BATCH_BYTES: u64 = 1 << 30;
-/// Largest size of a segment by the options, so that offsets fit into 32 bits.
+/// Upper limit of the configured segment size, so that offsets fit into 32 bits.
 pub(crate) const MAXIMUM_SEGMENT_BYTES: u64 = 1 << 30;
 
 const MAGIC: &[u8; 8] = b"SHSEGMT1";
 
-/// Encodes the start of a new segment.
+/// Encodes the header and the first record of a new segment.
 pub(crate) fn encode_start(encoder: &mut BatchEncoder, number: u64, hard_state: &HardState) {
     encoder.begin(number, 0);
     encoder.push_raw(MAGIC);
@@ -35,7 +38,7 @@
     pub record: Record,
 }
 
-/// What is found in a segment.
+/// Decoded content of a segment.
 pub(crate) struct SegmentContent {
     pub records: Vec<RecordAt>,
     pub end: SegmentEnd,
@@ -44,11 +47,11 @@
 /// How the readable part of a segment ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SegmentEnd {
-    /// At the end of the file.
+    /// The file ends after the last record.
     Complete,
-    /// The bytes from here on are no record, and nothing proves that they had ever been durable.
+    /// The bytes from `offset` on are not a valid record, and no later record proves that they were durable.
     Torn { offset: usize },
-    /// The bytes from here on had been durable and are damaged.
+    /// The bytes from `offset` on were durable and are damaged.
     Damaged { offset: usize, reason: &'static str },
 }
 
@@ -87,13 +90,14 @@
     magic == Some(MAGIC) && found == Some(number) && checksum == Some(header_checksum(number))
 }
 
-/// Distinguishes a torn write from damage: a later record proves that all before its batch had been synced.
+/// Distinguishes a torn write from damage. A valid record of a later batch proves that all bytes before that
+/// batch were synced, so the invalid bytes are damage.
 fn classify_invalid(number: u64, bytes: &[u8], offset: usize) -> SegmentEnd {
-    let after = u32::try_from(offset + 1).unwrap_or(u32::MAX);
-    let proof = (offset + 1..bytes.len())
-        .find(|candidate| record::read_after(number, bytes, *candidate, after).is_some());
-    match proof {
-        Some(_) => SegmentEnd::Damaged { offset, reason: "bad record before good ones" },
+    let min_batch_start = u32::try_from(offset + 1).unwrap_or(u32::MAX);
+    let later_record = (offset + 1..bytes.len())
+        .find(|candidate| record::read_after(number, bytes, *candidate, min_batch_start).is_some());
+    match later_record {
+        Some(_) => SegmentEnd::Damaged { offset, reason: "invalid record before valid ones" },
         None => SegmentEnd::Torn { offset },
     }
 }
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Encoding of a snapshot file: magic, crc32 of all that follows, fixed fields, membership, data.
+//! Encoding of a snapshot file: magic, CRC-32 of the rest, fixed fields, membership, data.
 
 use std::sync::Arc;
 
@@ -10,11 +10,12 @@
 /// The content of a snapshot file.
 pub(crate) struct SnapshotFile {
     pub snapshot: StoredSnapshot,
-    /// Segments with a lower number are not needed with this snapshot.
+    /// Number of the first segment that is needed together with this snapshot.
     pub first_segment: u64,
 }
 
-/// Encodes what precedes the data in the file. The data follows as it is, so that it need not be copied.
+/// Encodes the part of the file before the data. The caller writes the data after it, which avoids a copy of
+/// the data.
 pub(crate) fn encode_header(snapshot: &StoredSnapshot, first_segment: u64) -> Vec<u8> {
     let mut body = Vec::with_capacity(64 + snapshot.membership.len());
     body.extend_from_slice(&snapshot.index.to_le_bytes());
@@ -32,7 +33,7 @@
     header
 }
 
-/// Decodes a snapshot file; `None` if it is damaged.
+/// Decodes a snapshot file. Returns `None` if the content is damaged.
 pub(crate) fn decode(mut bytes: &[u8]) -> Option<SnapshotFile> {
     if take(&mut bytes, MAGIC.len())? != MAGIC {
         return None;
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,5 @@
-//! The store: appends to the active segment, rolls it, and compacts the log into snapshots.
+//! The store: appends batches to the active segment, starts new segments, and compacts the log into
+//! snapshots.
 
 use std::io;
 
@@ -21,19 +22,19 @@
     bytes: u64,
 }
 
-/// A file that is not needed any more and may still exist.
+/// A file that is no longer needed and may still exist.
 #[derive(Debug)]
-struct Obsolete {
+struct ObsoleteFile {
     name: String,
     bytes: u64,
 }
 
-/// What a failed operation may have left behind. Nothing is written before that is durably removed.
+/// Remains of a failed operation on the disk. They are durably removed before anything else is written.
 #[derive(Debug, Default)]
 struct Repair {
     /// The active segment may be longer than its durable length.
     truncate: bool,
-    /// Files that must not be found after a restart.
+    /// Files that must not exist after a restart.
     remove: Vec<String>,
 }
 
@@ -45,35 +46,36 @@
 
 /// Log, snapshot and identity of one node on its disk.
 ///
-/// The active segment is the last one, and all before it are complete and durable. Its file may be longer than the
-/// bytes that count after a failed append: such a tail is truncated before anything else is written. An operation that
-/// fails has no effect on what the store reports, and is undone on the disk before the next one.
+/// The active segment is the last one. All segments before the active one are complete and durable. After a
+/// failed append, the file of the active segment may be longer than the valid part; the excess is truncated
+/// before anything else is written. A failed operation has no effect on the state that the store reports, and
+/// its remains on the disk are removed before the next operation.
 #[derive(Debug)]
 pub struct Store<D: Directory> {
     directory: D,
     segment_bytes: u64,
-    /// The active segment.
+    /// File of the active segment.
     file: D::File,
     segments: SegmentSet,
     log: LogIndex,
     hard_state: HardState,
     snapshot: Option<SnapshotInfo>,
     identity_bytes: u64,
-    obsolete: Vec<Obsolete>,
+    obsolete: Vec<ObsoleteFile>,
     repair: Repair,
     encoder: BatchEncoder,
 }
 
 impl<D: Directory> Store<D> {
-    /// Recovers what is on the disk, or starts a new store in an empty directory.
+    /// Recovers the state on the disk, or creates a new store in an empty directory.
     ///
-    /// All that is returned is durable, also if it was only in the cache of the operating system before. A torn tail of
-    /// the last segment is truncated.
+    /// The recovered state is durable when the function returns, even if a part of it was only in the page
+    /// cache of the operating system before. A torn tail of the last segment is truncated.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Corrupt`] or [`StorageError::Missing`] if something that had been durable is damaged, else what
-    /// the disk reports.
+    /// [`StorageError::Corrupt`] or [`StorageError::Missing`] if durable data is damaged or missing,
+    /// otherwise the error that the disk reports.
     pub fn open(directory: D, options: StoreOptions) -> Result<(Self, Recovered), StorageError> {
         let mut scan = recovery::scan(&directory)?;
         remove_leftovers(&directory, &scan.leftovers)?;
@@ -85,7 +87,7 @@
                 segment::encode_start(&mut encoder, FIRST_SEGMENT, &HardState::default());
                 let bytes = encoder.bytes().len() as u64;
                 let first = SegmentInfo { number: FIRST_SEGMENT, bytes, last_index_before: 0 };
-                (create_with(&directory, &name, &[encoder.bytes()])?, SegmentSet::new(first))
+                (create_and_sync(&directory, &name, &[encoder.bytes()])?, SegmentSet::new(first))
             }
         };
         sync_names(&directory)?;
@@ -124,23 +126,23 @@
         (store, recovered)
     }
 
-    /// Bytes of the store on the disk.
+    /// Total size in bytes of the files of the store.
     pub fn disk_usage_bytes(&self) -> u64 {
         let obsolete: u64 = self.obsolete.iter().map(|file| file.bytes).sum();
         let snapshot = self.snapshot.map_or(0, |snapshot| snapshot.bytes);
         self.segments.bytes() + snapshot + self.identity_bytes + obsolete
     }
 
-    /// Index of the last entry, or of the snapshot if that is later; 0 in a new store.
+    /// Index of the last entry, or of the snapshot if that is greater; 0 in a new store.
     pub fn last_index(&self) -> u64 {
         self.log.last()
     }
 
-    /// Writes the identity of the node, durable when it returns.
+    /// Writes the identity of the node. The identity is durable when the function returns.
     ///
     /// # Errors
     ///
-    /// What the disk reports. Either the old or the new identity is on the disk then.
+    /// The error that the disk reports. After an error, the disk holds either the old or the new identity.
     pub fn write_identity(&mut self, identity: &Identity) -> Result<(), StorageError> {
         self.repair()?;
         let bytes = identity::encode(identity);
@@ -154,15 +156,15 @@
         Ok(())
     }
 
-    /// Appends the batch with one write and one sync, durable when it returns.
+    /// Appends the batch with one write and one sync. The batch is durable when the function returns.
     ///
     /// # Errors
     ///
-    /// [`StorageError::OutOfOrder`] or [`StorageError::TooLarge`] if the batch cannot be appended, else what the disk
-    /// reports. Nothing of the batch has an effect then.
+    /// [`StorageError::OutOfOrder`] or [`StorageError::TooLarge`] if the batch cannot be appended, otherwise
+    /// the error that the disk reports. After an error, no part of the batch has an effect.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
         let truncate_from = self.effective_truncation(batch);
-        self.check(batch, truncate_from)?;
+        self.validate(batch, truncate_from)?;
         if batch.hard_state.is_none() && truncate_from.is_none() && batch.entries.is_empty() {
             return Ok(());
         }
@@ -176,14 +178,14 @@
         Ok(())
     }
 
-    /// The truncation, if there is anything to remove.
+    /// Index from which the batch removes entries; `None` if there are no entries to remove.
     fn effective_truncation(&self, batch: &WriteBatch) -> Option<u64> {
-        let covered = self.snapshot.map_or(0, |snapshot| snapshot.index);
-        let from = batch.truncate_from?.max(covered.saturating_add(1));
+        let snapshot_index = self.snapshot.map_or(0, |snapshot| snapshot.index);
+        let from = batch.truncate_from?.max(snapshot_index.saturating_add(1));
         (from <= self.log.last()).then_some(from)
     }
 
-    fn check(&self, batch: &WriteBatch, truncate_from: Option<u64>) -> Result<(), StorageError> {
+    fn validate(&self, batch: &WriteBatch, truncate_from: Option<u64>) -> Result<(), StorageError> {
         let mut expected = truncate_from.unwrap_or(self.log.last().saturating_add(1));
         let mut bytes = 0;
         for entry in &batch.entries {
@@ -200,7 +202,8 @@
     }
 
     fn encode(&mut self, batch: &WriteBatch, truncate_from: Option<u64>) {
-        // Fits: a segment is left at the first batch that starts beyond `MAXIMUM_SEGMENT_BYTES`.
+        // The offset fits into 32 bits: no batch starts beyond `MAXIMUM_SEGMENT_BYTES`, the limit of
+        // `segment_bytes`.
         let active = self.segments.active();
         self.encoder.begin(active.number, active.bytes as u32);
         if let Some(state) = &batch.hard_state {
@@ -225,7 +228,7 @@
         Err(StorageError::from_io("append to", &self.segments.active().name(), error))
     }
 
-    /// Records a batch that is durable.
+    /// Applies a durable batch to the state in memory.
     fn record_batch(&mut self, batch: &WriteBatch, truncate_from: Option<u64>) {
         let bytes = self.encoder.bytes().len() as u64;
         self.segments.grow(bytes);
@@ -240,12 +243,13 @@
         }
     }
 
-    /// Starts a new segment. The old one is durable to its end: recovery relies on that.
+    /// Starts a new segment. The previous segment is completely durable at this point; recovery relies on
+    /// this.
     fn roll(&mut self) -> Result<(), StorageError> {
         let number = self.segments.active().number + 1;
         let name = names::segment(number);
         segment::encode_start(&mut self.encoder, number, &self.hard_state);
-        let created = create_with(&self.directory, &name, &[self.encoder.bytes()]);
+        let created = create_and_sync(&self.directory, &name, &[self.encoder.bytes()]);
         let synced = created.and_then(|file| sync_names(&self.directory).map(|()| file));
         match synced {
             Ok(file) => {
@@ -255,7 +259,8 @@
                 Ok(())
             }
             Err(error) => {
-                // If a restart found it, a torn tail of the old segment would look like damage.
+                // If a restart found the new segment, a torn tail of the previous one would be treated as
+                // damage.
                 self.repair.remove.push(name);
                 self.try_repair();
                 Err(error)
@@ -263,16 +268,18 @@
         }
     }
 
-    /// Writes a snapshot, durable when it returns; then removes what it replaces.
+    /// Writes a snapshot, then removes the files that it replaces. The snapshot is durable when the function
+    /// returns.
     ///
-    /// Entries after its index are kept, unless the log has an entry of another term at that index: then all entries are
-    /// dropped. A snapshot that is not newer than the present one is ignored.
+    /// Entries after the snapshot's index are kept, unless the log has an entry of a different term at that
+    /// index: in this case all entries are removed. A snapshot that is not newer than the current one is
+    /// ignored.
     ///
     /// # Errors
     ///
-    /// What the disk reports. The snapshot has no effect then.
+    /// The error that the disk reports. After an error, the snapshot has no effect.
     pub fn save_snapshot(&mut self, snapshot: &StoredSnapshot) -> Result<(), StorageError> {
-        if self.snapshot.is_some_and(|present| present.index >= snapshot.index) {
+        if self.snapshot.is_some_and(|current| current.index >= snapshot.index) {
             return Ok(());
         }
         self.repair()?;
@@ -306,7 +313,7 @@
             .map_err(|error| StorageError::from_io("rename to", &name, error));
         let synced = renamed.and_then(|()| sync_names(&self.directory));
         if let Err(error) = synced {
-            // If a restart found it, it would not match a log that was continued without it.
+            // If a restart found the snapshot, it would not match a log that was continued without it.
             self.repair.remove.extend([name, temporary]);
             self.try_repair();
             return Err(error);
@@ -314,13 +321,13 @@
         Ok((header.len() + snapshot.data.len()) as u64)
     }
 
-    /// Records a snapshot that is durable.
+    /// Applies a durable snapshot to the state in memory.
     fn record_snapshot(&mut self, snapshot: SnapshotInfo, first_segment: u64, diverged: bool) {
         if let Some(older) = self.snapshot.replace(snapshot) {
-            self.obsolete.push(Obsolete { name: names::snapshot(older.index), bytes: older.bytes });
+            self.obsolete.push(ObsoleteFile { name: names::snapshot(older.index), bytes: older.bytes });
         }
         let dropped = self.segments.drop_before(first_segment);
-        self.obsolete.extend(dropped.iter().map(Obsolete::from));
+        self.obsolete.extend(dropped.iter().map(ObsoleteFile::from));
         if diverged {
             self.log.reset(snapshot.index);
         } else {
@@ -328,29 +335,31 @@
         }
     }
 
-    /// Files that cannot be removed now are removed after the next snapshot or at the next start.
+    /// Removes obsolete files. Files that cannot be removed now are removed after the next snapshot or at the
+    /// next start.
     fn remove_obsolete(&mut self) {
         let directory = &self.directory;
         self.obsolete.retain(|file| remove_if_present(directory, &file.name).is_err());
     }
 
-    /// Writes and syncs a file under a temporary name; removes it again if that fails.
+    /// Writes and syncs a file under a temporary name. Removes the file if writing or syncing fails.
     fn write_temporary(&self, name: &str, parts: &[&[u8]]) -> Result<(), StorageError> {
         remove_if_present(&self.directory, name)?;
-        let created = create_with(&self.directory, name, parts);
+        let created = create_and_sync(&self.directory, name, parts);
         if created.is_err() {
-            // Frees the space now; else the next attempt or start removes the file.
+            // Frees the space now. If the removal fails, the next attempt or the next start removes the file.
             let _ = self.directory.remove(name);
         }
         created.map(|_| ())
     }
 
     fn try_repair(&mut self) {
-        // The caller gets the error that made the repair necessary; the next operation repeats it and reports its own.
+        // The caller reports the error that made the repair necessary. If the repair fails, the next
+        // operation repeats it and reports the error of the repair.
         let _ = self.repair();
     }
 
-    /// Durably removes what a failed operation left behind.
+    /// Durably removes the remains of a failed operation.
     fn repair(&mut self) -> Result<(), StorageError> {
         if !self.repair.is_needed() {
             return Ok(());
@@ -371,9 +380,9 @@
     }
 }
 
-impl From<&SegmentInfo> for Obsolete {
+impl From<&SegmentInfo> for ObsoleteFile {
     fn from(segment: &SegmentInfo) -> Self {
-        Obsolete { name: segment.name(), bytes: segment.bytes }
+        ObsoleteFile { name: segment.name(), bytes: segment.bytes }
     }
 }
 
@@ -382,8 +391,8 @@
     (record::HEADER_BYTES + FIXED_FIELDS_BYTES + entry.payload.len()) as u64
 }
 
-/// The names are synced first: after a kill, that of the snapshot which makes these files unnecessary may not be durable
-/// yet.
+/// Removes files that are not needed. Syncs the directory first: after a kill, the name of the snapshot that
+/// makes these files obsolete may not be durable yet.
 fn remove_leftovers<D: Directory>(directory: &D, leftovers: &[String]) -> Result<(), StorageError> {
     if leftovers.is_empty() {
         return Ok(());
@@ -395,7 +404,7 @@
     Ok(())
 }
 
-/// Opens the last segment and makes what was read of it durable, without its torn tail if it has one.
+/// Opens the last segment, truncates a torn tail, and makes the valid part durable.
 fn open_active<D: Directory>(
     directory: &D,
     active: &SegmentInfo,
@@ -422,7 +431,11 @@
     synced.map_err(|error| StorageError::from_io("truncate", name, error))
 }
 
-fn create_with<D: Directory>(directory: &D, name: &str, parts: &[&[u8]]) -> Result<D::File, StorageError> {
+fn create_and_sync<D: Directory>(
+    directory: &D,
+    name: &str,
+    parts: &[&[u8]],
+) -> Result<D::File, StorageError> {
     let create = || -> io::Result<D::File> {
         let mut file = directory.create(name)?;
         for part in parts {
--- a/crates/storage/src/types.rs
+++ b/crates/storage/src/types.rs
@@ -1,42 +1,42 @@
-//! Plain types that go into the store and come out of it.
+//! Data types that callers pass to the store and receive from it.
 
 use std::sync::Arc;
 
 /// The node that owns this disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Identity {
-    /// Identity of the node.
+    /// Identifier of the node.
     pub node_id: u64,
 }
 
-/// The term and vote of a node, which it must never forget.
+/// The term and vote of a node, which must survive every restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HardState {
-    /// The newest term seen.
+    /// The highest term that the node has seen.
     pub term: u64,
-    /// The node that this one voted for in that term.
+    /// The node that received this node's vote in `term`.
     pub vote: Option<u64>,
 }
 
 /// One entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredEntry {
-    /// Its position in the log, counted from 1.
+    /// Position in the log, counted from 1.
     pub index: u64,
-    /// Term of the leader that made it.
+    /// Term of the leader that created the entry.
     pub term: u64,
-    /// Tag of the payload, whose meaning is the caller's.
+    /// Type tag of the payload. The store does not interpret it.
     pub kind: u8,
-    /// The content, whose meaning is the caller's.
+    /// Content of the entry. The store does not interpret it.
     pub payload: Vec<u8>,
 }
 
-/// State of the replicated state machine after the entry `index`.
+/// State of the replicated state machine after applying the entry at `index`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredSnapshot {
-    /// The last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the entry at `index`.
     pub term: u64,
     /// The membership as of `index`, encoded by the caller.
     pub membership: Vec<u8>,
@@ -46,23 +46,24 @@
 
 /// Changes that are written and synced together, in the order of the fields.
 ///
-/// A loss of power in the middle of the write may leave the first few of them.
+/// A power loss during the write may leave any prefix of the changes on the disk.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WriteBatch {
     /// The new hard state, if it changes.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on are removed first, except those that the snapshot covers.
+    /// Entries from this index on are removed before `entries` are appended. Entries that the snapshot covers
+    /// are not affected.
     pub truncate_from: Option<u64>,
-    /// Entries that continue the log.
+    /// Entries to append to the log.
     pub entries: Vec<StoredEntry>,
 }
 
-/// What was found on the disk.
+/// State that [`Store::open`](crate::Store::open) recovered from the disk.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Recovered {
-    /// The owner of the disk; none before it was first written.
+    /// The node that owns the disk; `None` if no identity has been written.
     pub identity: Option<Identity>,
-    /// The last term and vote.
+    /// The last durable term and vote.
     pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<StoredSnapshot>,
@@ -73,7 +74,7 @@
 /// Settings of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreOptions {
-    /// A segment that has reached this many bytes is followed by a new one.
+    /// Size in bytes from which a segment is full: the next batch starts a new segment.
     pub segment_bytes: u64,
 }
 
--- a/crates/storage/tests/faults.rs
+++ b/crates/storage/tests/faults.rs
@@ -88,12 +88,14 @@
     assert_eq!(open(disk).1.entries.last(), Some(&entry(3, 5)));
 }
 
-/// The segment that was being created when the sync failed must not make a torn tail of the old one look like damage.
+/// The segment that was being created when the sync failed must not make a torn tail of the old one look like
+/// damage.
 #[test]
 fn a_new_segment_whose_sync_failed_does_not_come_back() {
     let large = StoreOptions { segment_bytes: 1 << 20 };
     for seed in 0..SEEDS {
-        // The file's own sync or that of the directory fails; with the second failure, what is left stays for later.
+        // The file's own sync or that of the directory fails; with the second failure, what is left stays for
+        // later.
         for (good, failing) in [(0, 1), (0, 2), (1, 1), (1, 2)] {
             let disk = ModelDirectory::new(seed);
             let (mut store, _) = open(disk.clone());
@@ -133,7 +135,8 @@
     }
 }
 
-/// A process that ends leaves writes in the cache of the system; what is read from there must be made durable.
+/// A process that ends leaves writes in the cache of the system; what is read from there must be made
+/// durable.
 #[test]
 fn what_is_recovered_after_a_kill_survives_a_loss_of_power() {
     for seed in 0..SEEDS {
@@ -150,7 +153,8 @@
     }
 }
 
-/// A snapshot whose name is not durable yet is found after a kill. What it replaces must not go before that name is.
+/// A snapshot whose name is not durable yet is found after a kill. What it replaces must not go before that
+/// name is.
 #[test]
 fn a_start_after_a_kill_that_loses_power_leaves_a_directory_that_opens() {
     const OPERATIONS_OF_A_SNAPSHOT: u64 = 12;
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Random scripts of operations, faults, kills and losses of power: all that was reported durable is there afterwards,
-//! in order, and nothing that was never written.
+//! Random scripts of operations, faults, kills and losses of power: all that was reported durable is there
+//! afterwards, in order, and nothing that was never written.
 
 mod support;
 
