--- a/crates/storage/tests/contract.rs
+++ b/crates/storage/tests/contract.rs
@@ -1,4 +1,4 @@
-//! One contract for the directory of the operating system and the modelled one, and for a store on either.
+//! Contract tests that run on both the directory of the operating system and the simulated directory.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use storage::{Directory, HardState, Identity, Recovered, StorageError, Store, StoreOptions, WriteBatch};
 use support::*;
 
-fn files_are_created_once_and_read_in_full<F: Fixture>() {
+fn create_rejects_existing_name_and_read_returns_all_bytes<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let mut file = directory.create("a").expect("create");
@@ -20,7 +20,7 @@
     assert_eq!(names(&directory), ["a"]);
 }
 
-fn appends_go_to_the_end_after_a_truncation<F: Fixture>() {
+fn append_after_truncation_writes_at_new_end<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let mut file = directory.create("a").expect("create");
@@ -32,7 +32,7 @@
     assert_eq!(directory.read("a").expect("read"), b"12xy");
 }
 
-fn missing_files_are_reported<F: Fixture>() {
+fn missing_files_give_not_found<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let kinds = [
@@ -44,7 +44,7 @@
     assert_eq!(kinds, [Some(ErrorKind::NotFound); 4]);
 }
 
-fn renames_replace_and_keep_open_files<F: Fixture>() {
+fn rename_replaces_target_and_keeps_open_file_valid<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let mut old = directory.create("b").expect("create");
@@ -59,7 +59,7 @@
     assert!(names(&directory).is_empty());
 }
 
-fn a_new_store_is_empty<F: Fixture>() {
+fn new_store_is_empty<F: Fixture>() {
     let fixture = F::new();
     let (store, recovered) = open(fixture.directory());
     assert_eq!(recovered, Recovered::default());
@@ -68,7 +68,7 @@
     assert_eq!(open(fixture.directory()).1, Recovered::default());
 }
 
-fn what_was_written_is_recovered<F: Fixture>() {
+fn written_state_is_recovered<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write_identity(&Identity { node_id: u64::MAX }).expect("identity");
@@ -84,7 +84,7 @@
     assert_eq!(store.last_index(), 3);
 }
 
-fn the_identity_may_change<F: Fixture>() {
+fn identity_can_be_replaced<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write_identity(&Identity { node_id: 1 }).expect("identity");
@@ -106,7 +106,7 @@
     assert_eq!(open(fixture.directory()).1.entries, expected);
 }
 
-fn truncating_beyond_the_end_changes_nothing<F: Fixture>() {
+fn truncation_beyond_the_end_changes_nothing<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&append(1..=3, 1)).expect("append");
@@ -134,7 +134,7 @@
     assert_eq!(open(fixture.directory()).1.entries, entries(1..=4, 1));
 }
 
-fn segments_roll_and_are_read_in_order<F: Fixture>() {
+fn full_segments_are_followed_by_new_ones_and_read_in_order<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&vote(7, None)).expect("vote");
@@ -148,7 +148,7 @@
     assert_eq!(recovered.hard_state, HardState { term: 7, vote: None });
 }
 
-fn usage_is_the_size_of_the_files<F: Fixture>() {
+fn disk_usage_is_total_file_size<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write_identity(&Identity { node_id: 1 }).expect("identity");
@@ -164,7 +164,7 @@
     assert_eq!(open(fixture.directory()).0.disk_usage_bytes(), total);
 }
 
-fn a_snapshot_replaces_the_log_before_it<F: Fixture>() {
+fn snapshot_replaces_earlier_log<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&vote(5, Some(2))).expect("vote");
@@ -186,7 +186,7 @@
     assert_eq!(snapshots.count(), 1);
 }
 
-fn a_snapshot_ahead_of_the_log_is_followed_by_its_next_entry<F: Fixture>() {
+fn log_continues_after_snapshot_beyond_its_end<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&append(1..=5, 1)).expect("append");
@@ -200,7 +200,7 @@
     assert_eq!(store.last_index(), 102);
 }
 
-fn a_snapshot_of_another_history_replaces_the_complete_log<F: Fixture>() {
+fn snapshot_with_conflicting_term_replaces_complete_log<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&vote(4, Some(1))).expect("vote");
@@ -214,21 +214,21 @@
     assert_eq!(recovered.hard_state, HardState { term: 4, vote: Some(1) });
 }
 
-fn an_older_snapshot_is_ignored<F: Fixture>() {
+fn older_snapshot_is_ignored<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     store.write(&append(1..=10, 1)).expect("append");
     store.save_snapshot(&snapshot(8, 1)).expect("snapshot");
     store.save_snapshot(&snapshot(6, 1)).expect("older");
     let batch = WriteBatch { truncate_from: Some(5), entries: entries(9..=9, 2), ..WriteBatch::default() };
-    store.write(&batch).expect("a truncation stops at the snapshot");
+    store.write(&batch).expect("a truncation does not go below the snapshot");
     drop(store);
     let (_, recovered) = open(fixture.directory());
     assert_eq!(recovered.snapshot, Some(snapshot(8, 1)));
     assert_eq!(recovered.entries, [entry(9, 2)]);
 }
 
-fn torn_tails_are_truncated_for_good<F: Fixture>() {
+fn torn_tail_is_truncated_on_disk<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let (mut store, _) = open(fixture.directory());
@@ -249,8 +249,8 @@
     }
 }
 
-/// Bytes of an old record, found again at another offset or in another segment, are no record.
-fn records_of_other_segments_and_offsets_are_not_accepted<F: Fixture>() {
+/// A copy of a valid record at another offset or in another segment must not be accepted as a record.
+fn records_copied_from_other_offsets_or_segments_are_rejected<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let (mut store, _) = open(fixture.directory());
@@ -272,15 +272,15 @@
     store.write(&vote(3, Some(3))).expect("vote in a new segment");
     drop(store);
     let second = segments(&directory)[1].clone();
-    let other = directory.read(&second).expect("read");
-    let mut mixed = other.clone();
-    mixed.truncate(start);
-    mixed.extend_from_slice(&content[start..end]);
-    rewrite(&directory, &second, &mixed);
+    let second_content = directory.read(&second).expect("read");
+    let mut copied = second_content.clone();
+    copied.truncate(start);
+    copied.extend_from_slice(&content[start..end]);
+    rewrite(&directory, &second, &copied);
     assert_eq!(open(fixture.directory()).1.hard_state, HardState { term: 2, vote: Some(2) });
 }
 
-fn a_segment_that_was_being_created_is_created_again<F: Fixture>() {
+fn incomplete_first_segment_is_recreated<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     drop(open(fixture.directory()));
@@ -293,7 +293,8 @@
     }
 }
 
-/// A damaged byte anywhere in what is proven durable is an error; elsewhere it may only cost the last batch.
+/// A damaged byte in the part that is proven durable is an error. A damaged byte in the last batch loses only
+/// that batch.
 fn damage_before_the_last_batch_is_an_error<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
@@ -342,7 +343,7 @@
     assert!(matches!(&error, StorageError::Missing { file } if *file == first), "{error}");
 }
 
-fn a_gap_between_segments_is_an_error<F: Fixture>() {
+fn gap_between_segments_is_an_error<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let (mut store, _) = open(fixture.directory());
@@ -356,7 +357,7 @@
     assert!(matches!(&error, StorageError::Missing { file } if *file == second), "{error}");
 }
 
-fn a_missing_log_beside_an_identity_is_an_error<F: Fixture>() {
+fn identity_without_log_is_an_error<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let (mut store, _) = open(fixture.directory());
@@ -367,7 +368,7 @@
     assert!(matches!(open_error(fixture.directory()), StorageError::Missing { .. }));
 }
 
-fn damaged_snapshots_and_identities_are_an_error<F: Fixture>() {
+fn damaged_snapshot_or_identity_is_an_error<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let (mut store, _) = open(fixture.directory());
@@ -391,7 +392,7 @@
     open(fixture.directory());
 }
 
-fn leftovers_are_removed_and_foreign_files_stay<F: Fixture>() {
+fn leftovers_are_removed_and_foreign_files_are_kept<F: Fixture>() {
     let fixture = F::new();
     let directory = fixture.directory();
     let (mut store, _) = open(fixture.directory());
@@ -404,13 +405,13 @@
     store.save_snapshot(&snapshot(40, 1)).expect("snapshot");
     drop(store);
     assert!(!segments(&directory).contains(&first));
-    let left = [
+    let leftovers = [
         (first.as_str(), old_segment.as_slice()),
         ("snapshot-00000000000000000020", &old_snapshot),
         ("snapshot-00000000000000000050.tmp", b"half a snapshot"),
         ("identity.tmp", b""),
     ];
-    for (name, content) in left {
+    for (name, content) in leftovers {
         let mut file = directory.create(name).expect("create");
         directory.append(&mut file, content).expect("append");
     }
@@ -422,11 +423,11 @@
     assert_eq!(recovered.snapshot, Some(snapshot(40, 1)));
     assert_eq!(recovered.entries, entries(41..=42, 1));
     let found = names(&directory);
-    assert!(left.iter().all(|(name, _)| !found.iter().any(|other| other == name)), "{found:?}");
+    assert!(leftovers.iter().all(|(name, _)| !found.iter().any(|other| other == name)), "{found:?}");
     assert!(foreign.iter().all(|name| found.iter().any(|other| other == name)), "{found:?}");
 }
 
-fn empty_and_large_payloads_are_kept<F: Fixture>() {
+fn empty_and_large_payloads_are_recovered<F: Fixture>() {
     let fixture = F::new();
     let (mut store, _) = open(fixture.directory());
     let mut batch = append(1..=3, 1);
@@ -459,30 +460,30 @@
 }
 
 contracts!(
-    files_are_created_once_and_read_in_full,
-    appends_go_to_the_end_after_a_truncation,
-    missing_files_are_reported,
-    renames_replace_and_keep_open_files,
-    a_new_store_is_empty,
-    what_was_written_is_recovered,
-    the_identity_may_change,
+    create_rejects_existing_name_and_read_returns_all_bytes,
+    append_after_truncation_writes_at_new_end,
+    missing_files_give_not_found,
+    rename_replaces_target_and_keeps_open_file_valid,
+    new_store_is_empty,
+    written_state_is_recovered,
+    identity_can_be_replaced,
     truncated_entries_are_replaced,
-    truncating_beyond_the_end_changes_nothing,
+    truncation_beyond_the_end_changes_nothing,
     batches_that_do_not_continue_the_log_are_rejected,
-    segments_roll_and_are_read_in_order,
-    usage_is_the_size_of_the_files,
-    a_snapshot_replaces_the_log_before_it,
-    a_snapshot_ahead_of_the_log_is_followed_by_its_next_entry,
-    a_snapshot_of_another_history_replaces_the_complete_log,
-    an_older_snapshot_is_ignored,
-    torn_tails_are_truncated_for_good,
-    records_of_other_segments_and_offsets_are_not_accepted,
-    a_segment_that_was_being_created_is_created_again,
+    full_segments_are_followed_by_new_ones_and_read_in_order,
+    disk_usage_is_total_file_size,
+    snapshot_replaces_earlier_log,
+    log_continues_after_snapshot_beyond_its_end,
+    snapshot_with_conflicting_term_replaces_complete_log,
+    older_snapshot_is_ignored,
+    torn_tail_is_truncated_on_disk,
+    records_copied_from_other_offsets_or_segments_are_rejected,
+    incomplete_first_segment_is_recreated,
     damage_before_the_last_batch_is_an_error,
     damage_before_a_later_segment_is_an_error,
-    a_gap_between_segments_is_an_error,
-    a_missing_log_beside_an_identity_is_an_error,
-    damaged_snapshots_and_identities_are_an_error,
-    leftovers_are_removed_and_foreign_files_stay,
-    empty_and_large_payloads_are_kept,
+    gap_between_segments_is_an_error,
+    identity_without_log_is_an_error,
+    damaged_snapshot_or_identity_is_an_error,
+    leftovers_are_removed_and_foreign_files_are_kept,
+    empty_and_large_payloads_are_recovered,
 );
--- a/crates/storage/tests/faults.rs
+++ b/crates/storage/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Full disks, failing syncs, kills and losses of power at chosen points.
+//! Full disks, failing syncs, kills and power losses at chosen points.
 
 mod support;
 
@@ -6,11 +6,11 @@
 use storage::{Directory, Identity, Recovered, StorageError, Store, StoreOptions, WriteBatch};
 use support::*;
 
-/// Enough to meet each of the things that a loss of power may do.
+/// Number of seeds; enough for every possible effect of a power loss to occur.
 const SEEDS: u64 = 200;
 
 #[test]
-fn a_full_disk_rejects_batches_and_accepts_them_later() {
+fn full_disk_rejects_batches_until_space_is_freed() {
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=2, 1)).expect("append");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_disk_without_space_for_a_new_segment_rejects_and_continues_later() {
+fn write_without_space_for_new_segment_fails_until_space_is_freed() {
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=10, 1)).expect("append");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_full_disk_rejects_snapshots_and_frees_their_space() {
+fn full_disk_rejects_snapshot_and_frees_its_space() {
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=2, 1)).expect("append");
@@ -58,12 +58,13 @@
 }
 
 #[test]
-fn a_batch_whose_sync_failed_is_not_found_once_a_later_one_is_written() {
+fn batch_with_failed_sync_does_not_reappear_after_next_write() {
     for seed in 0..SEEDS {
         let disk = ModelDirectory::new(seed);
         let (mut store, _) = open(disk.clone());
         store.write(&append(1..=2, 1)).expect("append");
-        // One failure: the truncation that follows is synced. Two: the truncation is left to the next write.
+        // With one failure, the following truncation is synced. With two, the next write repeats the
+        // truncation.
         disk.fail_syncs(0, 1 + seed % 2);
         let error = store.write(&append(3..=6, 1)).expect_err("sync fails");
         assert!(matches!(error, StorageError::Io { .. }), "{error}");
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn nothing_is_written_while_a_truncation_cannot_be_made_durable() {
+fn writes_fail_until_truncation_is_durable() {
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write(&append(1..=2, 1)).expect("append");
@@ -88,21 +89,21 @@
     assert_eq!(open(disk).1.entries.last(), Some(&entry(3, 5)));
 }
 
-/// The segment that was being created when the sync failed must not make a torn tail of the old one look like
-/// damage.
+/// If the sync of a new segment fails, the segment must not be found after a restart: a torn tail of the
+/// previous segment would then be reported as damage.
 #[test]
-fn a_new_segment_whose_sync_failed_does_not_come_back() {
+fn segment_with_failed_sync_does_not_reappear() {
     let large = StoreOptions { segment_bytes: 1 << 20 };
     for seed in 0..SEEDS {
-        // The file's own sync or that of the directory fails; with the second failure, what is left stays for
-        // later.
-        for (good, failing) in [(0, 1), (0, 2), (1, 1), (1, 2)] {
+        // The sync of the file or of the directory fails. With two failures, the first attempt to remove the
+        // segment fails too.
+        for (successes, failures) in [(0, 1), (0, 2), (1, 1), (1, 2)] {
             let disk = ModelDirectory::new(seed);
             let (mut store, _) = open(disk.clone());
             store.write(&append(1..=10, 1)).expect("append");
-            disk.fail_syncs(good, failing);
+            disk.fail_syncs(successes, failures);
             store.write(&append(11..=11, 1)).expect_err("sync fails");
-            // Whether the process restarts or not: the old segment continues, and its write is torn.
+            // With or without a restart, the next write goes to the old segment and may be torn.
             if seed % 2 == 0 {
                 disk.kill();
                 store = Store::open(disk.clone(), large).expect("open").0;
@@ -111,20 +112,23 @@
             let result = store.write(&append(11..=11, 2));
             disk.lose_power();
             let (_, recovered) = open(disk);
-            let with = [entries(1..=10, 1), entries(11..=11, 2)].concat();
-            assert!(recovered.entries == with || (result.is_err() && recovered.entries == with[..10]));
+            let with_entry = [entries(1..=10, 1), entries(11..=11, 2)].concat();
+            assert!(
+                recovered.entries == with_entry || (result.is_err() && recovered.entries == with_entry[..10])
+            );
         }
     }
 }
 
 #[test]
-fn a_snapshot_whose_sync_failed_does_not_come_back_beside_a_log_without_it() {
+fn snapshot_with_failed_sync_does_not_reappear() {
     for seed in 0..SEEDS {
         let disk = ModelDirectory::new(seed);
         let (mut store, _) = open(disk.clone());
         store.write(&append(1..=10, 1)).expect("append");
-        // Of another history, so that the log would go with it: the new segment and the file are synced, the
-        // directory is not, nor at the first attempts to remove the snapshot again.
+        // The snapshot has a conflicting term, so it would replace the complete log. The syncs of the new
+        // segment and of the snapshot file succeed. The sync of the directory fails, as do the first attempts
+        // to remove the snapshot.
         disk.fail_syncs(3, 1 + seed % 3);
         store.save_snapshot(&snapshot(5, 2)).expect_err("sync fails");
         while store.write(&append(11..=12, 1)).is_err() {}
@@ -135,10 +139,9 @@
     }
 }
 
-/// A process that ends leaves writes in the cache of the system; what is read from there must be made
-/// durable.
+/// A killed process leaves unsynced writes in the page cache. Recovery reads them and must make them durable.
 #[test]
-fn what_is_recovered_after_a_kill_survives_a_loss_of_power() {
+fn state_recovered_after_kill_survives_power_loss() {
     for seed in 0..SEEDS {
         let disk = ModelDirectory::new(seed);
         let (mut store, _) = open(disk.clone());
@@ -153,37 +156,38 @@
     }
 }
 
-/// A snapshot whose name is not durable yet is found after a kill. What it replaces must not go before that
-/// name is.
+/// After a kill, recovery may find a snapshot whose name is not durable yet. The files that the snapshot
+/// replaces must not be removed before the name is durable.
 #[test]
-fn a_start_after_a_kill_that_loses_power_leaves_a_directory_that_opens() {
-    const OPERATIONS_OF_A_SNAPSHOT: u64 = 12;
-    const OPERATIONS_OF_A_START: u64 = 10;
-    for stopped_at in 0..OPERATIONS_OF_A_SNAPSHOT {
-        for started_until in 0..OPERATIONS_OF_A_START {
+fn directory_opens_after_power_loss_during_restart_after_kill() {
+    const SNAPSHOT_OPERATIONS: u64 = 12;
+    const START_OPERATIONS: u64 = 10;
+    for snapshot_halted_at in 0..SNAPSHOT_OPERATIONS {
+        for start_halted_at in 0..START_OPERATIONS {
             for seed in 0..50 {
                 let disk = ModelDirectory::new(seed);
                 let (mut store, _) = open(disk.clone());
                 for index in 1..=30 {
                     store.write(&append(index..=index, 1)).expect("append");
                 }
-                disk.halt_after(stopped_at);
+                disk.halt_after(snapshot_halted_at);
                 let _ = store.save_snapshot(&snapshot(25, 2));
                 disk.kill();
-                disk.halt_after(started_until);
+                disk.halt_after(start_halted_at);
                 let _ = Store::open(disk.clone(), SMALL);
                 disk.lose_power();
                 let (_, recovered) = open(disk);
-                let replaced = recovered.snapshot == Some(snapshot(25, 2)) && recovered.entries.is_empty();
-                let as_before = recovered.snapshot.is_none() && recovered.entries == entries(1..=30, 1);
-                assert!(replaced || as_before, "{recovered:?}");
+                let has_snapshot =
+                    recovered.snapshot == Some(snapshot(25, 2)) && recovered.entries.is_empty();
+                let has_old_log = recovered.snapshot.is_none() && recovered.entries == entries(1..=30, 1);
+                assert!(has_snapshot || has_old_log, "{recovered:?}");
             }
         }
     }
 }
 
 #[test]
-fn an_interrupted_start_leaves_a_directory_that_opens() {
+fn directory_opens_after_interrupted_first_start() {
     for seed in 0..SEEDS {
         for operations in 0..6 {
             let disk = ModelDirectory::new(seed);
@@ -201,7 +205,7 @@
 }
 
 #[test]
-fn a_lost_disk_is_a_new_store() {
+fn erased_disk_opens_as_new_store() {
     let disk = ModelDirectory::new(1);
     let (mut store, _) = open(disk.clone());
     store.write_identity(&Identity { node_id: 5 }).expect("identity");
@@ -212,9 +216,9 @@
     assert_eq!(names(&disk).len(), 1);
 }
 
-/// The model does what it says: each of the three fates of a write occurs, and synced ones always stay.
+/// Checks the model itself: unsynced writes are kept, lost or torn, and synced writes are always kept.
 #[test]
-fn the_model_keeps_loses_and_tears_writes() {
+fn model_keeps_loses_and_tears_unsynced_writes() {
     let mut kept = 0;
     let mut lost = 0;
     let mut torn = 0;
@@ -239,7 +243,7 @@
 }
 
 #[test]
-fn the_model_keeps_and_loses_names() {
+fn model_keeps_and_loses_unsynced_names() {
     let mut found = std::collections::BTreeSet::new();
     for seed in 0..SEEDS {
         let disk = ModelDirectory::new(seed);
--- a/crates/storage/tests/inspect.rs
+++ b/crates/storage/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! Inspection of a directory verifies every file and changes none.
+//! Inspection of a directory verifies every file and does not change any.
 
 mod support;
 
@@ -17,8 +17,8 @@
     WriteBatch { hard_state: Some(HardState { term: 2, vote: Some(5) }), truncate_from: None, entries }
 }
 
-/// Three segments, a snapshot up to entry 6, entries up to 12.
-fn filled(options: StoreOptions) -> ModelFixture {
+/// A directory with a snapshot up to entry 6 and entries up to 12. Small segments give several segment files.
+fn filled_directory(options: StoreOptions) -> ModelFixture {
     let fixture = ModelFixture::new();
     let (mut store, _) = Store::open(fixture.directory(), options).expect("an empty directory");
     store.write_identity(&Identity { node_id: 5 }).expect("written");
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn an_undamaged_directory_is_shown_as_a_start_would_find_it() {
-    let fixture = filled(SMALL);
+fn inspection_reports_state_that_a_start_would_recover() {
+    let fixture = filled_directory(SMALL);
     let directory = fixture.directory();
     let before = files(&directory);
     let inspection = inspect(&directory).expect("inspection");
-    assert_eq!(files(&directory), before, "nothing is changed");
+    assert_eq!(files(&directory), before, "inspection changed a file");
 
-    let log = inspection.log.as_ref().expect("a sound log");
+    let log = inspection.log.as_ref().expect("an undamaged log");
     assert_eq!(log.identity, Some(Identity { node_id: 5 }));
     assert_eq!(log.hard_state, HardState { term: 2, vote: Some(5) });
     assert_eq!(log.snapshot.as_ref().map(|snapshot| snapshot.index), Some(6));
@@ -73,26 +73,26 @@
 }
 
 #[test]
-fn every_damaged_file_is_named_and_the_others_are_still_shown() {
-    let fixture = filled(SMALL);
+fn every_damaged_file_is_reported() {
+    let fixture = filled_directory(SMALL);
     let directory = fixture.directory();
     for name in directory.list().expect("a list") {
-        let sound = directory.read(&name).expect("a file");
-        let mut damaged = sound.clone();
-        damaged[25.min(sound.len() - 1)] ^= 1;
+        let undamaged = directory.read(&name).expect("a file");
+        let mut damaged = undamaged.clone();
+        damaged[25.min(undamaged.len() - 1)] ^= 1;
         rewrite(&directory, &name, &damaged);
         let inspection = inspect(&directory).expect("inspection");
         let found = inspection.files.iter().find(|file| file.name == name).expect("the file");
         match &found.content {
             FileContent::Damaged(_) => {}
             FileContent::Segment { end, .. } => assert_ne!(*end, SegmentHealth::Complete, "{name}"),
-            other => panic!("{name} is damaged, not {other:?}"),
+            other => panic!("{name} is damaged but reported as {other:?}"),
         }
-        let is_last_segment = inspection.files.iter().rfind(|file| file.name.starts_with("segment"));
-        if is_last_segment.is_none_or(|last| last.name != name) {
+        let last_segment = inspection.files.iter().rfind(|file| file.name.starts_with("segment"));
+        if last_segment.is_none_or(|last| last.name != name) {
             assert!(matches!(inspection.log, Err(StorageError::Corrupt { .. })), "{name}");
         }
-        rewrite(&directory, &name, &sound);
+        rewrite(&directory, &name, &undamaged);
     }
     assert!(inspect(&directory).expect("inspection").log.is_ok());
 }
@@ -105,24 +105,24 @@
 }
 
 #[test]
-fn a_torn_tail_is_reported_and_not_changed() {
-    let fixture = filled(StoreOptions::default());
+fn torn_tail_is_reported() {
+    let fixture = filled_directory(StoreOptions::default());
     let directory = fixture.directory();
     let name = directory.list().expect("a list").into_iter().filter(|name| name.starts_with("segment")).max();
     let mut file = directory.open(&name.expect("a segment")).expect("a file");
     directory.append(&mut file, &[0; 5]).expect("written");
     let inspection = inspect(&directory).expect("inspection");
-    assert!(inspection.log.expect("a sound log").truncates_torn_tail);
+    assert!(inspection.log.expect("an undamaged log").truncates_torn_tail);
 }
 
 #[test]
 fn foreign_and_temporary_files_are_distinguished() {
-    let fixture = filled(StoreOptions::default());
+    let fixture = filled_directory(StoreOptions::default());
     let directory = fixture.directory();
     directory.create("notes.txt").expect("created");
     directory.create("identity.tmp").expect("created");
     let inspection = inspect(&directory).expect("inspection");
     assert_eq!(content(&inspection, "notes"), [&FileContent::Foreign]);
     assert!(content(&inspection, "identity").contains(&&FileContent::Temporary));
-    assert_eq!(inspection.log.expect("a sound log").leftovers, ["identity.tmp"]);
+    assert_eq!(inspection.log.expect("an undamaged log").leftovers, ["identity.tmp"]);
 }
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -1,15 +1,15 @@
-//! Random scripts of operations, faults, kills and losses of power: all that was reported durable is there
-//! afterwards, in order, and nothing that was never written.
+//! Random scripts of operations, faults, kills and power losses. After each restart, the store holds all data
+//! that was reported durable, in order, and nothing that was never written.
 
 mod support;
 
 use quickcheck::{Gen, QuickCheck, TestResult};
-use support::script::{Failure, Player, Step};
+use support::script::{Failure, ScriptRunner, Step};
 
-/// Steps of a script.
+/// Maximum number of steps of a random script.
 const STEPS: usize = 60;
-/// Steps of a script that is stopped at each of its operations.
-const STEPS_STOPPED_EVERYWHERE: usize = 12;
+/// Maximum number of steps of a script that is run once for each operation at which it can be halted.
+const STEPS_HALTED_EVERYWHERE: usize = 12;
 
 fn to_test_result(result: Result<(), Failure>) -> TestResult {
     match result {
@@ -22,36 +22,37 @@
     [150, 400, 1500, 1 << 20][(seed % 4) as usize]
 }
 
-/// Two losses of power with a write between: what was recovered is durable, and the store goes on.
-fn finish(player: &mut Player) -> Result<(), Failure> {
-    player.lose_power();
+/// Loses power several times with writes in between: the recovered state is durable, and the store accepts
+/// writes.
+fn finish(runner: &mut ScriptRunner) -> Result<(), Failure> {
+    runner.lose_power();
     for bytes in [10, 20] {
-        while !player.start()? {}
-        player.play(&Step::Append { count: 2, bytes, vote: true })?;
-        player.lose_power();
+        while !runner.start()? {}
+        runner.run_step(&Step::Append { count: 2, bytes, vote: true })?;
+        runner.lose_power();
     }
-    while !player.start()? {}
+    while !runner.start()? {}
     Ok(())
 }
 
-fn play(seed: u64, steps: &[Step]) -> Result<(), Failure> {
-    let mut player = Player::new(seed, segment_bytes(seed));
+fn run_script(seed: u64, steps: &[Step]) -> Result<(), Failure> {
+    let mut runner = ScriptRunner::new(seed, segment_bytes(seed));
     for step in steps {
-        player.play(step)?;
+        runner.run_step(step)?;
     }
-    finish(&mut player)
+    finish(&mut runner)
 }
 
-/// Plays the script once for each of its operations, which is the one that is not finished.
-fn play_stopped_everywhere(seed: u64, steps: &[Step]) -> Result<(), Failure> {
+/// Runs the script once for each of its operations and halts that operation.
+fn run_halted_everywhere(seed: u64, steps: &[Step]) -> Result<(), Failure> {
     for operations in 0.. {
-        let mut player = Player::new(seed.wrapping_add(operations), segment_bytes(seed));
-        player.disk.halt_after(operations);
+        let mut runner = ScriptRunner::new(seed.wrapping_add(operations), segment_bytes(seed));
+        runner.disk.halt_after(operations);
         for step in steps {
-            player.play(step)?;
+            runner.run_step(step)?;
         }
-        let reached = player.disk.operations() > operations;
-        finish(&mut player)?;
+        let reached = runner.disk.operations() > operations;
+        finish(&mut runner)?;
         if !reached {
             break;
         }
@@ -60,19 +61,19 @@
 }
 
 #[test]
-fn what_was_reported_durable_survives_any_script() {
+fn durable_state_survives_random_scripts() {
     fn property(seed: u64, steps: Vec<Step>) -> TestResult {
-        to_test_result(play(seed, &steps))
+        to_test_result(run_script(seed, &steps))
     }
     let mut check = QuickCheck::new().rng(Gen::new(STEPS)).tests(3000);
     check.quickcheck(property as fn(u64, Vec<Step>) -> TestResult);
 }
 
 #[test]
-fn what_was_reported_durable_survives_a_stop_at_every_operation() {
+fn durable_state_survives_halt_at_every_operation() {
     fn property(seed: u64, steps: Vec<Step>) -> TestResult {
-        to_test_result(play_stopped_everywhere(seed, &steps))
+        to_test_result(run_halted_everywhere(seed, &steps))
     }
-    let mut check = QuickCheck::new().rng(Gen::new(STEPS_STOPPED_EVERYWHERE)).tests(300);
+    let mut check = QuickCheck::new().rng(Gen::new(STEPS_HALTED_EVERYWHERE)).tests(300);
     check.quickcheck(property as fn(u64, Vec<Step>) -> TestResult);
 }
--- a/crates/storage/tests/support/mod.rs
+++ b/crates/storage/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: folders of their own, and short ways to make batches.
-#![allow(dead_code)] // each test file uses a part of it
+//! Helpers shared by the tests: temporary directories and constructors of batches.
+#![allow(dead_code)] // each test file uses only a part of the helpers
 
 pub mod script;
 
@@ -13,25 +13,25 @@
     StoredSnapshot, WriteBatch,
 };
 
-/// Small segments, so that a few entries roll them.
+/// Options with small segments, so that a few entries fill a segment.
 pub const SMALL: StoreOptions = StoreOptions { segment_bytes: 300 };
 
-/// A folder that a test may open again and again.
+/// A directory that a test can open repeatedly.
 pub trait Fixture {
-    type Folder: Directory;
+    type Directory: Directory;
 
     fn new() -> Self;
 
-    fn directory(&self) -> Self::Folder;
+    fn directory(&self) -> Self::Directory;
 }
 
-/// A temporary folder of the operating system.
+/// A temporary directory of the operating system.
 pub struct FileFixture {
     path: PathBuf,
 }
 
 impl Fixture for FileFixture {
-    type Folder = FileDirectory;
+    type Directory = FileDirectory;
 
     fn new() -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
@@ -41,7 +41,7 @@
     }
 
     fn directory(&self) -> FileDirectory {
-        FileDirectory::new(&self.path).expect("temporary folder")
+        FileDirectory::new(&self.path).expect("temporary directory")
     }
 }
 
@@ -51,13 +51,13 @@
     }
 }
 
-/// A modelled folder.
+/// A simulated directory.
 pub struct ModelFixture {
     pub disk: ModelDirectory,
 }
 
 impl Fixture for ModelFixture {
-    type Folder = ModelDirectory;
+    type Directory = ModelDirectory;
 
     fn new() -> Self {
         ModelFixture { disk: ModelDirectory::new(1) }
@@ -74,7 +74,7 @@
 
 pub fn open_error<D: Directory>(directory: D) -> StorageError {
     match Store::open(directory, SMALL) {
-        Ok(_) => panic!("the store opened"),
+        Ok(_) => panic!("the store opened without an error"),
         Err(error) => error,
     }
 }
@@ -101,28 +101,28 @@
     StoredSnapshot { index, term, membership: vec![1, 2, 3], data: Arc::new(data) }
 }
 
-/// Names of the files, sorted.
+/// Returns the sorted names of all files.
 pub fn names<D: Directory>(directory: &D) -> Vec<String> {
     let mut names = directory.list().expect("list");
     names.sort();
     names
 }
 
-/// Names of the segments, oldest first.
+/// Returns the names of the segment files, oldest first.
 pub fn segments<D: Directory>(directory: &D) -> Vec<String> {
     names(directory).into_iter().filter(|name| name.starts_with("segment-")).collect()
 }
 
-/// Replaces a file's content.
+/// Replaces the content of a file durably.
 pub fn rewrite<D: Directory>(directory: &D, name: &str, content: &[u8]) {
     directory.remove(name).expect("remove");
     let mut file = directory.create(name).expect("create");
     directory.append(&mut file, content).expect("append");
     directory.sync(&mut file).expect("sync");
-    directory.sync_directory().expect("sync the folder");
+    directory.sync_directory().expect("sync the directory");
 }
 
-/// Flips a bit of the byte at `offset`.
+/// Flips one bit of the byte at `offset`.
 pub fn damage<D: Directory>(directory: &D, name: &str, offset: usize) {
     let mut content = directory.read(name).expect("read");
     content[offset] ^= 0x10;
--- a/crates/storage/tests/support/script.rs
+++ b/crates/storage/tests/support/script.rs
@@ -1,4 +1,4 @@
-//! Random scripts of operations and faults, played on a store beside a plain copy of what it must hold.
+//! Random scripts of operations and faults. They run on a store and on a simple model of its expected state.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
     WriteBatch,
 };
 
-/// One thing that happens to a store.
+/// One step of a script: an operation on the store or a fault.
 #[derive(Debug, Clone)]
 pub enum Step {
     Vote {
@@ -21,21 +21,21 @@
         bytes: u8,
         vote: bool,
     },
-    /// Replaces up to `back` entries from the end by `count` others, perhaps none.
+    /// Replaces up to `back` entries at the end of the log by `count` new ones. `count` may be 0.
     Replace {
         back: u8,
         count: u8,
     },
-    /// Of the node's own log, `back` entries before its end.
+    /// Saves a snapshot of the node's own log, `back` entries before its end.
     Snapshot {
         back: u8,
         bytes: u8,
     },
-    /// Of another node, beyond the log.
+    /// Saves a snapshot of another node that ends `ahead` entries after the log.
     SnapshotAhead {
         ahead: u8,
     },
-    /// Of another node, whose history differs from the log's `back` entries before its end.
+    /// Saves a snapshot of another node with a conflicting term, `back` entries before the end of the log.
     SnapshotDiverged {
         back: u8,
     },
@@ -45,13 +45,13 @@
     Kill,
     LosePower,
     FailSyncs {
-        good: u8,
+        passing: u8,
         failing: u8,
     },
     Capacity {
         bytes: Option<u16>,
     },
-    /// Stops in the middle of an operation soon after, by a kill or a loss of power.
+    /// Halts in the middle of an operation after `operations` more, followed by a kill or a power loss.
     Halt {
         operations: u8,
     },
@@ -59,63 +59,63 @@
 
 impl Arbitrary for Step {
     fn arbitrary(gen: &mut Gen) -> Self {
-        let small = |gen: &mut Gen, limit: u8| u8::arbitrary(gen) % limit;
-        match small(gen, 24) {
+        let below = |gen: &mut Gen, limit: u8| u8::arbitrary(gen) % limit;
+        match below(gen, 24) {
             0..=1 => Step::Vote { term: u8::arbitrary(gen), vote: Option::arbitrary(gen) },
             2..=9 => Step::Append {
-                count: 1 + small(gen, 5),
+                count: 1 + below(gen, 5),
                 bytes: u8::arbitrary(gen),
                 vote: bool::arbitrary(gen),
             },
-            10..=12 => Step::Replace { back: small(gen, 12), count: small(gen, 4) },
-            13..=14 => Step::Snapshot { back: small(gen, 12), bytes: u8::arbitrary(gen) },
-            15 => Step::SnapshotAhead { ahead: 1 + small(gen, 9) },
-            16 => Step::SnapshotDiverged { back: small(gen, 12) },
+            10..=12 => Step::Replace { back: below(gen, 12), count: below(gen, 4) },
+            13..=14 => Step::Snapshot { back: below(gen, 12), bytes: u8::arbitrary(gen) },
+            15 => Step::SnapshotAhead { ahead: 1 + below(gen, 9) },
+            16 => Step::SnapshotDiverged { back: below(gen, 12) },
             17 => Step::Identity { node_id: u8::arbitrary(gen) },
             18 => Step::Kill,
             19 => Step::LosePower,
-            20 => Step::FailSyncs { good: small(gen, 4), failing: 1 + small(gen, 3) },
+            20 => Step::FailSyncs { passing: below(gen, 4), failing: 1 + below(gen, 3) },
             21 => Step::Capacity { bytes: Option::arbitrary(gen) },
-            _ => Step::Halt { operations: small(gen, 12) },
+            _ => Step::Halt { operations: below(gen, 12) },
         }
     }
 }
 
-/// A disk, the store on it, and what it must hold.
-pub struct Player {
+/// Runs scripts on a store and compares the recovered state with the expected state.
+pub struct ScriptRunner {
     pub disk: ModelDirectory,
     options: StoreOptions,
     store: Option<Store<ModelDirectory>>,
-    /// What was reported durable.
+    /// State that was reported durable.
     expected: Recovered,
-    /// What else may be found: an operation that failed may have taken effect, or the beginning of it.
+    /// Other states that recovery may find: a failed operation may have taken effect completely or in part.
     possible: Vec<Recovered>,
     possible_identities: Vec<Option<Identity>>,
-    /// Makes every payload different.
-    written: u64,
-    /// How an operation that was halted ended: by turns a loss of power and a kill.
-    halts: u64,
+    /// Incremented for each entry and snapshot, so that all payloads differ.
+    payload_counter: u64,
+    /// Number of halts, plus 1 for odd seeds. Its parity decides between a kill and a power loss.
+    halt_count: u64,
 }
 
-/// Why a script failed.
+/// Description of why a script failed.
 pub type Failure = String;
 
-impl Player {
+impl ScriptRunner {
     pub fn new(seed: u64, segment_bytes: u64) -> Self {
-        Player {
+        ScriptRunner {
             disk: ModelDirectory::new(seed),
             options: StoreOptions { segment_bytes },
             store: None,
             expected: Recovered::default(),
             possible: Vec::new(),
             possible_identities: Vec::new(),
-            written: 0,
-            halts: seed % 2,
+            payload_counter: 0,
+            halt_count: seed % 2,
         }
     }
 
-    /// Carries out a step, after a start if the store is not open.
-    pub fn play(&mut self, step: &Step) -> Result<(), Failure> {
+    /// Runs a step. Opens the store first if it is not open.
+    pub fn run_step(&mut self, step: &Step) -> Result<(), Failure> {
         if self.store.is_none() && !self.start()? {
             return Ok(());
         }
@@ -138,7 +138,7 @@
             Step::Identity { node_id } => self.write_identity(Identity { node_id: node_id.into() }),
             Step::Kill => self.kill(),
             Step::LosePower => self.lose_power(),
-            Step::FailSyncs { good, failing } => self.disk.fail_syncs(good.into(), failing.into()),
+            Step::FailSyncs { passing, failing } => self.disk.fail_syncs(passing.into(), failing.into()),
             Step::Capacity { bytes } => {
                 let capacity = bytes.map(|bytes| self.disk.used_bytes() + u64::from(bytes % 1024));
                 self.disk.set_capacity(capacity);
@@ -159,13 +159,14 @@
         self.disk.lose_power();
     }
 
-    /// Opens the store and compares; `false` if a fault kept it from opening.
+    /// Opens the store and compares the recovered state with the expected one. Returns `false` if an injected
+    /// fault prevented the store from opening.
     pub fn start(&mut self) -> Result<bool, Failure> {
         let opened = Store::open(self.disk.clone(), self.options);
         let (store, recovered) = match opened {
             Ok(opened) => opened,
             Err(error @ (StorageError::Corrupt { .. } | StorageError::Missing { .. })) => {
-                return Err(format!("does not open: {error}"));
+                return Err(format!("store does not open: {error}"));
             }
             Err(_) => {
                 self.disk.fail_syncs(0, 0);
@@ -176,7 +177,11 @@
         };
         self.compare(&recovered)?;
         if store.disk_usage_bytes() != self.disk.used_bytes() {
-            return Err(format!("usage {} of {}", store.disk_usage_bytes(), self.disk.used_bytes()));
+            return Err(format!(
+                "disk usage is {}, not {}",
+                store.disk_usage_bytes(),
+                self.disk.used_bytes()
+            ));
         }
         self.possible_identities = vec![recovered.identity];
         self.possible.clear();
@@ -188,14 +193,14 @@
     fn compare(&self, recovered: &Recovered) -> Result<(), Failure> {
         let identity = recovered.identity;
         if identity != self.expected.identity && !self.possible_identities.contains(&identity) {
-            return Err(format!("identity {identity:?}, not {:?}", self.possible_identities));
+            return Err(format!("identity is {identity:?}, not one of {:?}", self.possible_identities));
         }
-        let same = |other: &Recovered| {
+        let matches = |other: &Recovered| {
             other.hard_state == recovered.hard_state
                 && other.snapshot == recovered.snapshot
                 && other.entries == recovered.entries
         };
-        if same(&self.expected) || self.possible.iter().any(same) {
+        if matches(&self.expected) || self.possible.iter().any(matches) {
             return Ok(());
         }
         Err(format!("found {recovered:?}\nnot {:?}\nnor any of {:?}", self.expected, self.possible))
@@ -207,18 +212,18 @@
         };
         let last = self.last_index();
         if store.last_index() != last {
-            return Err(format!("last index {}, not {last}", store.last_index()));
+            return Err(format!("last index is {}, not {last}", store.last_index()));
         }
         Ok(())
     }
 
-    /// After a halted operation, the process or the machine goes down.
+    /// Ends a halt by a kill or a power loss.
     fn finish_halt(&mut self) {
         if !self.disk.is_halted() {
             return;
         }
-        self.halts += 1;
-        if self.halts % 2 == 0 {
+        self.halt_count += 1;
+        if self.halt_count % 2 == 0 {
             self.kill();
         } else {
             self.lose_power();
@@ -226,19 +231,19 @@
     }
 
     fn last_index(&self) -> u64 {
-        let covered = self.expected.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        covered + self.expected.entries.len() as u64
+        let snapshot_index = self.expected.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        snapshot_index + self.expected.entries.len() as u64
     }
 
     fn last_term(&self) -> u64 {
-        let covered = self.expected.snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
-        self.expected.entries.last().map_or(covered, |entry| entry.term)
+        let snapshot_term = self.expected.snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
+        self.expected.entries.last().map_or(snapshot_term, |entry| entry.term)
     }
 
     fn make_entries(&mut self, first: u64, count: u8, term: u64, bytes: usize) -> Vec<StoredEntry> {
         let make = |index: u64| {
-            self.written += 1;
-            let mut payload = self.written.to_le_bytes().to_vec();
+            self.payload_counter += 1;
+            let mut payload = self.payload_counter.to_le_bytes().to_vec();
             payload.resize(payload.len() + bytes, index as u8);
             StoredEntry { index, term, kind: bytes as u8, payload }
         };
@@ -248,7 +253,7 @@
     fn append(&mut self, count: u8, bytes: u8, vote: bool) {
         let term = self.last_term().max(1);
         let entries = self.make_entries(self.last_index() + 1, count, term, bytes.into());
-        let hard_state = vote.then_some(HardState { term, vote: Some(self.written) });
+        let hard_state = vote.then_some(HardState { term, vote: Some(self.payload_counter) });
         self.write(WriteBatch { hard_state, truncate_from: None, entries });
     }
 
@@ -281,19 +286,21 @@
     }
 
     fn save_snapshot(&mut self, index: u64, term: u64, bytes: usize) {
-        let covered = self.expected.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let Some(store) = self.store.as_mut().filter(|_| index > covered) else {
+        let snapshot_index = self.expected.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let Some(store) = self.store.as_mut().filter(|_| index > snapshot_index) else {
             return;
         };
-        self.written += 1;
-        let data = Arc::new(vec![self.written as u8; bytes]);
-        let snapshot = StoredSnapshot { index, term, membership: self.written.to_le_bytes().to_vec(), data };
+        self.payload_counter += 1;
+        let data = Arc::new(vec![self.payload_counter as u8; bytes]);
+        let snapshot =
+            StoredSnapshot { index, term, membership: self.payload_counter.to_le_bytes().to_vec(), data };
         let saved = store.save_snapshot(&snapshot);
         let after = apply_snapshot(&self.expected, snapshot);
         self.record_outcome(saved.is_ok(), vec![after]);
     }
 
-    /// Records how an operation ended. `states` are those that it passes through; the last one is its result.
+    /// Records the outcome of an operation. `states` are the successive states during the operation; the last
+    /// one is its result.
     fn record_outcome(&mut self, succeeded: bool, mut states: Vec<Recovered>) {
         if !succeeded {
             self.possible.append(&mut states);
@@ -317,7 +324,7 @@
     }
 }
 
-/// States after the first record of the batch, the first two, and so on.
+/// Returns the states after each prefix of the records of the batch.
 fn apply_in_parts(before: &Recovered, batch: &WriteBatch) -> Vec<Recovered> {
     let mut parts = Vec::new();
     let mut state = before.clone();
@@ -338,9 +345,9 @@
 
 fn apply_snapshot(before: &Recovered, snapshot: StoredSnapshot) -> Recovered {
     let mut state = before.clone();
-    let known =
+    let is_in_log =
         state.entries.iter().any(|entry| entry.index == snapshot.index && entry.term == snapshot.term);
-    state.entries.retain(|entry| known && entry.index > snapshot.index);
+    state.entries.retain(|entry| is_in_log && entry.index > snapshot.index);
     state.snapshot = Some(snapshot);
     state
 }
