--- a/crates/messages/src/framing.rs
+++ b/crates/messages/src/framing.rs
@@ -1,30 +1,33 @@
-//! Encoding of messages, and frames on a byte stream: a length (u32, little endian), then one message.
+//! Encoding of messages, and framing on a byte stream: each frame is a length (`u32`, little endian) and one
+//! message.
 
 use bytes::{Buf, BytesMut};
 use quick_error::quick_error;
 use quick_protobuf::{BytesReader, MessageRead, MessageWrite, Writer};
 
-/// Bytes of the length that precedes each message.
+/// Size of the length field before each message.
 pub const FRAME_HEADER_BYTES: usize = 4;
-/// The longest message that is read, in bytes: no process of this system sends a longer one.
+/// Maximum length of a message. No process of this system sends a longer message.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 quick_error! {
-    /// Why bytes cannot be read as a message.
+    /// Error in reading a message.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum FrameError {
         /// The length of a frame exceeds `MAX_FRAME_BYTES`.
         TooLong(bytes: usize) {
-            display("a frame of {bytes} bytes exceeds the {MAX_FRAME_BYTES} that peers send: close the connection, the peer is not of this system")
+            display("a frame of {bytes} bytes exceeds the maximum of {MAX_FRAME_BYTES}: \
+                close the connection, the peer does not belong to this system")
         }
-        /// The bytes are not a message of the schema.
+        /// The bytes are not a valid message of the expected type.
         Malformed(reason: String) {
-            display("a message cannot be read ({reason}): close the connection, and check that both sides run compatible versions")
+            display("a message cannot be read ({reason}): \
+                close the connection, and check that both sides run compatible versions")
         }
     }
 }
 
-/// Encodes one message, without a length.
+/// Encodes one message without a length field.
 pub fn encode<M: MessageWrite>(message: &M) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(message.get_size());
     let mut writer = Writer::new(&mut bytes);
@@ -32,17 +35,17 @@
     bytes
 }
 
-/// Decodes a message from all of `bytes`.
+/// Decodes a message that fills all of `bytes`. Unknown fields of newer versions are skipped.
 ///
 /// # Errors
 ///
-/// `Malformed` if the bytes are not a message of this type. Fields of newer versions are skipped.
+/// [`FrameError::Malformed`] if the bytes are not a message of this type.
 pub fn decode<'a, M: MessageRead<'a>>(bytes: &'a [u8]) -> Result<M, FrameError> {
     let mut reader = BytesReader::from_bytes(bytes);
     M::from_reader(&mut reader, bytes).map_err(|error| FrameError::Malformed(error.to_string()))
 }
 
-/// Appends the frame of `message` to `out`.
+/// Appends a frame with `message` to `out`.
 pub fn encode_frame<M: MessageWrite>(message: &M, out: &mut Vec<u8>) {
     let length = message.get_size();
     out.reserve(FRAME_HEADER_BYTES + length);
@@ -53,29 +56,30 @@
 
 /// Splits a byte stream into frames.
 ///
-/// Bytes are appended to `buffer` in chunks of any size as they arrive; `next_frame` removes one complete frame after
-/// the other. After an error the position in the stream is lost, and the connection must be closed.
+/// The caller appends received bytes to [`buffer`](Self::buffer) in chunks of any size.
+/// [`next_frame`](Self::next_frame) removes complete frames one by one. After an error, the position of the
+/// next frame is unknown and the connection must be closed.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: BytesMut,
 }
 
 impl FrameReader {
-    /// A reader at the start of a stream.
+    /// Creates a reader at the start of a stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The buffer to which received bytes are appended.
+    /// Returns the buffer to which the caller appends received bytes.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// The message of the next complete frame; `None` until more bytes arrive.
+    /// Removes the next complete frame and returns its message. Returns `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// `TooLong` if the length exceeds `MAX_FRAME_BYTES`.
+    /// [`FrameError::TooLong`] if the length of the frame exceeds [`MAX_FRAME_BYTES`].
     pub fn next_frame(&mut self) -> Result<Option<BytesMut>, FrameError> {
         let Some(header) = self.buffer.first_chunk::<FRAME_HEADER_BYTES>() else {
             return Ok(None);
--- a/crates/messages/tests/framing.rs
+++ b/crates/messages/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Frames arrive in chunks of any size, and no bytes make a reader panic.
+//! Framing: frames arrive in chunks of any size, and no input causes a panic.
 
 use messages::{decode, encode, encode_frame, job, peer, FrameError, FrameReader, MAX_FRAME_BYTES};
 use quickcheck::{quickcheck, QuickCheck};
@@ -8,7 +8,7 @@
 }
 
 quickcheck! {
-    fn frames_are_complete_whatever_the_size_of_chunks(numbers: Vec<u64>, size: usize) -> bool {
+    fn frames_are_reassembled_from_chunks_of_any_size(numbers: Vec<u64>, size: usize) -> bool {
         let mut bytes = Vec::new();
         numbers.iter().for_each(|number| encode_frame(&ping(*number), &mut bytes));
         let mut reader = FrameReader::new();
@@ -22,7 +22,7 @@
         seen == numbers.into_iter().map(ping).collect::<Vec<_>>()
     }
 
-    fn any_bytes_are_a_message_or_an_error(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_never_cause_a_panic(bytes: Vec<u8>) -> bool {
         let _ = decode::<peer::PeerFrame>(&bytes);
         let _ = decode::<job::CommandBatch>(&bytes);
         let _ = decode::<job::SchedulerSnapshot>(&bytes);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_frame_longer_than_peers_send_is_rejected() {
+fn frame_longer_than_maximum_is_rejected() {
     let mut reader = FrameReader::new();
     let length = MAX_FRAME_BYTES as u32 + 1;
     reader.buffer().extend_from_slice(&length.to_le_bytes());
@@ -39,19 +39,19 @@
 }
 
 #[test]
-fn a_message_without_frame_is_read_back() {
+fn message_without_frame_round_trips() {
     let batch = job::CommandBatch { commands: vec![job::Command::default()] };
     assert_eq!(decode::<job::CommandBatch>(&encode(&batch)).unwrap(), batch);
 }
 
 #[test]
-fn a_nested_message_that_ends_beyond_its_parent_is_rejected() {
-    let hostile = [178, 0, 1, 189, 0];
-    assert!(matches!(decode::<peer::ConsensusMessage>(&hostile), Err(FrameError::Malformed(_))));
+fn nested_message_that_ends_beyond_its_parent_is_rejected() {
+    let malformed = [178, 0, 1, 189, 0];
+    assert!(matches!(decode::<peer::ConsensusMessage>(&malformed), Err(FrameError::Malformed(_))));
 }
 
 #[test]
-fn a_nested_message_may_not_take_its_parents_bytes() {
+fn nested_message_cannot_read_bytes_of_its_parent() {
     let member = peer::Member { address: "10.0.0.1:9".to_owned(), ..Default::default() };
     let membership = peer::Membership { members: vec![member.clone(), member] };
     let mut bytes = encode(&membership);
@@ -61,16 +61,16 @@
 }
 
 #[test]
-fn generated_code_reads_nested_messages_bounded() {
+fn generated_code_uses_bounded_reading_of_nested_messages() {
     for source in [include_str!("../src/generated/job.rs"), include_str!("../src/generated/peer.rs")] {
-        assert!(!source.contains(".read_message"), "repeat the edit that src/lib.rs describes");
+        assert!(!source.contains(".read_message"), "run the sed command that src/lib.rs describes");
     }
 }
 
-/// Changes that one frame gets; more leave little of it.
+/// Maximum number of changed bytes per frame. With more changes, little of the frame remains valid.
 const MAX_MUTATIONS: usize = 4;
 
-/// One change to a frame: the offset of a byte, and what replaces it.
+/// One change of a frame: the offset of a byte (modulo the length) and the new value.
 type Mutation = (usize, u8);
 
 fn mutate(bytes: &mut Vec<u8>, mutations: &[Mutation], truncate_to: Option<usize>) {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Frames with messages nested up to four deep.
-fn valid_frames(number: u64, text: &str) -> [Vec<u8>; 3] {
+/// Valid messages with up to four levels of nesting.
+fn valid_messages(number: u64, text: &str) -> [Vec<u8>; 3] {
     let member = peer::Member { id: number, address: text.to_owned(), ..Default::default() };
     let membership = peer::Membership { members: vec![member.clone(), member] };
     let chunk =
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn mutated_frames_are_a_message_or_an_error() {
+fn mutated_frames_never_cause_a_panic() {
     fn property(number: u64, text: String, mutations: Vec<Mutation>, truncate_to: Option<usize>) -> bool {
-        for mut bytes in valid_frames(number, &text) {
+        for mut bytes in valid_messages(number, &text) {
             mutate(&mut bytes, &mutations, truncate_to);
             let _ = decode::<peer::PeerFrame>(&bytes);
             let _ = decode::<peer::ConsensusMessage>(&bytes);
--- a/crates/messages/tests/golden_bytes.rs
+++ b/crates/messages/tests/golden_bytes.rs
@@ -1,9 +1,10 @@
-//! The bytes of every message stay as they were: processes of two versions talk to each other, and a log or a
-//! snapshot that an older version wrote is read.
+//! The encoding of every message must not change: processes of different versions exchange messages, and logs
+//! and snapshots that an older version wrote must stay readable.
 //!
-//! `golden/messages.hex` holds one example of each message, with every field set, as `name hex`. Fields may be renamed
-//! here along with the schema; the file must not change. `GOLDEN=write cargo test -p messages --test golden_bytes`
-//! writes it anew: only for a message that is new.
+//! `golden/messages.hex` contains one example of each message with every field set, as `name hex`. Fields may
+//! be renamed in this test together with the schema, but the golden file must not change. The command
+//! `GOLDEN=write cargo test -p messages --test golden_bytes` rewrites the file; use it only to add a new
+//! message.
 
 use messages::job::{self, mod_Command};
 use messages::peer::mod_RelayedCall::OneOfrequest;
@@ -22,14 +23,14 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The lines of the golden file, as this version writes them.
+/// Lines of the golden file as this version encodes them.
 #[derive(Default)]
 struct Examples {
     lines: Vec<String>,
 }
 
 impl Examples {
-    /// Adds a message. What is decoded from its bytes is the same message.
+    /// Adds a message, and checks that decoding its bytes gives the same message.
     fn add<M>(&mut self, name: &str, message: M)
     where
         M: quick_protobuf::MessageWrite + for<'a> quick_protobuf::MessageRead<'a> + PartialEq + Debug,
@@ -447,7 +448,7 @@
 }
 
 #[test]
-fn every_message_has_the_bytes_that_it_always_had() {
+fn encoding_of_every_message_matches_golden_file() {
     let mut examples = Examples::default();
     for (name, body) in frames() {
         examples.add(&format!("peer_frame.{name}"), peer::PeerFrame { body });
@@ -469,12 +470,12 @@
     for (line, expected) in written.lines().zip(golden.lines()) {
         assert_eq!(line, expected);
     }
-    assert_eq!(written, golden, "messages were added or taken away");
+    assert_eq!(written, golden, "messages were added or removed");
 }
 
-/// A frame is the length of the message (4 bytes, little endian) and the message.
+/// A frame consists of the length of the message (4 bytes, little endian) and the message.
 #[test]
-fn a_frame_is_its_length_and_its_message() {
+fn frame_is_length_followed_by_message() {
     let body = mod_PeerFrame::OneOfbody::ping(peer::Ping { number: 300 });
     let mut bytes = b"before".to_vec();
     encode_frame(&peer::PeerFrame { body }, &mut bytes);
