--- a/crates/log-records/src/lib.rs
+++ b/crates/log-records/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated log as records of the store.
+//! Conversion between the replicated log of `consensus` and the records of `storage`.
 //!
-//! `consensus` and `storage` do not depend on each other: this crate converts entries, snapshots and hard states of the
-//! one into records of the other and back, and merges pending writes of the log. The control role and the simulation
-//! share it, so that the simulation runs the same code.
+//! `consensus` and `storage` do not depend on each other. This crate converts entries, snapshots and hard
+//! states between the two and merges pending writes of the log. The control role and the simulation both use
+//! this crate, so that the simulation runs the same code.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/log-records/src/log_write.rs
+++ b/crates/log-records/src/log_write.rs
@@ -1,36 +1,36 @@
-//! Writes that wait for the disk, and which of them become one write with one sync.
+//! Pending writes to the store, and the rule for merging them into one write with one sync.
 
 use crate::merge::{merge_batch, MAX_MERGED_ENTRIES};
 use consensus::Snapshot;
 use storage::{StoredSnapshot, WriteBatch};
 
-/// A write to the store. Writes are carried out in the order in which they were queued.
+/// A write to the store. Writes are executed in the order in which they were queued.
 #[derive(Clone, Debug)]
 pub enum LogWrite {
-    /// Make a change of the log durable.
+    /// Makes a change of the log durable.
     Change(LogChange),
-    /// Save a snapshot of this process's own state.
+    /// Saves a snapshot of this process's own state.
     Snapshot(Snapshot),
 }
 
-/// A change of the log.
+/// A change of the log that is to become durable.
 #[derive(Clone, Debug)]
 pub struct LogChange {
-    /// Reported once the change is durable.
+    /// Identifies the change. The ticket is reported once the change is durable.
     pub ticket: u64,
-    /// A snapshot that came from the leader; it is written before the batch.
+    /// Snapshot received from the leader. It is written before the batch.
     pub snapshot: Option<StoredSnapshot>,
-    /// The hard state and the entries.
+    /// Hard state, truncation and entries to write.
     pub batch: WriteBatch,
 }
 
 impl LogChange {
-    /// Merges the write that was queued next into this one, which then stands for both: its ticket is the later one.
+    /// Merges the next queued write into this change. The merged change has the ticket of the later write.
     ///
     /// # Errors
     ///
-    /// Gives `later` back if it must be a write of its own: it is or brings a snapshot, or this change has as many
-    /// entries as one write may have.
+    /// Returns `later` if it must be written separately: it is a snapshot, it contains a snapshot, or this
+    /// change already has [`MAX_MERGED_ENTRIES`] entries.
     pub fn merge_next(&mut self, later: LogWrite) -> Result<(), LogWrite> {
         match later {
             LogWrite::Change(LogChange { ticket, snapshot: None, batch })
--- a/crates/log-records/src/merge.rs
+++ b/crates/log-records/src/merge.rs
@@ -1,11 +1,12 @@
-//! Merging of pending writes of the log into one write with one sync.
+//! Merging of pending writes to the log into one write with one sync.
 
 use storage::WriteBatch;
 
-/// Limit of entries that the callers merge into one write.
+/// Number of entries from which a caller merges no further write into a batch.
 pub const MAX_MERGED_ENTRIES: usize = 4_096;
 
-/// Merges a later write into an earlier one, so that writing the result leaves the log that writing both would.
+/// Merges a later batch into `batch`. Writing the merged batch leaves the same log as writing both batches in
+/// order.
 pub fn merge_batch(batch: &mut WriteBatch, later: WriteBatch) {
     batch.hard_state = later.hard_state.or(batch.hard_state);
     if let Some(from) = later.truncate_from {
--- a/crates/log-records/src/records.rs
+++ b/crates/log-records/src/records.rs
@@ -1,11 +1,11 @@
-//! Conversion of members, entries, snapshots and hard states.
+//! Conversion of members, entries, snapshots and hard states between `consensus`, messages and `storage`.
 
 use consensus::{Entry, HardState, Index, Member, Membership, Payload, Restored, Snapshot, SnapshotMeta};
 use messages::peer::{self, EntryKind};
 use messages::{decode, encode, FrameError};
 use storage::{Recovered, StoredEntry, StoredSnapshot, WriteBatch};
 
-/// A member as a message.
+/// Converts a member to a message.
 pub fn member_to_wire(member: &Member) -> peer::Member {
     peer::Member {
         id: member.id,
@@ -15,22 +15,22 @@
     }
 }
 
-/// A member from a message.
+/// Converts a message to a member.
 pub fn member_from_wire(member: peer::Member) -> Member {
     Member { id: member.id, address: member.address, control: member.control, voter: member.voter }
 }
 
-/// A membership as a message.
+/// Converts a membership to a message.
 pub fn membership_to_wire(membership: &Membership) -> peer::Membership {
     peer::Membership { members: membership.members.iter().map(member_to_wire).collect() }
 }
 
-/// A membership from a message.
+/// Converts a message to a membership.
 pub fn membership_from_wire(membership: peer::Membership) -> Membership {
     Membership { members: membership.members.into_iter().map(member_from_wire).collect() }
 }
 
-/// The payload of an entry as its kind and bytes.
+/// Encodes the payload of an entry as a kind and bytes.
 pub fn payload_to_bytes(payload: Payload) -> (EntryKind, Vec<u8>) {
     match payload {
         Payload::Noop => (EntryKind::NOOP, Vec::new()),
@@ -39,11 +39,11 @@
     }
 }
 
-/// The payload of an entry from its kind and bytes.
+/// Decodes the payload of an entry from its kind and bytes.
 ///
 /// # Errors
 ///
-/// The bytes are not a complete message.
+/// [`FrameError::Malformed`] if the bytes of a membership entry are not a valid message.
 pub fn payload_from_bytes(kind: EntryKind, bytes: Vec<u8>) -> Result<Payload, FrameError> {
     Ok(match kind {
         EntryKind::NOOP => Payload::Noop,
@@ -52,7 +52,7 @@
     })
 }
 
-/// An entry as a record of the store.
+/// Converts an entry to a record of the store.
 pub fn entry_to_stored(entry: Entry) -> StoredEntry {
     let (kind, payload) = payload_to_bytes(entry.payload);
     StoredEntry { index: entry.index, term: entry.term, kind: kind as u8, payload }
@@ -64,7 +64,7 @@
     Ok(Entry { index: entry.index, term: entry.term, payload })
 }
 
-/// A snapshot as a record of the store.
+/// Converts a snapshot to a record of the store.
 pub fn snapshot_to_stored(snapshot: &Snapshot) -> StoredSnapshot {
     StoredSnapshot {
         index: snapshot.meta.index,
@@ -80,16 +80,16 @@
     Ok(Snapshot { meta, data: snapshot.data })
 }
 
-/// A hard state as a record of the store.
+/// Converts a hard state to a record of the store.
 pub fn hard_state_to_stored(state: &HardState) -> storage::HardState {
     storage::HardState { term: state.term, vote: state.vote }
 }
 
-/// What the store recovered, as what consensus starts with.
+/// Converts the state that the store recovered to the initial state of consensus.
 ///
 /// # Errors
 ///
-/// A record is not a complete message.
+/// [`FrameError::Malformed`] if a membership in a record is not a valid message.
 pub fn restored_from_stored(recovered: Recovered) -> Result<Restored, FrameError> {
     let entries = recovered.entries.into_iter().map(entry_from_stored).collect::<Result<_, _>>()?;
     Ok(Restored {
@@ -99,7 +99,7 @@
     })
 }
 
-/// A write of the log as one batch of the store.
+/// Converts a change of the log to a batch of the store.
 pub fn write_batch(
     hard_state: Option<&HardState>,
     truncate_from: Option<Index>,
--- a/crates/log-records/tests/merge.rs
+++ b/crates/log-records/tests/merge.rs
@@ -1,10 +1,10 @@
-//! Changes of the log that wait are merged into one that leaves the same log.
+//! Merging pending batches leaves the same log as writing them one by one.
 
 use log_records::merge_batch;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use storage::{HardState, StoredEntry, WriteBatch};
 
-/// What a batch leaves of a log of (index, term), where the first entry has the index 1.
+/// Applies a batch to a log. The log is a list of terms; the first entry has the index 1.
 fn apply(log: &mut Vec<u64>, hard_state: &mut HardState, batch: &WriteBatch) {
     if let Some(state) = batch.hard_state {
         *hard_state = state;
@@ -13,12 +13,12 @@
         log.truncate(from as usize - 1);
     }
     for entry in &batch.entries {
-        assert_eq!(entry.index, log.len() as u64 + 1, "the batch continues the log");
+        assert_eq!(entry.index, log.len() as u64 + 1, "the batch does not continue the log");
         log.push(entry.term);
     }
 }
 
-/// How a script goes on from a log: how many entries it truncates and adds.
+/// A random change of the log: the number of entries to remove from its end and to add, and whether to vote.
 #[derive(Debug, Clone)]
 struct Change {
     truncated: Option<u8>,
@@ -33,12 +33,12 @@
     }
 }
 
-/// Turns changes into batches that each continue the log.
+/// Converts changes to batches, each of which continues the log of `start` entries.
 fn batches(start: usize, changes: &[Change]) -> Vec<WriteBatch> {
     let mut length = start as u64;
     let mut batches = Vec::new();
     for (term, change) in (2..).zip(changes) {
-        let truncate_from = change.truncated.map(|back| length.saturating_sub(u64::from(back)) + 1);
+        let truncate_from = change.truncated.map(|count| length.saturating_sub(u64::from(count)) + 1);
         if let Some(from) = truncate_from {
             length = length.min(from - 1);
         }
@@ -52,7 +52,7 @@
 }
 
 quickcheck! {
-    fn one_merged_batch_leaves_the_log_of_all(start: u8, changes: Vec<Change>) -> bool {
+    fn merged_batch_leaves_same_log_as_single_batches(start: u8, changes: Vec<Change>) -> bool {
         let start = usize::from(start % 8);
         let batches = batches(start, &changes);
         let (mut expected, mut expected_state) = (vec![1; start], HardState::default());
--- a/crates/process-signals/src/lib.rs
+++ b/crates/process-signals/src/lib.rs
@@ -1,7 +1,8 @@
-//! Signals of the platform to a process: SIGTERM, SIGINT and SIGHUP.
+//! Handling of the signals that the platform sends to a process: SIGTERM, SIGINT and SIGHUP.
 //!
-//! Until a process has registered for them, each of the three ends it by its default action. So a program registers
-//! before it does anything else, such as reading its settings, and hands the registration to the role that it runs.
+//! The default action of each of these signals ends the process. A program therefore registers for them
+//! before it does anything else, such as reading its settings, and passes the registration to the role that
+//! it runs.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -11,16 +12,18 @@
 use tokio::select;
 use tokio::signal::unix::{self, SignalKind};
 
-/// What the platform requests of a process.
+/// Request that the platform sends to a process by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
     /// Shut down gracefully (SIGTERM, SIGINT).
     Stop,
-    /// Read the settings file again (SIGHUP).
+    /// Reload the settings file (SIGHUP).
     Reload,
 }
 
-/// The signals of this process. One that arrives before [`ProcessSignals::recv`] is called is kept; several of a kind
+/// Receiver of the signals of this process.
+///
+/// A signal that arrives before [`ProcessSignals::recv`] is called is kept. Several signals of the same kind
 /// may be reported as one.
 #[derive(Debug)]
 pub struct ProcessSignals {
@@ -30,7 +33,7 @@
 }
 
 impl ProcessSignals {
-    /// Registers for the signals of this process, in place of their default actions.
+    /// Registers for the signals of this process. The registration replaces their default actions.
     ///
     /// # Errors
     ///
@@ -38,7 +41,7 @@
     ///
     /// # Panics
     ///
-    /// Must be called within a runtime that has input and output enabled.
+    /// Panics if called outside a Tokio runtime, or in a runtime whose I/O driver is not enabled.
     pub fn register() -> io::Result<Self> {
         Ok(ProcessSignals {
             terminate: unix::signal(SignalKind::terminate())?,
@@ -47,7 +50,7 @@
         })
     }
 
-    /// The next signal; `None` once no more can arrive.
+    /// Waits for the next signal. Returns `None` once no more signals can arrive.
     pub async fn recv(&mut self) -> Option<Signal> {
         select! {
             Some(()) = self.terminate.recv() => Some(Signal::Stop),
@@ -58,21 +61,21 @@
     }
 }
 
-/// The runtime of a process on one thread, and its signals.
+/// Single-threaded runtime of a process, with its signal registration.
 #[derive(Debug)]
 pub struct ProcessRuntime {
-    /// The runtime.
+    /// The single-threaded runtime.
     pub runtime: Runtime,
-    /// The signals, registered in it.
+    /// Signals, registered in `runtime`.
     pub signals: ProcessSignals,
 }
 
 impl ProcessRuntime {
-    /// Starts the runtime and registers for the signals: the first thing that a process does.
+    /// Starts the runtime and registers for the signals. A process calls this before anything else.
     ///
     /// # Errors
     ///
-    /// Fails if the operating system refuses the runtime's descriptors or the registration.
+    /// Fails if the operating system refuses the file descriptors of the runtime or the registration.
     pub fn start() -> io::Result<Self> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let signals = {
