--- a/crates/demo/src/clients.rs
+++ b/crates/demo/src/clients.rs
@@ -1,8 +1,8 @@
-//! Clients that submit jobs at the edges and ask for their states.
+//! Simulated clients that submit jobs to the edges and poll the states of the jobs.
 
+use crate::environment::{HOST, PREFIX};
 use crate::http::{call, Call};
-use crate::report::{JobOutcome, Ledger};
-use crate::site::{HOST, PREFIX};
+use crate::report::{JobOutcome, OutcomeLog};
 use hyper::{Method, StatusCode};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,65 +10,68 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// A client gives up a job that is not accepted in this time.
-const ACCEPT_PATIENCE: Duration = Duration::from_secs(10);
-/// A client gives up a job that is not completed in this time.
-const COMPLETION_PATIENCE: Duration = Duration::from_secs(20);
-/// Pause before the same call at another edge.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two questions for a job's state.
-const QUESTION_PAUSE: Duration = Duration::from_millis(100);
-/// Tasks of a job.
-const TASKS: u32 = 2;
-/// Thousandths of a core that a task needs.
-const TASK_CPU: u64 = 250;
-/// Bounds of a task's work in milliseconds.
-const WORK_MS: std::ops::RangeInclusive<u64> = 150..=600;
+/// A client gives up a job that is not accepted within this time.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
+/// A client gives up a job that is not completed within this time.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay before a failed call is repeated at the next edge.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before each poll of a job's state.
+const STATE_POLL_DELAY: Duration = Duration::from_millis(100);
+/// Number of tasks of a job.
+const TASKS_PER_JOB: u32 = 2;
+/// CPU demand of a task.
+const TASK_CPU_MILLICORES: u64 = 250;
+/// Range of the run time of a task.
+const TASK_RUN_TIME_MS: std::ops::RangeInclusive<u64> = 150..=600;
 
-/// Submits a job, follows it to its end, and enters what it saw.
-pub async fn follow_job(edges: Rc<Vec<SocketAddr>>, ledger: Rc<RefCell<Ledger>>, number: usize) {
+/// Submits a job, polls its state until it is completed, and records the outcome.
+pub async fn follow_job(edges: Rc<Vec<SocketAddr>>, outcomes: Rc<RefCell<OutcomeLog>>, number: usize) {
     let id = format!("{:016x}", fastrand::u64(..));
     let began = Instant::now();
-    let (accepted, refusals) = submit(&edges, &id, number).await;
+    let (accepted, failed_calls) = submit(&edges, &id, number).await;
     let accepted_in = accepted.then(|| began.elapsed());
     let completed = accepted && wait_for_completion(&edges, &id, number).await;
     let completed_in = completed.then(|| began.elapsed());
-    ledger.borrow_mut().enter(JobOutcome { began, accepted_in, completed_in, refusals });
+    outcomes.borrow_mut().record(JobOutcome { began, accepted_in, completed_in, failed_calls });
 }
 
-/// Sends the job until it is accepted; returns how many calls failed before.
+/// Sends the job until it is accepted or [`ACCEPT_TIMEOUT`] has passed. Returns whether the job was accepted,
+/// and the number of failed calls.
 async fn submit(edges: &[SocketAddr], id: &str, first_edge: usize) -> (bool, u32) {
-    let work_ms = fastrand::u64(WORK_MS);
+    let run_time_ms = fastrand::u64(TASK_RUN_TIME_MS);
     let job = serde_json::json!({
-        "Spec": work_ms.to_string(),
-        "Stages": [{"Count": TASKS, "Cpu": TASK_CPU, "MemMb": 64, "EstRuntimeMs": work_ms}],
+        "Spec": run_time_ms.to_string(),
+        "Stages": [{
+            "Count": TASKS_PER_JOB, "Cpu": TASK_CPU_MILLICORES, "MemMb": 64, "EstRuntimeMs": run_time_ms,
+        }],
     });
     let body = job.to_string();
-    let until = Instant::now() + ACCEPT_PATIENCE;
-    let mut refusals = 0;
-    while Instant::now() < until {
-        let edge = edges[(first_edge + refusals as usize) % edges.len()];
+    let deadline = Instant::now() + ACCEPT_TIMEOUT;
+    let mut failed_calls = 0;
+    while Instant::now() < deadline {
+        let edge = edges[(first_edge + failed_calls as usize) % edges.len()];
         let request = request(Method::POST, id, body.clone());
-        if call(edge, request).await.is_some_and(|answer| answer.status.is_success()) {
-            return (true, refusals);
+        if call(edge, request).await.is_some_and(|response| response.status.is_success()) {
+            return (true, failed_calls);
         }
-        refusals += 1;
-        sleep(RETRY_PAUSE).await;
+        failed_calls += 1;
+        sleep(RETRY_DELAY).await;
     }
-    (false, refusals)
+    (false, failed_calls)
 }
 
 async fn wait_for_completion(edges: &[SocketAddr], id: &str, first_edge: usize) -> bool {
-    let until = Instant::now() + COMPLETION_PATIENCE;
-    for question in 0.. {
-        if Instant::now() >= until {
+    let deadline = Instant::now() + COMPLETION_TIMEOUT;
+    for poll in 0.. {
+        if Instant::now() >= deadline {
             break;
         }
-        sleep(QUESTION_PAUSE).await;
-        let edge = edges[(first_edge + question) % edges.len()];
-        let answer = call(edge, request(Method::GET, id, String::new())).await;
-        let Some(answer) = answer.filter(|answer| answer.status == StatusCode::OK) else { continue };
-        let state: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+        sleep(STATE_POLL_DELAY).await;
+        let edge = edges[(first_edge + poll) % edges.len()];
+        let response = call(edge, request(Method::GET, id, String::new())).await;
+        let Some(response) = response.filter(|response| response.status == StatusCode::OK) else { continue };
+        let state: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
         if state["State"] == "completed" {
             return true;
         }
--- a/crates/demo/src/error.rs
+++ b/crates/demo/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the demonstration could not be played.
+//! Errors of the demonstration.
 
 use quick_error::quick_error;
 use std::io;
@@ -6,36 +6,38 @@
 use std::time::Duration;
 
 quick_error! {
-    /// Why the demonstration could not be played.
+    /// Error that ends the demonstration.
     #[derive(Debug)]
     pub enum DemoError {
         /// The runtime cannot start.
         Runtime(error: io::Error) {
             display("the demonstration cannot start ({error}): see whether descriptors run out")
         }
-        /// A file of the play cannot be written.
-        Folder(path: PathBuf, error: io::Error) {
+        /// A file or directory of the demonstration cannot be written.
+        WriteFile(path: PathBuf, error: io::Error) {
             display("{} cannot be written ({error}): set TMPDIR to a folder with room", path.display())
         }
-        /// A stand-in cannot listen.
+        /// A simulated server cannot listen.
         Listen(error: io::Error) {
-            display("a stand-in cannot listen on loopback ({error}): see whether addresses 127.x.y.z may be used here")
+            display("a stand-in cannot listen on loopback ({error}): \
+                see whether addresses 127.x.y.z may be used here")
         }
-        /// A child cannot be started.
+        /// A child process cannot be started.
         Start(program: PathBuf, error: io::Error) {
             display("{} cannot be started ({error}): see that it may be run", program.display())
         }
-        /// A child cannot be killed.
+        /// A child process cannot be killed.
         Kill(error: io::Error) {
             display("the leader cannot be killed ({error}): see whether it ended by itself")
         }
-        /// A process ended by itself.
-        Ended(name: String, log: String) {
+        /// A child process ended unexpectedly.
+        ChildEnded(name: String, log: String) {
             display("{name} ended by itself; the end of its log:\n{log}")
         }
-        /// The play did not come to its end.
-        TooLong(limit: Duration) {
-            display("the play took longer than {} s: try again while the machine is less busy", limit.as_secs())
+        /// The demonstration exceeded its time limit.
+        TimedOut(limit: Duration) {
+            display("the play took longer than {} s: try again while the machine is less busy",
+                limit.as_secs())
         }
     }
 }
--- a/crates/demo/src/http.rs
+++ b/crates/demo/src/http.rs
@@ -1,4 +1,4 @@
-//! Single calls by HTTP/1.1.
+//! HTTP/1.1 client that uses a new connection for each call.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -12,41 +12,41 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The longest time for a call.
+/// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest answer that is read.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// A call.
+/// An HTTP request.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// `GET`, `POST` or `PUT`.
     pub method: Method,
     /// Path of the request.
     pub path: String,
-    /// The value of `Host`.
+    /// Value of the `Host` header.
     pub host: String,
-    /// The value of `If-Match`, if there is one.
+    /// Value of the `If-Match` header; `None` omits the header.
     pub if_match: Option<u64>,
     /// The complete body.
     pub body: Bytes,
 }
 
-/// Its answer.
+/// Response to a [`Call`].
 #[derive(Debug)]
-pub struct Answer {
-    /// The status.
+pub struct CallResponse {
+    /// HTTP status code.
     pub status: StatusCode,
     /// The complete body.
     pub body: Bytes,
 }
 
-/// Makes a call on a connection of its own; `None` without a complete answer in time.
-pub async fn call(address: SocketAddr, call: Call) -> Option<Answer> {
+/// Makes a call on a new connection. Returns `None` if no complete response arrives within [`CALL_TIMEOUT`].
+pub async fn call(address: SocketAddr, call: Call) -> Option<CallResponse> {
     timeout(CALL_TIMEOUT, exchange(address, call)).await.ok().flatten()
 }
 
-async fn exchange(address: SocketAddr, call: Call) -> Option<Answer> {
+async fn exchange(address: SocketAddr, call: Call) -> Option<CallResponse> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let connection = spawn_local(connection);
@@ -57,7 +57,7 @@
     }
     let response = sender.send_request(request.body(Full::new(call.body)).ok()?).await.ok()?;
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.ok()?;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.ok()?;
     connection.abort();
-    Some(Answer { status: head.status, body: body.to_bytes() })
+    Some(CallResponse { status: head.status, body: body.to_bytes() })
 }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,17 +1,18 @@
-//! A demonstration of the complete system on loopback: three core and three edge processes of the program itself, with
-//! stand-ins of the platform, the workers and the clients in this process. In the middle the leader is killed.
+//! A demonstration of the complete system on loopback. It starts three core and three edge processes of the
+//! program, and simulates the platform, the workers and the clients in its own process. After half of the
+//! time it kills the leader.
 
 #![warn(missing_docs)]
 
 pub mod children;
 mod clients;
+mod environment;
 mod error;
 mod http;
 mod platform;
 mod report;
+mod scenario;
 mod server;
-mod site;
-mod story;
 mod worker;
 
 pub use error::DemoError;
@@ -23,21 +24,23 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Time beyond the play itself for start, the last jobs and the end.
+/// Time in addition to the demonstration itself for starting, finishing the last jobs and stopping.
 const EXTRA_TIME: Duration = Duration::from_secs(40);
 
-/// Plays for so long with children of `program`, and gives what the clients saw. The children are gone when it returns.
+/// Runs the demonstration for `duration` with child processes of `program` and returns the results of the
+/// clients. All child processes have ended when the function returns.
 ///
 /// # Errors
 ///
-/// A [`DemoError`] if a process, a stand-in or the runtime fails, or the play does not end in time.
-pub fn run(program: &Path, play: Duration) -> Result<Report, DemoError> {
+/// A [`DemoError`] if a process, a simulated server or the runtime fails, or the demonstration exceeds its
+/// time limit.
+pub fn run(program: &Path, duration: Duration) -> Result<Report, DemoError> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(DemoError::Runtime)?;
     let local = LocalSet::new();
     local.block_on(&runtime, async {
-        match timeout(play + EXTRA_TIME, story::play(program, play)).await {
+        match timeout(duration + EXTRA_TIME, scenario::run_demo(program, duration)).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(DemoError::TooLong(play + EXTRA_TIME)),
+            Err(_) => Err(DemoError::TimedOut(duration + EXTRA_TIME)),
         }
     })
 }
--- a/crates/demo/src/platform.rs
+++ b/crates/demo/src/platform.rs
@@ -1,28 +1,28 @@
-//! A stand-in of the platform: lists the workers to whoever asks.
+//! Simulated platform: answers every request with the list of workers.
 
+use crate::environment::SERVICE;
 use crate::error::DemoError;
 use crate::server::{serve, Reply};
-use crate::site::SERVICE;
 use hyper::StatusCode;
 use std::net::SocketAddr;
 
-/// Thousandths of a core that each worker has.
-const WORKER_CPU: u64 = 4_000;
-/// Memory that each worker has, in MB.
+/// CPU capacity of each worker.
+const WORKER_CPU_MILLICORES: u64 = 4_000;
+/// Memory capacity of each worker.
 const WORKER_MEM_MB: u64 = 8_192;
 
-/// A worker as the platform knows it.
+/// Entry of a worker in the list of the platform.
 #[derive(Debug, Clone)]
-pub struct Listed {
-    /// Identity of its incarnation.
+pub struct ListedWorker {
+    /// Instance identifier of the worker incarnation.
     pub instance: String,
-    /// Where it is.
+    /// Network address of the worker.
     pub address: SocketAddr,
 }
 
-/// Serves the list; gives its address.
-pub async fn start(workers: &[Listed]) -> Result<SocketAddr, DemoError> {
-    let entries: Vec<serde_json::Value> = workers.iter().enumerate().map(entry).collect();
+/// Starts a server for the list and returns its address.
+pub async fn start(workers: &[ListedWorker]) -> Result<SocketAddr, DemoError> {
+    let entries: Vec<serde_json::Value> = workers.iter().enumerate().map(list_entry).collect();
     let page = serde_json::json!({"Instances": entries, "NextToken": null}).to_string();
     serve(move |_| {
         let body = page.clone();
@@ -31,7 +31,7 @@
     .await
 }
 
-fn entry((number, worker): (usize, &Listed)) -> serde_json::Value {
+fn list_entry((number, worker): (usize, &ListedWorker)) -> serde_json::Value {
     serde_json::json!({
         "Id": worker.instance,
         "Backend": SERVICE,
@@ -41,7 +41,7 @@
         "Capacity": 8,
         "State": "ready",
         "WarmupLeftMs": 0,
-        "Available": {"Cpu": WORKER_CPU, "MemMb": WORKER_MEM_MB, "Gpu": 0},
+        "Available": {"Cpu": WORKER_CPU_MILLICORES, "MemMb": WORKER_MEM_MB, "Gpu": 0},
         "Labels": ["demo", format!("rack-{}", number + 1)],
     })
 }
--- a/crates/demo/src/report.rs
+++ b/crates/demo/src/report.rs
@@ -1,90 +1,102 @@
-//! What the clients saw.
+//! Results of the clients.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// One job as its client saw it.
+/// Outcome of one job from the view of its client.
 #[derive(Debug, Clone)]
 pub struct JobOutcome {
-    /// When it was first sent.
+    /// Time of the first call.
     pub began: Instant,
-    /// After which time it was accepted.
+    /// Time from the first call to the acceptance; `None` if the job was not accepted.
     pub accepted_in: Option<Duration>,
-    /// After which time it was known to be completed.
+    /// Time from the first call until the client saw the completion; `None` if it did not.
     pub completed_in: Option<Duration>,
-    /// Calls that failed before it was accepted.
-    pub refusals: u32,
+    /// Number of calls that failed before the acceptance.
+    pub failed_calls: u32,
 }
 
-/// All jobs so far.
+/// Outcomes of all finished jobs.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct OutcomeLog {
     outcomes: Vec<JobOutcome>,
 }
 
-impl Ledger {
-    /// Takes in a job that came to its end.
-    pub fn enter(&mut self, outcome: JobOutcome) {
+impl OutcomeLog {
+    /// Adds the outcome of a finished job.
+    pub fn record(&mut self, outcome: JobOutcome) {
         self.outcomes.push(outcome);
     }
 
-    /// The report of a play that began at `began` and in which the leader was killed at `killed`.
-    pub fn report(&self, began: Instant, killed: Duration, former: &str, next: &str) -> Report {
-        let mut seconds: Vec<SecondLine> = Vec::new();
+    /// Creates the report of a demonstration that began at `began`. The leader `killed_leader` was killed
+    /// after `killed_at`, and `final_leader` led at the end.
+    pub fn report(
+        &self,
+        began: Instant,
+        killed_at: Duration,
+        killed_leader: &str,
+        final_leader: &str,
+    ) -> Report {
+        let mut seconds: Vec<SecondTotals> = Vec::new();
         for outcome in &self.outcomes {
             let second = outcome.began.saturating_duration_since(began).as_secs() as usize;
             if seconds.len() <= second {
-                seconds.resize(second + 1, SecondLine::default());
+                seconds.resize(second + 1, SecondTotals::default());
             }
             seconds[second].add(outcome);
         }
-        Report { seconds, killed, former: former.to_owned(), next: next.to_owned() }
+        Report {
+            seconds,
+            killed_at,
+            killed_leader: killed_leader.to_owned(),
+            final_leader: final_leader.to_owned(),
+        }
     }
 }
 
-/// Jobs that were first sent in one second of the play.
+/// Totals of the jobs that were first sent within one second of the demonstration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SecondLine {
-    /// Jobs that were sent.
+pub struct SecondTotals {
+    /// Number of jobs that were sent.
     pub sent: u32,
-    /// Those that were accepted.
+    /// Number of these jobs that were accepted.
     pub accepted: u32,
-    /// Those that were completed.
+    /// Number of these jobs that were completed.
     pub completed: u32,
-    /// Calls that failed before an acceptance.
-    pub refusals: u32,
-    /// The longest time until an acceptance.
+    /// Number of calls that failed before an acceptance.
+    pub failed_calls: u32,
+    /// Longest time from the first call to the acceptance.
     pub slowest_acceptance: Duration,
-    /// The longest time until a completion was seen.
+    /// Longest time from the first call until the completion was seen.
     pub slowest_completion: Duration,
 }
 
-impl SecondLine {
+impl SecondTotals {
     fn add(&mut self, outcome: &JobOutcome) {
         self.sent += 1;
         self.accepted += u32::from(outcome.accepted_in.is_some());
         self.completed += u32::from(outcome.completed_in.is_some());
-        self.refusals += outcome.refusals;
+        self.failed_calls += outcome.failed_calls;
         self.slowest_acceptance = self.slowest_acceptance.max(outcome.accepted_in.unwrap_or_default());
         self.slowest_completion = self.slowest_completion.max(outcome.completed_in.unwrap_or_default());
     }
 }
 
-/// The report of a complete play.
+/// Report of a complete demonstration.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// By second of the play.
-    pub seconds: Vec<SecondLine>,
-    /// When the leader was killed.
-    pub killed: Duration,
-    /// The leader that was killed.
-    pub former: String,
-    /// The leader at the end.
-    pub next: String,
+    /// Totals for each second of the demonstration.
+    pub seconds: Vec<SecondTotals>,
+    /// Time from the start of the demonstration to the kill of the leader.
+    pub killed_at: Duration,
+    /// Name of the leader that was killed.
+    pub killed_leader: String,
+    /// Name of the leader at the end.
+    pub final_leader: String,
 }
 
 impl Report {
-    /// Jobs that were sent, accepted and completed.
+    /// Returns the numbers of jobs that were sent, accepted and completed.
     pub fn totals(&self) -> (u32, u32, u32) {
         self.seconds.iter().fold((0, 0, 0), |(sent, accepted, completed), line| {
             (sent + line.sent, accepted + line.accepted, completed + line.completed)
@@ -100,20 +112,24 @@
         )?;
         for (second, line) in self.seconds.iter().enumerate() {
             let mark =
-                if self.killed.as_secs() as usize == second { "  <- the leader was killed" } else { "" };
+                if self.killed_at.as_secs() as usize == second { "  <- the leader was killed" } else { "" };
             writeln!(
                 formatter,
                 "{second:6}  {:4}  {:8}  {:9}  {:12}  {:11} ms  {:15} ms{mark}",
                 line.sent,
                 line.accepted,
                 line.completed,
-                line.refusals,
+                line.failed_calls,
                 line.slowest_acceptance.as_millis(),
                 line.slowest_completion.as_millis(),
             )?;
         }
         let (sent, accepted, completed) = self.totals();
         writeln!(formatter, "{sent} jobs sent, {accepted} accepted, {completed} completed")?;
-        writeln!(formatter, "{} led and was killed, {} leads at the end", self.former, self.next)
+        writeln!(
+            formatter,
+            "{} led and was killed, {} leads at the end",
+            self.killed_leader, self.final_leader
+        )
     }
 }
--- a/crates/demo/src/server.rs
+++ b/crates/demo/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server for the stand-ins.
+//! HTTP/1.1 server for the simulated platform and workers.
 
 use crate::error::DemoError;
 use bytes::Bytes;
@@ -15,31 +15,32 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// The longest body that is read.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// A request with its complete body.
-pub struct Received {
-    /// Path without a query.
+pub struct ReceivedRequest {
+    /// Path without the query string.
     pub path: String,
-    /// What `X-Expect-Instance` names.
+    /// Value of the `X-Expect-Instance` header.
     pub expected_instance: Option<String>,
-    /// The body.
+    /// The complete body. Empty if it is too large or cannot be read.
     pub body: Bytes,
 }
 
-/// An answer in JSON.
+/// A response with a JSON body.
 pub struct Reply {
-    /// Its status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Its body.
+    /// JSON text.
     pub body: String,
 }
 
-/// Serves on a free loopback port as long as the local set runs; gives the address.
+/// Starts a server on a free loopback port and returns its address. The server runs as long as the local task
+/// set.
 pub async fn serve<H, F>(handler: H) -> Result<SocketAddr, DemoError>
 where
-    H: Fn(Received) -> F + 'static,
+    H: Fn(ReceivedRequest) -> F + 'static,
     F: Future<Output = Reply> + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await.map_err(DemoError::Listen)?;
@@ -48,9 +49,9 @@
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let handler = handler.clone();
-            let service = service_fn(move |request| answer(handler.clone(), request));
+            let service = service_fn(move |request| respond(handler.clone(), request));
             spawn_local(async move {
-                // A caller that goes away ends its connection.
+                // An error means that the client closed the connection, which needs no handling.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -58,12 +59,12 @@
     Ok(address)
 }
 
-async fn answer<H, F>(
+async fn respond<H, F>(
     handler: Rc<H>,
     request: Request<hyper::body::Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    H: Fn(Received) -> F,
+    H: Fn(ReceivedRequest) -> F,
     F: Future<Output = Reply>,
 {
     let expected = request.headers().get("x-expect-instance").and_then(|value| value.to_str().ok());
@@ -71,7 +72,7 @@
     let path = request.uri().path().to_owned();
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     let body = body.map(http_body_util::Collected::to_bytes).unwrap_or_default();
-    let reply = handler(Received { path, expected_instance, body }).await;
+    let reply = handler(ReceivedRequest { path, expected_instance, body }).await;
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = reply.status;
     response.headers_mut().insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("application/json"));
--- a/crates/demo/src/worker.rs
+++ b/crates/demo/src/worker.rs
@@ -1,8 +1,9 @@
-//! A stand-in of a worker: runs tasks as long as their text says, under a lease and a fencing token.
+//! Simulated worker: runs each task for the time that its specification gives, under a lease and a fencing
+//! token.
 
 use crate::error::DemoError;
-use crate::platform::Listed;
-use crate::server::{serve, Received, Reply};
+use crate::platform::ListedWorker;
+use crate::server::{serve, ReceivedRequest, Reply};
 use hyper::StatusCode;
 use serde::Deserialize;
 use std::cell::RefCell;
@@ -11,20 +12,22 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The longest worker lease that is granted, in milliseconds.
+/// Maximum duration of the worker lease.
 const MAX_WORKER_LEASE_MS: u64 = 6_000;
-/// Time between two polls for an end while a lease call waits.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// The work of a task whose text is no number, in milliseconds.
-const DEFAULT_WORK_MS: u64 = 300;
+/// Interval of polling for ended attempts while a lease renewal waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Run time of a task whose specification is not a number.
+const DEFAULT_RUN_TIME_MS: u64 = 300;
 
-/// A task and the number of its start.
-type RunKey = (String, u32);
+/// Task name and attempt number.
+type AttemptKey = (String, u32);
 
+/// Body of a request from the leader. Fields that a request does not use are absent and default to 0 or
+/// empty.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 #[derive(Default)]
-struct Order {
+struct WorkerRequest {
     task_id: String,
     attempt: u32,
     spec: String,
@@ -34,15 +37,17 @@
     wait_ms: u64,
 }
 
-struct Run {
+/// A running attempt. Times are in milliseconds of the clock of the worker.
+struct RunningAttempt {
     began_ms: u64,
     ends_ms: u64,
 }
 
-struct End {
-    number: u64,
-    key: RunKey,
-    how: &'static str,
+/// An ended attempt that the leader has not acknowledged.
+struct EndedAttempt {
+    sequence: u64,
+    key: AttemptKey,
+    outcome: &'static str,
 }
 
 struct Worker {
@@ -50,52 +55,54 @@
     started: Instant,
     fencing_token: u64,
     deadline_ms: u64,
-    running: BTreeMap<RunKey, Run>,
-    /// The highest start of each task that ended or was stopped here.
-    highest: BTreeMap<String, u32>,
-    ends: Vec<End>,
-    last_number: u64,
+    running: BTreeMap<AttemptKey, RunningAttempt>,
+    /// Highest attempt number of each task that ended or was stopped on this worker.
+    highest_attempts: BTreeMap<String, u32>,
+    ended: Vec<EndedAttempt>,
+    last_sequence: u64,
 }
 
-/// Starts a worker; gives what the platform is to list.
-pub async fn start(instance: &str) -> Result<Listed, DemoError> {
+/// Starts a worker and returns its entry for the list of the platform.
+pub async fn start(instance: &str) -> Result<ListedWorker, DemoError> {
     let worker = Rc::new(RefCell::new(Worker::new(instance)));
-    let address = serve(move |received| serve_call(worker.clone(), received)).await?;
-    Ok(Listed { instance: instance.to_owned(), address })
+    let address = serve(move |http_request| serve_call(worker.clone(), http_request)).await?;
+    Ok(ListedWorker { instance: instance.to_owned(), address })
 }
 
-async fn serve_call(worker: Rc<RefCell<Worker>>, received: Received) -> Reply {
-    let order: Order = match serde_json::from_slice(&received.body) {
-        Ok(order) => order,
+async fn serve_call(worker: Rc<RefCell<Worker>>, http_request: ReceivedRequest) -> Reply {
+    let request: WorkerRequest = match serde_json::from_slice(&http_request.body) {
+        Ok(request) => request,
         Err(_) => return Reply { status: StatusCode::BAD_REQUEST, body: "{}".to_owned() },
     };
-    let is_other = received.expected_instance.is_some_and(|expected| expected != worker.borrow().instance);
-    if is_other {
+    let is_other_instance =
+        http_request.expected_instance.is_some_and(|expected| expected != worker.borrow().instance);
+    if is_other_instance {
         return Reply { status: StatusCode::MISDIRECTED_REQUEST, body: "{}".to_owned() };
     }
-    if order.fencing_token < worker.borrow().fencing_token {
+    if request.fencing_token < worker.borrow().fencing_token {
         return worker.borrow().refuse("fence");
     }
-    worker.borrow_mut().fencing_token = order.fencing_token;
-    match received.path.as_str() {
-        "/v1/run-start" => worker.borrow_mut().start(order),
-        "/v1/run-stop" => worker.borrow_mut().stop(order),
-        "/v1/hold" => renew_lease(worker, &order).await,
+    worker.borrow_mut().fencing_token = request.fencing_token;
+    match http_request.path.as_str() {
+        "/v1/run-start" => worker.borrow_mut().start(request),
+        "/v1/run-stop" => worker.borrow_mut().stop(request),
+        "/v1/hold" => renew_lease(worker, &request).await,
         _ => Reply { status: StatusCode::NOT_FOUND, body: "{}".to_owned() },
     }
 }
 
-/// Extends the lease, and answers with both lists once there is an end to report, or after the wait.
-async fn renew_lease(worker: Rc<RefCell<Worker>>, order: &Order) -> Reply {
-    worker.borrow_mut().extend_worker_lease(order.deadline_ms);
-    worker.borrow_mut().ends.retain(|end| end.number > order.last_seen);
-    let until = Instant::now() + Duration::from_millis(order.wait_ms);
+/// Extends the lease. Answers with the running and the ended attempts once an attempt has ended or the wait
+/// is over.
+async fn renew_lease(worker: Rc<RefCell<Worker>>, request: &WorkerRequest) -> Reply {
+    worker.borrow_mut().extend_worker_lease(request.deadline_ms);
+    worker.borrow_mut().ended.retain(|end| end.sequence > request.last_seen);
+    let until = Instant::now() + Duration::from_millis(request.wait_ms);
     loop {
         worker.borrow_mut().advance();
-        if !worker.borrow().ends.is_empty() || Instant::now() >= until {
+        if !worker.borrow().ended.is_empty() || Instant::now() >= until {
             return worker.borrow().lists();
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -107,9 +114,9 @@
             fencing_token: 0,
             deadline_ms: 0,
             running: BTreeMap::new(),
-            highest: BTreeMap::new(),
-            ends: Vec::new(),
-            last_number: 0,
+            highest_attempts: BTreeMap::new(),
+            ended: Vec::new(),
+            last_sequence: 0,
         }
     }
 
@@ -118,60 +125,60 @@
     }
 
     fn extend_worker_lease(&mut self, deadline_ms: u64) {
-        let longest = self.now_ms() + MAX_WORKER_LEASE_MS;
-        self.deadline_ms = self.deadline_ms.max(deadline_ms.min(longest));
+        let latest = self.now_ms() + MAX_WORKER_LEASE_MS;
+        self.deadline_ms = self.deadline_ms.max(deadline_ms.min(latest));
     }
 
-    /// Ends what is due, and everything once the lease has lapsed.
+    /// Ends the attempts whose run time is over, and all attempts once the lease has expired.
     fn advance(&mut self) {
         let now_ms = self.now_ms();
-        let lapsed = now_ms >= self.deadline_ms;
-        let is_over = |run: &Run| run.ends_ms <= now_ms.min(self.deadline_ms) || lapsed;
-        let over: Vec<RunKey> =
-            self.running.iter().filter(|(_, run)| is_over(run)).map(|(key, _)| key.clone()).collect();
-        for key in over {
+        let lease_expired = now_ms >= self.deadline_ms;
+        let is_ended = |run: &RunningAttempt| run.ends_ms <= now_ms.min(self.deadline_ms) || lease_expired;
+        let ended_keys: Vec<AttemptKey> =
+            self.running.iter().filter(|(_, run)| is_ended(run)).map(|(key, _)| key.clone()).collect();
+        for key in ended_keys {
             let done = self.running.get(&key).is_some_and(|run| run.ends_ms <= self.deadline_ms);
             self.end(key, if done { "done" } else { "lapsed" });
         }
     }
 
-    fn end(&mut self, key: RunKey, how: &'static str) {
+    fn end(&mut self, key: AttemptKey, outcome: &'static str) {
         if self.running.remove(&key).is_some() {
-            self.last_number += 1;
-            self.close(&key);
-            self.ends.push(End { number: self.last_number, key, how });
+            self.last_sequence += 1;
+            self.reject_attempts_up_to(&key);
+            self.ended.push(EndedAttempt { sequence: self.last_sequence, key, outcome });
         }
     }
 
-    /// No start up to this one is taken any more.
-    fn close(&mut self, (task, attempt): &RunKey) {
-        let highest = self.highest.entry(task.clone()).or_insert(0);
+    /// Rejects later starts of the task with this or a lower attempt number.
+    fn reject_attempts_up_to(&mut self, (task, attempt): &AttemptKey) {
+        let highest = self.highest_attempts.entry(task.clone()).or_insert(0);
         *highest = (*highest).max(*attempt);
     }
 
-    fn start(&mut self, order: Order) -> Reply {
+    fn start(&mut self, request: WorkerRequest) -> Reply {
         self.advance();
         let now_ms = self.now_ms();
-        if order.deadline_ms <= now_ms {
+        if request.deadline_ms <= now_ms {
             return self.refuse("late");
         }
-        self.extend_worker_lease(order.deadline_ms);
-        let key = (order.task_id, order.attempt);
+        self.extend_worker_lease(request.deadline_ms);
+        let key = (request.task_id, request.attempt);
         if self.running.contains_key(&key) {
             return self.accept();
         }
-        if self.highest.get(&key.0).is_some_and(|highest| *highest >= key.1) {
+        if self.highest_attempts.get(&key.0).is_some_and(|highest| *highest >= key.1) {
             return self.refuse("old");
         }
-        let work_ms = order.spec.parse().unwrap_or(DEFAULT_WORK_MS);
-        self.running.insert(key, Run { began_ms: now_ms, ends_ms: now_ms + work_ms });
+        let run_time_ms = request.spec.parse().unwrap_or(DEFAULT_RUN_TIME_MS);
+        self.running.insert(key, RunningAttempt { began_ms: now_ms, ends_ms: now_ms + run_time_ms });
         self.accept()
     }
 
-    fn stop(&mut self, order: Order) -> Reply {
+    fn stop(&mut self, request: WorkerRequest) -> Reply {
         self.advance();
-        let key = (order.task_id, order.attempt);
-        self.close(&key);
+        let key = (request.task_id, request.attempt);
+        self.reject_attempts_up_to(&key);
         self.end(key, "stopped");
         self.accept()
     }
@@ -188,17 +195,18 @@
 
     fn lists(&self) -> Reply {
         let now_ms = self.now_ms();
-        let percent =
-            |run: &Run| (now_ms - run.began_ms).saturating_mul(100) / (run.ends_ms - run.began_ms).max(1);
+        let percent = |run: &RunningAttempt| {
+            (now_ms - run.began_ms).saturating_mul(100) / (run.ends_ms - run.began_ms).max(1)
+        };
         let running: Vec<serde_json::Value> = self
             .running
             .iter()
             .map(|((task, attempt), run)| serde_json::json!([task, attempt, "", percent(run).min(99)]))
             .collect();
         let finished: Vec<serde_json::Value> = self
-            .ends
+            .ended
             .iter()
-            .map(|end| serde_json::json!([end.number, end.key.0, end.key.1, end.how, ""]))
+            .map(|end| serde_json::json!([end.sequence, end.key.0, end.key.1, end.outcome, ""]))
             .collect();
         let lists = serde_json::json!({"NowMs": now_ms, "Running": running, "Finished": finished});
         Reply { status: StatusCode::OK, body: lists.to_string() }
