--- a/crates/demo/src/children.rs
+++ b/crates/demo/src/children.rs
@@ -10,6 +10,7 @@
 /// Number of lines at the end of a log that an error shows.
 const LOG_TAIL_LINES: usize = 10;
 
+/// A child process with its name and the path of its log.
 struct ChildProcess {
     name: String,
     log: PathBuf,
--- a/crates/demo/src/http.rs
+++ b/crates/demo/src/http.rs
@@ -46,6 +46,7 @@
     timeout(CALL_TIMEOUT, exchange(address, call)).await.ok().flatten()
 }
 
+/// Connects, sends the request and reads the complete response, without a time limit.
 async fn exchange(address: SocketAddr, call: Call) -> Option<CallResponse> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/demo/src/platform.rs
+++ b/crates/demo/src/platform.rs
@@ -31,6 +31,7 @@
     .await
 }
 
+/// Encodes the entry of the worker with this number in the format of the platform.
 fn list_entry((number, worker): (usize, &ListedWorker)) -> serde_json::Value {
     serde_json::json!({
         "Id": worker.instance,
--- a/crates/demo/src/worker.rs
+++ b/crates/demo/src/worker.rs
@@ -50,14 +50,18 @@
     outcome: &'static str,
 }
 
+/// State of a simulated worker. Its clock counts milliseconds since `started`.
 struct Worker {
     instance: String,
     started: Instant,
+    /// Highest fencing token received so far. Requests with a lower one are rejected.
     fencing_token: u64,
+    /// Time at which the lease expires.
     deadline_ms: u64,
     running: BTreeMap<AttemptKey, RunningAttempt>,
     /// Highest attempt number of each task that ended or was stopped on this worker.
     highest_attempts: BTreeMap<String, u32>,
+    /// Ended attempts that the leader has not acknowledged, oldest first.
     ended: Vec<EndedAttempt>,
     last_sequence: u64,
 }
--- a/crates/storage/src/model/state.rs
+++ b/crates/storage/src/model/state.rs
@@ -38,9 +38,11 @@
     operations: u64,
     /// Value of `operations` at which the next changing operation halts.
     halt_at: Option<u64>,
+    /// Whether an operation was halted. All operations except reads then fail until a kill or a power loss.
     halted: bool,
     /// Number of syncs that succeed before `failing_syncs` take effect.
     successful_syncs: u64,
+    /// Number of syncs that fail afterwards.
     failing_syncs: u64,
     /// Maximum total size of the files in bytes.
     capacity: Option<u64>,
