--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -6,10 +6,10 @@
 #[cfg(test)]
 mod tests;
 
-use crate::backends::download::{release, Download, STALL};
+use crate::backends::download::{release, Download, STALL_TIMEOUT};
 use crate::backends::outcome::{outcome, Outcome, ServedBody};
 use crate::backends::outgoing::{size, Outgoing};
-use crate::bodies::{Budget, Upload, SMALL};
+use crate::bodies::{Budget, Upload, SMALL_BODY_BYTES};
 use crate::config::Config;
 use crate::link::{Dialer, Link, Progress};
 use crate::pool::close_reason::CloseReason;
@@ -27,7 +27,7 @@
 use tokio::time::{interval, timeout_at, Instant};
 
 /// An answer of unknown length that takes longer goes on to the client as it comes.
-const HOLD_TIME: Duration = Duration::from_millis(100);
+const BUFFER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// All roll servers: the connections to them, and the memory for bodies.
 pub struct Backends {
@@ -53,21 +53,21 @@
         self.pool.opener().forwards.get()
     }
 
-    /// One attempt at one backend, given up at `not_past`.
+    /// One attempt at one backend, given up at `attempt_deadline`.
     pub async fn attempt(
         self: &Rc<Self>,
         name: &Name,
         request: &Outgoing,
-        not_past: Instant,
+        attempt_deadline: Instant,
         progress: &Rc<Progress>,
     ) -> Outcome {
-        let exchange = self.exchange(name, request, not_past, progress);
+        let exchange = self.exchange(name, request, attempt_deadline, progress);
         let Some(upload) = request.body.relay() else {
-            return match timeout_at(not_past, exchange).await {
+            return match timeout_at(attempt_deadline, exchange).await {
                 Ok(outcome) => outcome,
                 Err(_) if progress.may_have_run() => {
-                    if let Some(at) = progress.sent.get() {
-                        self.pool.silent(name, at);
+                    if let Some(at) = progress.unanswered_since.get() {
+                        self.pool.handle_timeout(name, at);
                     }
                     Outcome::without_answer(Ending::Late)
                 }
@@ -77,7 +77,7 @@
         // It takes as long as the client does; a backend that reads nothing of it is given up.
         let mut outcome = tokio::select! {
             outcome = exchange => outcome,
-            () = stalled(progress, upload) => Outcome::without_answer(progress.broken()),
+            () = stalled(progress, upload) => Outcome::without_answer(progress.ending_when_broken()),
         };
         if upload.fault().is_some() && outcome.ending == Ending::NoRoute {
             // The client broke off, not the backend.
@@ -90,31 +90,31 @@
         &self,
         name: &Name,
         request: &Outgoing,
-        not_past: Instant,
+        attempt_deadline: Instant,
         progress: &Rc<Progress>,
     ) -> Outcome {
-        let mut connection = match self.pool.take(name).await {
+        let mut connection = match self.pool.checkout(name).await {
             Ok(connection) => connection,
             Err(why) => return Outcome::unconnected(why),
         };
-        progress.begun.set(true);
-        let via = if connection.idled.is_some() { Via::Reused } else { Via::New };
+        progress.connected.set(true);
+        let via = if connection.idle_time.is_some() { Via::Reused } else { Via::New };
         let wait = match request.body.relay() {
             Some(_) => request.wait,
-            None => not_past.saturating_duration_since(Instant::now()),
+            None => attempt_deadline.saturating_duration_since(Instant::now()),
         };
         let has_length = request.body.length().is_some();
         let request = request.to_backend(wait, progress);
         // Without a length beforehand, the body's end shows it.
         progress.required.set(if has_length { size(&request) } else { 0 });
         let written = Instant::now();
-        progress.sent.set(Some(written));
+        progress.unanswered_since.set(Some(written));
         let Some(answer) = connection.link.send(request, progress).await else {
-            self.pool.broke(connection, written);
-            return Outcome { via, ..Outcome::without_answer(progress.broken()) };
+            self.pool.close_broken(connection, written);
+            return Outcome { via, ..Outcome::without_answer(progress.ending_when_broken()) };
         };
-        self.pool.answered(&connection, written);
-        progress.sent.set(None);
+        self.pool.record_answer(&connection, written);
+        progress.unanswered_since.set(None);
         let (head, body) = answer.into_parts();
         let read = match head.status.as_u16() {
             200 => self.read_served(connection, &head, body).await,
@@ -123,7 +123,7 @@
         match read {
             Some(body) => Outcome { via, ..outcome(&head, body) },
             // An answer that breaks off was never complete.
-            None => Outcome::without_answer(progress.broken()),
+            None => Outcome::without_answer(progress.ending_when_broken()),
         }
     }
 
@@ -133,7 +133,7 @@
         mut connection: Pooled<Link>,
         body: Incoming,
     ) -> Option<Option<ServedBody>> {
-        let body = Limited::new(body, SMALL).collect();
+        let body = Limited::new(body, SMALL_BODY_BYTES).collect();
         match connection.link.drive(body).await {
             // Its status says it all; the connection goes.
             Some(Err(e)) if e.is::<LengthLimitError>() => Some(None),
@@ -159,9 +159,9 @@
         let framed =
             head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
         let length = body.size_hint().exact();
-        let wanted = length.map_or(SMALL, |l| usize::try_from(l).unwrap_or(usize::MAX));
-        let mut grant = Some(wanted).filter(|w| *w <= SMALL).and_then(|w| self.memory.grant(w));
-        let hold = Instant::now() + HOLD_TIME;
+        let wanted = length.map_or(SMALL_BODY_BYTES, |l| usize::try_from(l).unwrap_or(usize::MAX));
+        let mut grant = Some(wanted).filter(|w| *w <= SMALL_BODY_BYTES).and_then(|w| self.memory.grant(w));
+        let hold = Instant::now() + BUFFER_TIMEOUT;
         let (mut first, mut buffered) = (VecDeque::new(), 0);
         while grant.is_some() {
             let next = connection.link.drive(body.frame());
@@ -177,13 +177,13 @@
                     let Ok(data) = frame.into_data() else { continue };
                     buffered += data.len();
                     first.push_back(data);
-                    if buffered > SMALL {
+                    if buffered > SMALL_BODY_BYTES {
                         break;
                     }
                 }
                 Some(None) => {
                     release(&self.pool, connection, framed);
-                    let body = grant.take().map_or(Bytes::new(), |grant| grant.hold(join(first)));
+                    let body = grant.take().map_or(Bytes::new(), |grant| grant.attach(join(first)));
                     return Some(Some(ServedBody::Buffered(body)));
                 }
                 Some(Some(Err(_))) | None => {
@@ -198,10 +198,10 @@
     }
 }
 
-/// Ends once a backend has read nothing of a relayed body for [`STALL`].
+/// Ends once a backend has read nothing of a relayed body for [`STALL_TIMEOUT`].
 async fn stalled(progress: &Progress, upload: &Upload) {
-    let (mut every, mut before, mut since) = (interval(STALL / 10), 0, Instant::now());
-    while since.elapsed() < STALL {
+    let (mut every, mut before, mut since) = (interval(STALL_TIMEOUT / 10), 0, Instant::now());
+    while since.elapsed() < STALL_TIMEOUT {
         let now = every.tick().await;
         let written = progress.written.get();
         if written != before || upload.waits_for_client() || upload.ended().is_some() {
--- a/crates/gateway/src/backends/download.rs
+++ b/crates/gateway/src/backends/download.rs
@@ -1,6 +1,6 @@
 //! An answer that goes on to its client as it comes.
 
-use crate::bodies::{Grant, SMALL};
+use crate::bodies::{Grant, SMALL_BODY_BYTES};
 use crate::link::{Dialer, Link};
 use crate::pool::close_reason::CloseReason;
 use crate::pool::connection::Pooled;
@@ -18,7 +18,7 @@
 
 /// A backend that has begun an answer and gives nothing for so long has broken off; so has one that reads nothing of a
 /// request's body.
-pub const STALL: Duration = Duration::from_secs(5);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An answer has ended. With no stated end, the connection's is the answer's.
 pub fn release(pool: &Pool<Dialer>, connection: Pooled<Link>, framed: bool) {
@@ -41,7 +41,7 @@
     stall: Pin<Box<Sleep>>,
     waiting: bool,
     /// How much of it has gone on.
-    given: usize,
+    bytes_passed_on: usize,
     /// When its client's time is over.
     limit: Option<Pin<Box<Sleep>>>,
     pool: Rc<Pool<Dialer>>,
@@ -67,7 +67,7 @@
             framed,
             stall: Box::pin(sleep(Duration::ZERO)),
             waiting: false,
-            given: 0,
+            bytes_passed_on: 0,
             limit: None,
             pool: pool.clone(),
         }
@@ -80,13 +80,14 @@
 
     /// Its client waits so long. A large answer is timed by its first bytes, and what its server still gives goes on
     /// past this time; a small one has to be complete.
-    pub fn ends_by(&mut self, limit: Instant) {
-        self.limit = self.length.is_none_or(|l| l <= SMALL as u64).then(|| Box::pin(sleep_until(limit)));
+    pub fn set_deadline(&mut self, limit: Instant) {
+        self.limit =
+            self.length.is_none_or(|l| l <= SMALL_BODY_BYTES as u64).then(|| Box::pin(sleep_until(limit)));
     }
 
     /// Whether a small answer has not come to its end in its client's time.
     fn overdue(&mut self, cx: &mut Context<'_>) -> bool {
-        if self.given > SMALL {
+        if self.bytes_passed_on > SMALL_BODY_BYTES {
             self.limit = None;
         }
         self.limit.as_mut().is_some_and(|limit| limit.as_mut().poll(cx).is_ready())
@@ -109,7 +110,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let me = &mut *self;
         if let Some(data) = me.first.pop_front() {
-            me.given += data.len();
+            me.bytes_passed_on += data.len();
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
         me.grant = None;
@@ -121,7 +122,7 @@
         match Pin::new(&mut me.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
                 me.waiting = false;
-                me.given += frame.data_ref().map_or(0, Bytes::len);
+                me.bytes_passed_on += frame.data_ref().map_or(0, Bytes::len);
                 // Nobody may ask on after the last byte of a declared length.
                 if me.body.is_end_stream() {
                     me.finish();
@@ -136,7 +137,7 @@
             Poll::Pending if closed => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
             Poll::Pending => {
                 if !std::mem::replace(&mut me.waiting, true) {
-                    me.stall.as_mut().reset(Instant::now() + STALL);
+                    me.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                 }
                 me.stall.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into())))
             }
--- a/crates/gateway/src/backends/outcome.rs
+++ b/crates/gateway/src/backends/outcome.rs
@@ -13,8 +13,8 @@
     pub ending: Ending,
     /// The complete answer of a backend that served the request.
     pub served: Option<Served>,
-    pub settled: f64,
-    pub metered: Option<f64>,
+    pub actual_units: f64,
+    pub metered_share: Option<f64>,
     pub load: Option<Load>,
     /// How it came by its connection.
     pub via: Via,
@@ -35,15 +35,22 @@
 
 impl Outcome {
     pub fn without_answer(ending: Ending) -> Self {
-        Outcome { ending, served: None, settled: 0.0, metered: None, load: None, via: Via::Unknown }
+        Outcome {
+            ending,
+            served: None,
+            actual_units: 0.0,
+            metered_share: None,
+            load: None,
+            via: Via::Unknown,
+        }
     }
 
     /// Nothing was written. What this gateway's own limits or list did says nothing of the server.
     pub fn unconnected(why: Unavailable) -> Self {
         match why {
             Unavailable::Refused => Outcome { via: Via::Refused, ..Outcome::without_answer(Ending::NoRoute) },
-            Unavailable::Silent => Outcome::without_answer(Ending::NoRoute),
-            Unavailable::Gone | Unavailable::Full | Unavailable::Descriptors => {
+            Unavailable::ConnectTimeout => Outcome::without_answer(Ending::NoRoute),
+            Unavailable::NotAccepting | Unavailable::AtCapacity | Unavailable::OutOfDescriptors => {
                 Outcome::without_answer(Ending::Stale)
             }
         }
@@ -73,8 +80,8 @@
     });
     Outcome {
         ending,
-        settled: settled.filter(|_| served.is_some()).unwrap_or(0.0),
-        metered: metered.map(|percent| percent / 100.0),
+        actual_units: settled.filter(|_| served.is_some()).unwrap_or(0.0),
+        metered_share: metered.map(|percent| percent / 100.0),
         load,
         served,
         via: Via::Unknown,
--- a/crates/gateway/src/backends/outgoing.rs
+++ b/crates/gateway/src/backends/outgoing.rs
@@ -1,6 +1,6 @@
 //! A client's request as it goes on to backends.
 
-use crate::bodies::{Content, Payload};
+use crate::bodies::{Payload, RequestBody};
 use crate::link::Progress;
 use hyper::body::Body;
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST};
@@ -16,7 +16,7 @@
     pub idempotency_key: Option<HeaderValue>,
     pub content_type: Option<HeaderValue>,
     pub host: HeaderValue,
-    pub body: Content,
+    pub body: RequestBody,
     /// How long the client waits, once its body is complete.
     pub wait: Duration,
 }
--- a/crates/gateway/src/backends/tests.rs
+++ b/crates/gateway/src/backends/tests.rs
@@ -3,7 +3,7 @@
 use crate::backends::outcome::{outcome, ServedBody};
 use crate::backends::outgoing::Outgoing;
 use crate::backends::Backends;
-use crate::bodies::{Budget, Content, SMALL};
+use crate::bodies::{Budget, RequestBody, SMALL_BODY_BYTES};
 use crate::link::{Dialer, Progress};
 use crate::pool::close_reason::CloseReason;
 use crate::pool::tests::target;
@@ -30,7 +30,7 @@
         idempotency_key: Some(HeaderValue::from_static("k")),
         content_type: None,
         host: HeaderValue::from_static("origin.svc"),
-        body: Content::Buffered(Bytes::from(vec![b'x'; body])),
+        body: RequestBody::Buffered(Bytes::from(vec![b'x'; body])),
         wait: Duration::from_secs(1),
     }
 }
@@ -39,7 +39,7 @@
     let dialer = Dialer { forwards: Rc::default() };
     let limit = Duration::from_secs(5);
     let pool = Pool::new(dialer, 10, limit, limit);
-    let backends = Rc::new(Backends { pool, memory: Budget::new(SMALL) });
+    let backends = Rc::new(Backends { pool, memory: Budget::new(SMALL_BODY_BYTES) });
     let address = listener.local_addr().unwrap();
     backends.pool.update(Scope::Full, &[target("s-1", address, 0, State::Ready)]);
     backends
@@ -55,7 +55,7 @@
 /// that has run.
 #[tokio::test(flavor = "local")]
 async fn the_size_of_a_request_is_what_is_written() {
-    for body in [0, 5, SMALL] {
+    for body in [0, 5, SMALL_BODY_BYTES] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (b, request) = (backends(&listener), outgoing(body));
         let backend = async {
@@ -256,8 +256,8 @@
         outcome(&head, Some(ServedBody::Buffered(Bytes::from_static(b"x"))))
     };
     let good = answer(200);
-    assert_eq!((good.metered, good.settled, good.ending), (Some(0.85), 3.0, Ending::Pass));
+    assert_eq!((good.metered_share, good.actual_units, good.ending), (Some(0.85), 3.0, Ending::Pass));
     let bad = answer(500);
-    assert_eq!((bad.metered, bad.settled, bad.ending), (Some(0.85), 0.0, Ending::Fault));
+    assert_eq!((bad.metered_share, bad.actual_units, bad.ending), (Some(0.85), 0.0, Ending::Fault));
     assert!(bad.served.is_none());
 }
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -15,50 +15,50 @@
 use tokio::time::{sleep, Instant, Sleep};
 
 /// Up to this size bodies of both sides are buffered, memory allowing.
-pub const SMALL: usize = 64 << 10;
+pub const SMALL_BODY_BYTES: usize = 64 << 10;
 /// The largest body of a request.
-pub const MAX_BODY: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// The most that is buffered of one request.
-const MOST_HELD: usize = 4 << 20;
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
 /// A client sends 64 kB a second at least; with pauses, half of that over all.
-const SLOWEST: f64 = 32_000.0;
+const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 /// What a client may take beside.
-pub const BODY_TIME: Duration = Duration::from_millis(2600);
+pub const BODY_TIMEOUT: Duration = Duration::from_millis(2600);
 /// What a rest that nobody wants may take.
-const DISCARD_TIME: Duration = Duration::from_secs(10);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Memory for buffered bodies of all requests together.
 #[derive(Clone)]
 pub struct Budget {
-    left: Arc<AtomicUsize>,
+    available: Arc<AtomicUsize>,
 }
 
 impl Budget {
     pub fn new(bytes: usize) -> Self {
-        Budget { left: Arc::new(AtomicUsize::new(bytes)) }
+        Budget { available: Arc::new(AtomicUsize::new(bytes)) }
     }
 
     pub fn grant(&self, bytes: usize) -> Option<Grant> {
-        let mut grant = Grant { left: self.left.clone(), bytes: 0 };
+        let mut grant = Grant { available: self.available.clone(), bytes: 0 };
         grant.grow(bytes).then_some(grant)
     }
 
     /// What one request may hold: a part of what is left, so that the last ones get something too.
     fn share(&self) -> usize {
-        (self.left.load(Ordering::Relaxed) / 4).clamp(SMALL, MOST_HELD)
+        (self.available.load(Ordering::Relaxed) / 4).clamp(SMALL_BODY_BYTES, MAX_BUFFERED_BYTES)
     }
 }
 
 /// A part of the budget. Dropping it gives it back.
 pub struct Grant {
-    left: Arc<AtomicUsize>,
+    available: Arc<AtomicUsize>,
     bytes: usize,
 }
 
 impl Grant {
     fn grow(&mut self, bytes: usize) -> bool {
         let less = |left: usize| left.checked_sub(bytes);
-        let granted = self.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok();
+        let granted = self.available.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok();
         if granted {
             self.bytes += bytes;
         }
@@ -66,23 +66,23 @@
     }
 
     /// These bytes, which count against the budget for as long as anyone holds them.
-    pub fn hold(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(Held { bytes, _grant: self })
+    pub fn attach(self, bytes: Bytes) -> Bytes {
+        Bytes::from_owner(BudgetedBytes { bytes, _grant: self })
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        self.left.fetch_add(self.bytes, Ordering::Relaxed);
+        self.available.fetch_add(self.bytes, Ordering::Relaxed);
     }
 }
 
-struct Held {
+struct BudgetedBytes {
     bytes: Bytes,
     _grant: Grant,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for BudgetedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
@@ -114,39 +114,40 @@
     received: u64,
     /// Waited for it so far; None once it is relayed, when only each silence counts.
     waited: Option<Duration>,
-    since: Option<Instant>,
+    waiting_since: Option<Instant>,
     limit: Pin<Box<Sleep>>,
 }
 
 impl<B: Body<Data = Bytes> + Unpin> Paced<B> {
     fn new(body: B, waited: Duration) -> Self {
         let limit = Box::pin(sleep(Duration::ZERO));
-        Paced { body, received: 0, waited: Some(waited), since: None, limit }
+        Paced { body, received: 0, waited: Some(waited), waiting_since: None, limit }
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         let next = Pin::new(&mut self.body).poll_frame(cx);
         let Poll::Ready(frame) = next else {
-            let since = match self.since {
+            let since = match self.waiting_since {
                 Some(since) => since,
                 None => {
                     let now = Instant::now();
                     let left = match self.waited {
                         Some(waited) => {
-                            let allowed = Duration::from_secs_f64(self.received as f64 / SLOWEST);
-                            (BODY_TIME + allowed).saturating_sub(waited)
+                            let allowed =
+                                Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_SECOND);
+                            (BODY_TIMEOUT + allowed).saturating_sub(waited)
                         }
-                        None => BODY_TIME,
+                        None => BODY_TIMEOUT,
                     };
                     self.limit.as_mut().reset(now + left);
                     now
                 }
             };
-            self.since = Some(since);
+            self.waiting_since = Some(since);
             ready!(self.limit.as_mut().poll(cx));
             return Poll::Ready(Some(Err(Fault::TooSlow)));
         };
-        if let (Some(since), Some(waited)) = (self.since.take(), self.waited.as_mut()) {
+        if let (Some(since), Some(waited)) = (self.waiting_since.take(), self.waited.as_mut()) {
             *waited += since.elapsed();
         }
         Poll::Ready(match frame {
@@ -154,7 +155,7 @@
             Some(Err(_)) => Some(Err(Fault::Broken)),
             Some(Ok(frame)) => {
                 self.received += frame.data_ref().map_or(0, |d| d.len() as u64);
-                Some(if self.received > MAX_BODY { Err(Fault::TooLarge) } else { Ok(frame) })
+                Some(if self.received > MAX_BODY_BYTES { Err(Fault::TooLarge) } else { Ok(frame) })
             }
         })
     }
@@ -166,25 +167,25 @@
 
 /// The body of a request on its way to a backend.
 #[derive(Clone)]
-pub enum Content {
+pub enum RequestBody {
     Buffered(Bytes),
     Relay(Rc<Upload>),
 }
 
 /// Reads a body: all of it if there is memory for that, else its beginning, and the rest is relayed.
 /// `waited`: how long the client has been waited for already.
-pub async fn take(body: Incoming, budget: &Budget, waited: Duration) -> Result<Content, Fault> {
+pub async fn take(body: Incoming, budget: &Budget, waited: Duration) -> Result<RequestBody, Fault> {
     let length = body.size_hint().exact();
-    if length.is_some_and(|l| l > MAX_BODY) {
+    if length.is_some_and(|l| l > MAX_BODY_BYTES) {
         return Err(Fault::TooLarge);
     }
     if body.is_end_stream() {
-        return Ok(Content::Buffered(Bytes::new()));
+        return Ok(RequestBody::Buffered(Bytes::new()));
     }
     let most = budget.share();
     let first = match length {
         Some(l) if l as usize <= most => l as usize,
-        _ => SMALL,
+        _ => SMALL_BODY_BYTES,
     };
     let mut grant = budget.grant(first);
     let mut body = Paced::new(body, waited);
@@ -192,7 +193,7 @@
     while let Some(g) = grant.as_mut() {
         let Some(frame) = body.next().await.transpose()? else {
             let buffered = buffered.freeze();
-            return Ok(Content::Buffered(grant.map_or(Bytes::new(), |grant| grant.hold(buffered))));
+            return Ok(RequestBody::Buffered(grant.map_or(Bytes::new(), |grant| grant.attach(buffered))));
         };
         if let Ok(data) = frame.into_data() {
             if buffered.capacity() == 0 {
@@ -204,17 +205,17 @@
         let fits = length.is_some_and(|l| l as usize <= g.bytes);
         if !fits
             && buffered.len() >= g.bytes
-            && (length.is_some() || buffered.len() >= most || !g.grow(SMALL))
+            && (length.is_some() || buffered.len() >= most || !g.grow(SMALL_BODY_BYTES))
         {
             break;
         }
     }
     body.waited = None;
-    Ok(Content::Relay(Rc::new(Upload {
-        buffered: RefCell::new(grant.map_or(Bytes::new(), |grant| grant.hold(buffered.freeze()))),
+    Ok(RequestBody::Relay(Rc::new(Upload {
+        buffered: RefCell::new(grant.map_or(Bytes::new(), |grant| grant.attach(buffered.freeze()))),
         rest: RefCell::new(body),
         length,
-        touched: Cell::new(false),
+        consumed: Cell::new(false),
         ended: Cell::new(None),
         complete: Notify::new(),
         fault: Cell::new(None),
@@ -223,11 +224,11 @@
 
 /// Reads on what nobody wants any more, so that the client gets to read its answer.
 pub async fn discard(mut body: Incoming) {
-    let limit = Instant::now() + DISCARD_TIME;
+    let limit = Instant::now() + DISCARD_TIMEOUT;
     let mut length = 0;
     while let Ok(Some(Ok(frame))) = tokio::time::timeout_at(limit, body.frame()).await {
         length += frame.data_ref().map_or(0, |d| d.len() as u64);
-        if length > MAX_BODY {
+        if length > MAX_BODY_BYTES {
             break;
         }
     }
@@ -235,11 +236,11 @@
 
 /// A body that is relayed as it comes, once only.
 pub struct Upload {
-    /// Its beginning, until the rest is touched.
+    /// Its beginning, until the rest is consumed.
     buffered: RefCell<Bytes>,
     rest: RefCell<Paced<Incoming>>,
     length: Option<u64>,
-    touched: Cell<bool>,
+    consumed: Cell<bool>,
     ended: Cell<Option<Instant>>,
     complete: Notify,
     fault: Cell<Option<Fault>>,
@@ -247,8 +248,8 @@
 
 impl Upload {
     /// Whether a part of it is gone, so that it can't be sent again.
-    pub fn spent(&self) -> bool {
-        self.touched.get()
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
     /// When its last byte was passed on.
@@ -269,12 +270,12 @@
 
     /// Whether the client is what is waited for.
     pub fn waits_for_client(&self) -> bool {
-        self.rest.borrow().since.is_some()
+        self.rest.borrow().waiting_since.is_some()
     }
 
     /// Reads on what is left of it for a while.
     pub async fn discard(self: Rc<Self>) {
-        let limit = Instant::now() + DISCARD_TIME;
+        let limit = Instant::now() + DISCARD_TIMEOUT;
         let next = || std::future::poll_fn(|cx| self.rest.borrow_mut().poll(cx));
         while let Ok(Some(Ok(_))) = tokio::time::timeout_at(limit, next()).await {}
     }
@@ -290,7 +291,7 @@
             return Poll::Ready(None);
         }
         let next = ready!(self.rest.borrow_mut().poll(cx));
-        if !self.touched.replace(true) {
+        if !self.consumed.replace(true) {
             *self.buffered.borrow_mut() = Bytes::new();
         }
         match &next {
@@ -303,16 +304,16 @@
     }
 }
 
-/// One attempt's view of a request's body. `wholly` is called when the last of it is handed over.
+/// One attempt's view of a request's body. `on_last_byte` is called when the last of it is handed over.
 pub struct Payload {
-    content: Content,
+    content: RequestBody,
     begun: bool,
-    wholly: Box<dyn Fn()>,
+    on_last_byte: Box<dyn Fn()>,
 }
 
 impl Payload {
-    pub fn new(content: Content, wholly: impl Fn() + 'static) -> Self {
-        Payload { content, begun: false, wholly: Box::new(wholly) }
+    pub fn new(content: RequestBody, on_last_byte: impl Fn() + 'static) -> Self {
+        Payload { content, begun: false, on_last_byte: Box::new(on_last_byte) }
     }
 }
 
@@ -326,18 +327,18 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         let first = !std::mem::replace(&mut self.begun, true);
         match &self.content {
-            Content::Buffered(bytes) if first && !bytes.is_empty() => {
+            RequestBody::Buffered(bytes) if first && !bytes.is_empty() => {
                 Poll::Ready(Some(Ok(Frame::data(bytes.clone()))))
             }
-            Content::Buffered(..) => Poll::Ready(None),
-            Content::Relay(upload) => {
+            RequestBody::Buffered(..) => Poll::Ready(None),
+            RequestBody::Relay(upload) => {
                 let buffered = upload.buffered.borrow().clone();
                 if first && !buffered.is_empty() {
                     return Poll::Ready(Some(Ok(Frame::data(buffered))));
                 }
                 let next = ready!(upload.poll(cx));
                 if upload.ended().is_some() {
-                    (self.wholly)();
+                    (self.on_last_byte)();
                 }
                 Poll::Ready(next)
             }
@@ -346,15 +347,15 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.content {
-            Content::Buffered(bytes) => self.begun || bytes.is_empty(),
-            Content::Relay(upload) => self.begun && upload.ended().is_some(),
+            RequestBody::Buffered(bytes) => self.begun || bytes.is_empty(),
+            RequestBody::Relay(upload) => self.begun && upload.ended().is_some(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Buffered(bytes) if !self.begun => SizeHint::with_exact(bytes.len() as u64),
-            Content::Relay(upload) if !self.begun => {
+            RequestBody::Buffered(bytes) if !self.begun => SizeHint::with_exact(bytes.len() as u64),
+            RequestBody::Relay(upload) if !self.begun => {
                 upload.length.map_or(SizeHint::default(), SizeHint::with_exact)
             }
             _ => SizeHint::default(),
@@ -362,19 +363,19 @@
     }
 }
 
-impl Content {
+impl RequestBody {
     /// Its length, where it is known beforehand.
     pub fn length(&self) -> Option<u64> {
         match self {
-            Content::Buffered(bytes) => Some(bytes.len() as u64),
-            Content::Relay(upload) => upload.length,
+            RequestBody::Buffered(bytes) => Some(bytes.len() as u64),
+            RequestBody::Relay(upload) => upload.length,
         }
     }
 
     pub fn relay(&self) -> Option<&Rc<Upload>> {
         match self {
-            Content::Buffered(..) => None,
-            Content::Relay(upload) => Some(upload),
+            RequestBody::Buffered(..) => None,
+            RequestBody::Relay(upload) => Some(upload),
         }
     }
 }
--- a/crates/gateway/src/bodies/tests.rs
+++ b/crates/gateway/src/bodies/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn grants_are_bounded_over_all_requests_and_given_back() {
-    let budget = Budget::new(SMALL * 5);
-    let mut first = budget.grant(SMALL * 2).unwrap();
-    assert!(budget.grant(SMALL * 4).is_none());
-    assert!(first.grow(SMALL * 3) && !first.grow(1));
+    let budget = Budget::new(SMALL_BODY_BYTES * 5);
+    let mut first = budget.grant(SMALL_BODY_BYTES * 2).unwrap();
+    assert!(budget.grant(SMALL_BODY_BYTES * 4).is_none());
+    assert!(first.grow(SMALL_BODY_BYTES * 3) && !first.grow(1));
     drop(first);
-    assert!(budget.grant(SMALL * 5).is_some());
+    assert!(budget.grant(SMALL_BODY_BYTES * 5).is_some());
 }
 
 /// Sends a byte now and then, or nothing.
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -16,24 +16,24 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// A client that takes nothing of its answer for so long is let go.
-const UNREAD_TIME: Duration = Duration::from_secs(15);
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How often a client is checked of which bytes lie behind its request.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const PEEK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long a close lingers for the peer's own close, where bytes lie in the socket that nobody reads.
-const LINGER_TIME: Duration = Duration::from_secs(2);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 const LINGER_READ_BYTES: usize = 4096;
 
 /// A client's connection.
 pub struct Client {
     pub stream: TcpStream,
     /// Whether bytes have come since its last request: a next one, of which the head is incomplete.
-    pub begun: Cell<bool>,
+    pub request_begun: Cell<bool>,
     /// Since when it has taken nothing of what is to be written to it.
-    pub unread: Cell<Option<Instant>>,
+    pub write_blocked_since: Cell<Option<Instant>>,
     /// Its next answer is to be the last.
-    pub closing: Cell<bool>,
+    pub close_after_answer: Cell<bool>,
     /// An answer has said that it is the last: what still comes is no request.
     pub last_answered: Cell<bool>,
     /// Its close lingers, so that the end of its last answer reaches it.
@@ -42,54 +42,55 @@
     pub stop_lingering: Notify,
     pub connected: Instant,
     /// Whether a request of it has been read and answered, be it with an error.
-    pub known: Cell<bool>,
+    pub answered_before: Cell<bool>,
     /// Since when it has had no request in hand.
-    pub idle: Cell<Option<Instant>>,
+    pub idle_since: Cell<Option<Instant>>,
     pub close: Notify,
 }
 
 impl Client {
     pub fn new(stream: TcpStream, connected: Instant) -> Self {
-        let idle = Cell::new(Some(connected));
-        let (known, begun, unread, closing, close) = Default::default();
+        let idle_since = Cell::new(Some(connected));
+        let (answered_before, request_begun, write_blocked_since, close_after_answer, close) =
+            Default::default();
         let (last_answered, lingering, stop_lingering) = Default::default();
         Client {
             stream,
-            begun,
-            unread,
-            closing,
+            request_begun,
+            write_blocked_since,
+            close_after_answer,
             last_answered,
             lingering,
             stop_lingering,
             connected,
-            known,
-            idle,
+            answered_before,
+            idle_since,
             close,
         }
     }
 
     /// Whether it has a request in hand, or an answer that has not left this program.
-    pub fn is_owed(&self) -> bool {
-        self.idle.get().is_none() || self.unread.get().is_some() || self.lingering.get()
+    pub fn is_owed_answer(&self) -> bool {
+        self.idle_since.get().is_none() || self.write_blocked_since.get().is_some() || self.lingering.get()
     }
 
     /// Whether it has left its answer unread for too long.
-    pub fn takes_nothing(&self, now: Instant) -> bool {
-        self.unread.get().is_some_and(|at| now.saturating_duration_since(at) >= UNREAD_TIME)
+    pub fn is_write_stalled(&self, now: Instant) -> bool {
+        self.write_blocked_since.get().is_some_and(|at| now.saturating_duration_since(at) >= UNREAD_TIMEOUT)
     }
 
     /// Whether bytes wait in the socket, also those that the event loop has not been notified of yet.
-    pub fn has_unread(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_ok_and(|n| n > 0)
     }
 
-    /// Reads and drops what still comes until the peer closes too, `stop_lingering` is notified or `LINGER_TIME` is over. A
+    /// Reads and drops what still comes until the peer closes too, `stop_lingering` is notified or `LINGER_TIMEOUT` is over. A
     /// close over unread bytes would be a reset, which throws away what the send buffer holds of the last answer.
     pub async fn linger(&self) {
         self.lingering.set(true);
         tokio::select! {
-            _ = timeout(LINGER_TIME, self.discard_until_closed()) => {}
+            _ = timeout(LINGER_TIMEOUT, self.discard_until_closed()) => {}
             () = self.stop_lingering.notified() => {}
         }
     }
@@ -106,7 +107,7 @@
     }
 
     /// Waits until it has closed its connection. The HTTP layer sees that only where no bytes lie behind the request.
-    pub async fn left(&self) {
+    pub async fn disconnected(&self) {
         loop {
             let Ok(ready) = self.stream.ready(Interest::READABLE).await else { return };
             if ready.is_read_closed() {
@@ -115,7 +116,7 @@
             // Taken as read only where nothing is there, so that the next event wakes again.
             let peek = || SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
             match self.stream.try_io(Interest::READABLE, peek) {
-                Ok(1..) => sleep(LOOK_EVERY).await,
+                Ok(1..) => sleep(PEEK_INTERVAL).await,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 _ => return,
             }
@@ -123,9 +124,9 @@
     }
 }
 
-pub struct Tap(pub Rc<Client>);
+pub struct ClientSocket(pub Rc<Client>);
 
-impl AsyncRead for Tap {
+impl AsyncRead for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let client = &self.0;
         loop {
@@ -134,7 +135,7 @@
                 Ok(n) => {
                     buf.advance(n);
                     if n > 0 {
-                        client.begun.set(true);
+                        client.request_begun.set(true);
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -145,8 +146,8 @@
     }
 }
 
-impl Tap {
-    fn poll_out(
+impl ClientSocket {
+    fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
         write: impl Fn() -> io::Result<usize>,
@@ -155,11 +156,11 @@
             ready!(self.0.stream.poll_write_ready(cx))?;
             match write() {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    let since = self.0.unread.get().unwrap_or_else(Instant::now);
-                    self.0.unread.set(Some(since));
+                    let since = self.0.write_blocked_since.get().unwrap_or_else(Instant::now);
+                    self.0.write_blocked_since.set(Some(since));
                 }
                 written => {
-                    self.0.unread.set(None);
+                    self.0.write_blocked_since.set(None);
                     return Poll::Ready(written);
                 }
             }
@@ -167,9 +168,9 @@
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_out(cx, || self.0.stream.try_write(buf))
+        self.poll_write_with(cx, || self.0.stream.try_write(buf))
     }
 
     fn poll_write_vectored(
@@ -177,7 +178,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_out(cx, || self.0.stream.try_write_vectored(bufs))
+        self.poll_write_with(cx, || self.0.stream.try_write_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -15,7 +15,7 @@
 
 /// Descriptors that are neither clients nor backends: standard streams, the event loop, signals, the
 /// listeners, discovery, operators' calls, and a few in passing between accept and close.
-const RESERVED: usize = 40;
+const RESERVED_DESCRIPTORS: usize = 40;
 
 /// The most operators' calls open at once. One more ends the oldest, whose request is incomplete.
 pub const MAX_OPERATOR_CALLS: usize = 16;
@@ -164,7 +164,9 @@
             own("pool", config::schema::<Pool>);
             own("log", config::schema::<log::Options>);
             match file {
-                Ok(file) if file.seed.is_none() => faults.push(format!("seed is missing: {SEED} are wanted")),
+                Ok(file) if file.seed.is_none() => {
+                    faults.push(format!("seed is missing: {SEED_FORMAT} are wanted"))
+                }
                 Ok(file) if faults.is_empty() => return build(file, value, environment),
                 Ok(_) => {}
                 Err(more) => faults
@@ -175,12 +177,12 @@
     }
 }
 
-const SEED: &str = "up to 16 hex digits";
+const SEED_FORMAT: &str = "up to 16 hex digits";
 
 fn build(file: File, document: Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Wrong> {
     let mut faults = Vec::new();
     let Addresses { listen, ops, discovery } = Addresses::read(&file, &environment, &mut faults);
-    let reserved = RESERVED + ops.map_or(0, |_| MAX_OPERATOR_CALLS);
+    let reserved = RESERVED_DESCRIPTORS + ops.map_or(0, |_| MAX_OPERATOR_CALLS);
     let sockets = file.limits.sockets;
     if sockets < 2 * reserved {
         faults.push(format!("limits.sockets is {sockets}: at least {} are wanted", 2 * reserved));
@@ -266,7 +268,7 @@
 fn random_seed(configured: Option<&str>, faults: &mut Vec<String>) -> u64 {
     match configured {
         Some(text) => u64::from_str_radix(text, 16).unwrap_or_else(|_| {
-            faults.push(format!("seed is {text:?}: {SEED} are wanted"));
+            faults.push(format!("seed is {text:?}: {SEED_FORMAT} are wanted"));
             0
         }),
         None => fastrand::u64(..),
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -49,7 +49,7 @@
     state: RefCell<DriverState>,
     wake: Notify,
     /// The module has taken in what was there.
-    handled: Notify,
+    batch_handled: Notify,
     backends: Rc<Backends>,
     clock: Clock,
     /// Receives what this process does, while there is another of this gateway.
@@ -62,7 +62,7 @@
     /// Once the process is to end: when the last request has to be answered.
     shutdown_deadline: Cell<Option<Instant>>,
     /// The `Retry-After` of requests that end with the process, in nanoseconds; 0 where answers may not have one.
-    shutdown_retry_after: Time,
+    shutdown_retry_after_ns: Time,
     /// When discovery last sent the list or had nothing newer.
     list_confirmed: Cell<Instant>,
     zones: Vec<String>,
@@ -74,7 +74,7 @@
     /// Whether all gateways call one discovery service, so that each call is a load on it.
     pub is_discovery_shared: bool,
     /// The most units of one request; 0 if the settings have no limit.
-    pub most_units: f64,
+    pub max_units: f64,
 }
 
 impl Driver {
@@ -87,7 +87,7 @@
         let classes = s.classes.iter();
         Ok(Rc::new(Driver {
             wake: Notify::new(),
-            handled: Notify::new(),
+            batch_handled: Notify::new(),
             backends,
             peer: RefCell::default(),
             list: RefCell::default(),
@@ -95,7 +95,7 @@
             figures: Figures::new(s.classes.iter().map(|c| c.name.as_str())),
             discovery_down: Cell::new(false),
             shutdown_deadline: Cell::default(),
-            shutdown_retry_after: if s.retry_after { s.tick.min(s.max_retry_after) } else { 0 },
+            shutdown_retry_after_ns: if s.retry_after { s.tick.min(s.max_retry_after) } else { 0 },
             list_confirmed: Cell::new(Instant::now()),
             zones: config.zones.clone(),
             tick: Duration::from_nanos(s.tick),
@@ -104,9 +104,9 @@
             plans: s.plans.iter().map(|p| p.name.clone()).collect(),
             gateways: s.gateways,
             is_discovery_shared: s.subscribe,
-            most_units: s.most_units,
+            max_units: s.most_units,
             state: RefCell::new(DriverState {
-                gateway: Gateway::new(s, config.seed, clock.time(Instant::now()))
+                engine: Gateway::new(s, config.seed, clock.time(Instant::now()))
                     .map_err(DriverError::Settings)?,
                 events: Vec::new(),
                 requests: HashMap::new(),
--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -19,7 +19,7 @@
         state: &mut DriverState,
         id: RequestId,
         server: Name,
-        not_past: Time,
+        attempt_deadline: Time,
         now: Instant,
     ) {
         let pending = state.requests.get_mut(&id);
@@ -28,7 +28,7 @@
             pending.filter(|l| l.client.is_some() && l.attempt.is_none() && l.attempts < self.try_limit)
         else {
             // Over already, as when the client left in this batch: the module hears that nothing went out.
-            state.events.push(self.end(
+            state.events.push(self.attempt_end_event(
                 id,
                 attempt,
                 server,
@@ -40,7 +40,7 @@
             return;
         };
         pending.attempts += 1;
-        let not_past = match not_past {
+        let attempt_deadline = match attempt_deadline {
             0 => pending.deadline,
             at => self.clock.instant(at).min(pending.deadline),
         };
@@ -49,19 +49,19 @@
             request = %RequestName(id),
             attempt,
             server = &*server,
-            left_ms = not_past.saturating_duration_since(now).as_millis() as u64,
+            left_ms = attempt_deadline.saturating_duration_since(now).as_millis() as u64,
             "attempt"
         );
         let progress = Rc::default();
         let run =
             Attempt { driver: self.clone(), id, number: attempt, server, sent: now, progress, done: false };
-        pending.attempt = Some(run.spawn(pending.outgoing.clone(), not_past));
+        pending.attempt = Some(run.spawn(pending.outgoing.clone(), attempt_deadline));
     }
 
     /// An attempt is over, however it came to that.
-    fn ended(&self, run: &mut Attempt, mut outcome: Outcome) {
+    fn handle_attempt_end(&self, run: &mut Attempt, mut outcome: Outcome) {
         let mut state = self.state.borrow_mut();
-        let (mut last, mut spent, mut elapsed) = (true, false, run.sent.elapsed());
+        let (mut last, mut body_discarded, mut elapsed) = (true, false, run.sent.elapsed());
         tracing::debug!(
             target: LOG_TARGET,
             request = %RequestName(run.id),
@@ -74,11 +74,11 @@
         if let Some(pending) = state.requests.get_mut(&run.id) {
             pending.attempt = None;
             if let Some(upload) = pending.outgoing.body.relay() {
-                spent = upload.spent();
+                body_discarded = upload.is_consumed();
                 elapsed = upload.ended().map_or(Duration::ZERO, |at| at.elapsed());
             }
             pending.may_have_run |= !matches!(outcome.ending, Ending::Full | Ending::NoRoute | Ending::Stale);
-            pending.late = outcome.ending == Ending::Late;
+            pending.timed_out = outcome.ending == Ending::Late;
             if let Some(served) = outcome.served.take() {
                 self.answer(pending, Answer::Served(served));
             }
@@ -87,17 +87,24 @@
                 state.requests.remove(&run.id);
             }
         }
-        let event = self.end(run.id, run.number, run.server.clone(), (last, spent), elapsed, outcome);
+        let event = self.attempt_end_event(
+            run.id,
+            run.number,
+            run.server.clone(),
+            (last, body_discarded),
+            elapsed,
+            outcome,
+        );
         state.events.push(event);
         self.wake.notify_one();
     }
 
-    fn end(
+    fn attempt_end_event(
         &self,
         id: RequestId,
         attempt: u32,
         server: Name,
-        (last, spent): (bool, bool),
+        (last, body_discarded): (bool, bool),
         elapsed: Duration,
         outcome: Outcome,
     ) -> Event {
@@ -108,10 +115,10 @@
             server,
             ending: outcome.ending,
             request_finished: last,
-            body_discarded: spent,
+            body_discarded: body_discarded,
             elapsed: elapsed.as_nanos() as Time,
-            actual_units: outcome.settled,
-            metered_share: outcome.metered,
+            actual_units: outcome.actual_units,
+            metered_share: outcome.metered_share,
             load: outcome.load,
             via: outcome.via,
             open_connections: links,
@@ -131,14 +138,14 @@
 }
 
 impl Attempt {
-    /// Runs as a task of its own, until `not_past` at the latest.
-    fn spawn(self, request: Rc<Outgoing>, not_past: Instant) -> RunningAttempt {
+    /// Runs as a task of its own, until `attempt_deadline` at the latest.
+    fn spawn(self, request: Rc<Outgoing>, attempt_deadline: Instant) -> RunningAttempt {
         let progress = self.progress.clone();
         let task = spawn_local(async move {
             let mut outcome =
-                self.driver.backends.attempt(&self.server, &request, not_past, &self.progress).await;
+                self.driver.backends.attempt(&self.server, &request, attempt_deadline, &self.progress).await;
             if let Some(Served { body: ServedBody::Stream(download), .. }) = &mut outcome.served {
-                download.ends_by(self.driver.limit(self.id, not_past));
+                download.set_deadline(self.driver.deadline_or(self.id, attempt_deadline));
             }
             self.done(outcome);
         });
@@ -148,7 +155,7 @@
     fn done(mut self, outcome: Outcome) {
         self.done = true;
         let driver = self.driver.clone();
-        driver.ended(&mut self, outcome);
+        driver.handle_attempt_end(&mut self, outcome);
     }
 }
 
@@ -157,7 +164,7 @@
         if !self.done {
             self.done = true;
             let driver = self.driver.clone();
-            driver.ended(self, Outcome::without_answer(Ending::Undone));
+            driver.handle_attempt_end(self, Outcome::without_answer(Ending::Undone));
         }
     }
 }
--- a/crates/gateway/src/driver/event_loop.rs
+++ b/crates/gateway/src/driver/event_loop.rs
@@ -1,6 +1,6 @@
 //! The loop: hands the decision module what has happened and carries its actions out.
 
-use crate::driver::state::{add, DriverState, Due, LOG_TARGET};
+use crate::driver::state::{increment, DriverState, Due, LOG_TARGET};
 use crate::driver::Driver;
 use crate::peer_message::PeerMessage;
 use gateway_decisions::{Action, Event, RequestId, Time};
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-const STATUS_EVERY: Duration = Duration::from_secs(10);
+const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Driver {
     /// Hands the module what has happened, a tick apart at least.
     pub async fn run(self: &Rc<Self>) -> Infallible {
         let mut actions = Vec::new();
-        let mut status = Instant::now() + STATUS_EVERY;
+        let mut status = Instant::now() + STATUS_INTERVAL;
         let mut earliest = Instant::now();
         loop {
             let due = self.next_due().min(status);
@@ -38,7 +38,7 @@
             self.batch(now, &mut actions);
             if now >= status {
                 self.status();
-                status = now + STATUS_EVERY;
+                status = now + STATUS_INTERVAL;
             }
         }
     }
@@ -53,7 +53,7 @@
                 _ => return *at,
             }
         }
-        Instant::now() + STATUS_EVERY
+        Instant::now() + STATUS_INTERVAL
     }
 
     /// Hands the module all that has happened until now.
@@ -62,7 +62,7 @@
         let state = &mut *state;
         while state.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             match state.timers.pop() {
-                Some(Reverse((_, Due::Module(token)))) => state.events.push(Event::Timer { token }),
+                Some(Reverse((_, Due::Engine(token)))) => state.events.push(Event::Timer { token }),
                 Some(Reverse((_, Due::Deadline(id)))) => self.overdue(state, id, now),
                 None => {}
             }
@@ -70,12 +70,12 @@
         if state.events.is_empty() {
             return;
         }
-        add(&self.counts.batches);
-        state.gateway.handle(self.clock.time(now), std::mem::take(&mut state.events), actions);
+        increment(&self.counts.batches);
+        state.engine.handle(self.clock.time(now), std::mem::take(&mut state.events), actions);
         for action in actions.drain(..) {
             self.carry_out(state, action, now);
         }
-        self.handled.notify_waiters();
+        self.batch_handled.notify_waiters();
     }
 
     /// The module has not decided: the request is answered all the same, and nothing more goes out for it.
@@ -85,11 +85,12 @@
         else {
             return;
         };
-        add(&self.counts.overdue);
+        increment(&self.counts.overdue);
         pending.may_have_run |= pending.attempt.is_some();
-        pending.late = true;
-        let advice = if self.shutdown_deadline.get().is_some() { self.shutdown_retry_after } else { 0 };
-        self.give_up(pending, true, advice);
+        pending.timed_out = true;
+        let retry_after_ns =
+            if self.shutdown_deadline.get().is_some() { self.shutdown_retry_after_ns } else { 0 };
+        self.answer_unserved(pending, true, retry_after_ns);
         match &pending.attempt {
             Some(attempt) => attempt.task.abort(),
             None => drop(state.requests.remove(&id)),
@@ -111,7 +112,7 @@
                 }
             }
             Action::Timer { token, at } => {
-                state.timers.push(Reverse((self.clock.instant(at), Due::Module(token))));
+                state.timers.push(Reverse((self.clock.instant(at), Due::Engine(token))));
             }
             // The watch always stands.
             Action::Subscribe { .. } => {}
@@ -119,15 +120,15 @@
                 self.backends.pool.set_server_limit(&server, limit as usize);
             }
             Action::Connections { server: None, limit } => self.backends.pool.set_limit(limit as usize),
-            Action::Share(share) => self.tell_peer(PeerMessage::Share(share)),
+            Action::Share(share) => self.send_to_peer(PeerMessage::Share(share)),
         }
     }
 
     /// The module's final answer, if it is one without service.
-    pub(super) fn finish(&self, state: &mut DriverState, id: RequestId, refuse: bool, advice: Time) {
+    pub(super) fn finish(&self, state: &mut DriverState, id: RequestId, refuse: bool, retry_after_ns: Time) {
         let Some(pending) = state.requests.get_mut(&id) else { return };
         pending.may_have_run |= pending.attempt.is_some();
-        self.give_up(pending, refuse, advice);
+        self.answer_unserved(pending, refuse, retry_after_ns);
         match &pending.attempt {
             Some(attempt) => attempt.task.abort(),
             None => drop(state.requests.remove(&id)),
--- a/crates/gateway/src/driver/peer.rs
+++ b/crates/gateway/src/driver/peer.rs
@@ -15,7 +15,7 @@
     }
 
     /// Sends to the other process, if there is one. One that does not keep up is disconnected: its link ends.
-    pub fn tell_peer(&self, message: PeerMessage) {
+    pub fn send_to_peer(&self, message: PeerMessage) {
         let mut peer = self.peer.borrow_mut();
         if peer.as_ref().is_some_and(|p| p.try_send(message).is_err()) {
             *peer = None;
@@ -26,7 +26,7 @@
     pub fn hand_over(self: &Rc<Self>, messages: mpsc::Sender<PeerMessage>) -> (u64, Vec<Target>, Snapshot) {
         // Nothing may lie between the snapshot and the messages after it.
         self.batch(Instant::now(), &mut Vec::new());
-        let snapshot = self.state.borrow().gateway.snapshot();
+        let snapshot = self.state.borrow().engine.snapshot();
         self.set_peer(messages);
         let list = self.list.borrow();
         (list.rev, list.targets.values().cloned().collect(), snapshot)
@@ -40,7 +40,7 @@
         targets: Vec<Target>,
         snapshot: Snapshot,
     ) {
-        snapshot.disabled().for_each(|server| self.backends.pool.ban(server));
+        snapshot.disabled().for_each(|server| self.backends.pool.disable(server));
         self.list(Scope::Cached, List { rev, all: true, targets });
         self.event(Event::Restore(Box::new(snapshot)));
         self.set_peer(messages);
--- a/crates/gateway/src/driver/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -16,7 +16,7 @@
         retry_after: Option<Duration>,
     },
     Failed {
-        late: bool,
+        timed_out: bool,
     },
 }
 
@@ -30,7 +30,7 @@
     pub timeout: Duration,
     pub units: f64,
     pub spread: u32,
-    pub repeat: bool,
+    pub is_retry: bool,
     pub outgoing: Outgoing,
 }
 
--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -1,7 +1,7 @@
 //! Requests from their arrival until their one final answer.
 
 use crate::driver::request::{Answer, ClientRequest, RequestName};
-use crate::driver::state::{add, Due, PendingRequest, LOG_TARGET};
+use crate::driver::state::{increment, Due, PendingRequest, LOG_TARGET};
 use crate::driver::Driver;
 use gateway_decisions::{Event, Request, RequestId, Time};
 use std::cmp::Reverse;
@@ -16,7 +16,7 @@
 /// What the final answer needs at the end of a request's time: the module's decision and the way back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// How long past its deadline here the module may still decide about a request.
-const MODULE_GRACE: Duration = Duration::from_millis(5);
+const DECISION_GRACE: Duration = Duration::from_millis(5);
 
 /// A request whose body is relayed has no deadline until that is complete. What bounds it till
 /// then is the client's pace.
@@ -41,11 +41,11 @@
             attempts: 0,
             attempt: None,
             may_have_run: false,
-            late: false,
+            timed_out: false,
             deadline,
         };
         state.requests.insert(r.id, pending);
-        state.timers.push(Reverse((deadline + MODULE_GRACE, Due::Deadline(r.id))));
+        state.timers.push(Reverse((deadline + DECISION_GRACE, Due::Deadline(r.id))));
         state.events.push(Event::Request(Request {
             id: r.id,
             class: r.class,
@@ -54,7 +54,7 @@
             deadline: self.clock.time(deadline),
             units: r.units,
             spread: r.spread,
-            is_retry: r.repeat,
+            is_retry: r.is_retry,
             relayed,
         }));
         self.wake.notify_one();
@@ -62,8 +62,8 @@
     }
 
     /// Until when a client waits for the end of its answer.
-    pub(super) fn limit(&self, id: RequestId, not_past: Instant) -> Instant {
-        self.state.borrow().requests.get(&id).map_or(not_past, |pending| pending.deadline)
+    pub(super) fn deadline_or(&self, id: RequestId, fallback: Instant) -> Instant {
+        self.state.borrow().requests.get(&id).map_or(fallback, |pending| pending.deadline)
     }
 
     /// When a client that waits so long from then on has its answer at the latest.
@@ -76,12 +76,12 @@
     }
 
     /// The process is to end: whatever has been taken, and still is, has its answer by then.
-    pub fn end_by(&self, last: Instant) {
+    pub fn set_shutdown_deadline(&self, last: Instant) {
         self.shutdown_deadline.set(Some(last));
         let state = &mut *self.state.borrow_mut();
         for (id, pending) in state.requests.iter_mut().filter(|(_, pending)| pending.deadline > last) {
             pending.deadline = last;
-            state.timers.push(Reverse((last + MODULE_GRACE, Due::Deadline(*id))));
+            state.timers.push(Reverse((last + DECISION_GRACE, Due::Deadline(*id))));
         }
         self.wake.notify_one();
     }
@@ -92,7 +92,7 @@
         let deadline = self.capped_by_shutdown(Self::deadline(Instant::now(), timeout));
         if let Some(pending) = state.requests.get_mut(&id) {
             pending.deadline = deadline;
-            state.timers.push(Reverse((deadline + MODULE_GRACE, Due::Deadline(id))));
+            state.timers.push(Reverse((deadline + DECISION_GRACE, Due::Deadline(id))));
             self.wake.notify_one();
         }
     }
@@ -106,11 +106,11 @@
         }
         match &pending.attempt {
             // It waits for a connection: with that it would be forwarded for nobody. What is written is the module's.
-            Some(out) if !out.begun() => out.task.abort(),
+            Some(out) if !out.has_connection() => out.task.abort(),
             Some(_) => {}
             None => drop(state.requests.remove(&id)),
         }
-        add(&self.counts.failed);
+        increment(&self.counts.failed);
         tracing::debug!(target: LOG_TARGET, request = %RequestName(id), "left by its client");
         state.events.push(Event::ClientGone { id });
         self.wake.notify_one();
@@ -119,7 +119,7 @@
     /// Gives the final answer, unless it has been given.
     pub(super) fn answer(&self, pending: &mut PendingRequest, answer: Answer) {
         if let Some(client) = pending.client.take() {
-            add(match answer {
+            increment(match answer {
                 Answer::Served(_) => &self.counts.served,
                 Answer::Refused { .. } => &self.counts.refused,
                 Answer::Failed { .. } => &self.counts.failed,
@@ -130,12 +130,12 @@
     }
 
     /// The end without service: a refusal only if no attempt can have run.
-    pub(super) fn give_up(&self, pending: &mut PendingRequest, refuse: bool, advice: Time) {
+    pub(super) fn answer_unserved(&self, pending: &mut PendingRequest, refuse: bool, retry_after_ns: Time) {
         let answer = if refuse && !pending.may_have_run {
-            let retry_after = (advice > 0).then(|| Duration::from_nanos(advice));
+            let retry_after = (retry_after_ns > 0).then(|| Duration::from_nanos(retry_after_ns));
             Answer::Refused { tried: pending.attempts > 0, retry_after }
         } else {
-            Answer::Failed { late: pending.late }
+            Answer::Failed { timed_out: pending.timed_out }
         };
         self.answer(pending, answer);
     }
@@ -156,7 +156,7 @@
         let answer = Pin::new(&mut self.answer).poll(cx);
         answer.map(|answer| {
             self.answered = true;
-            answer.unwrap_or(Answer::Failed { late: false })
+            answer.unwrap_or(Answer::Failed { timed_out: false })
         })
     }
 }
--- a/crates/gateway/src/driver/state.rs
+++ b/crates/gateway/src/driver/state.rs
@@ -24,7 +24,7 @@
     pub attempts: u32,
     pub attempt: Option<RunningAttempt>,
     pub may_have_run: bool,
-    pub late: bool,
+    pub timed_out: bool,
     pub deadline: Instant,
 }
 
@@ -36,21 +36,21 @@
 
 impl RunningAttempt {
     /// Whether it has its connection, so that it may have been written.
-    pub fn begun(&self) -> bool {
-        self.progress.begun.get()
+    pub fn has_connection(&self) -> bool {
+        self.progress.connected.get()
     }
 }
 
 /// What a timer is for: one of the module's, by its token, or a request's deadline.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
-    Module(u64),
+    Engine(u64),
     Deadline(RequestId),
 }
 
 /// What changes with each event.
 pub struct DriverState {
-    pub gateway: Gateway,
+    pub engine: Gateway,
     pub events: Vec<Event>,
     pub requests: HashMap<RequestId, PendingRequest>,
     pub timers: BinaryHeap<Reverse<(Instant, Due)>>,
@@ -70,6 +70,6 @@
 }
 
 /// Counts one more.
-pub fn add(count: &Cell<u64>) {
+pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/gateway/src/driver/tests.rs
+++ b/crates/gateway/src/driver/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::backends::outgoing::Outgoing;
 use crate::backends::Backends;
-use crate::bodies::Content;
+use crate::bodies::RequestBody;
 use crate::config::Config;
 use crate::driver::clock::Clock;
 use crate::driver::request::{Answer, ClientRequest};
@@ -51,7 +51,7 @@
         timeout: Duration::from_millis(300),
         units: 1.0,
         spread: 1,
-        repeat: false,
+        is_retry: false,
         outgoing: Outgoing {
             method: Method::POST,
             uri: Uri::from_static("/api"),
@@ -59,7 +59,7 @@
             idempotency_key: None,
             content_type: None,
             host: HeaderValue::from_static("h"),
-            body: Content::Buffered(Bytes::new()),
+            body: RequestBody::Buffered(Bytes::new()),
             wait: Duration::from_millis(300),
         },
     }
@@ -95,7 +95,7 @@
         // A second final answer has nobody to go to.
         driver.finish(&mut state, 1, false, 0);
     }
-    assert!(matches!(pending.await, Answer::Failed { late: false }));
+    assert!(matches!(pending.await, Answer::Failed { timed_out: false }));
 }
 
 /// A backend's start is told in Unix milliseconds, and the module compares it with its own clock.
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -15,8 +15,8 @@
 
 /// Times are resolved to two digits, from a microsecond up to this; what takes longer counts as this long. A class
 /// and outcome that occurs takes some 26 kB.
-const LONGEST: Duration = Duration::from_secs(3600);
-const DIGITS: u8 = 2;
+const MAX_RECORDED_TIME: Duration = Duration::from_secs(3600);
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 type PerClass<'a> = BTreeMap<&'a str, u64>;
 
@@ -29,7 +29,8 @@
 
 impl Times {
     fn new() -> Option<Self> {
-        let histogram = Histogram::new_with_bounds(1, LONGEST.as_micros() as u64, DIGITS).ok()?;
+        let histogram =
+            Histogram::new_with_bounds(1, MAX_RECORDED_TIME.as_micros() as u64, SIGNIFICANT_DIGITS).ok()?;
         Some(Times { histogram, sum: Duration::ZERO })
     }
 
@@ -104,7 +105,7 @@
     }
 
     /// A request of the class with this number is complete.
-    pub fn taken(self: &Rc<Self>, class: usize) -> OutstandingRequest {
+    pub fn start_request(self: &Rc<Self>, class: usize) -> OutstandingRequest {
         self.outstanding.set(self.outstanding.get() + 1);
         OutstandingRequest { figures: self.clone(), class, end: End::Aborted, since: Instant::now() }
     }
@@ -158,7 +159,7 @@
 
 impl OutstandingRequest {
     /// How it ends, if nothing happens to it any more.
-    pub fn ends(&mut self, end: End) {
+    pub fn set_outcome(&mut self, end: End) {
         self.end = end;
     }
 }
--- a/crates/gateway/src/figures/tests.rs
+++ b/crates/gateway/src/figures/tests.rs
@@ -18,14 +18,14 @@
         fullness: Fullness::default(),
     };
     let text = || String::from_utf8(figures.json(&gauges).unwrap()).unwrap();
-    let mut served = figures.taken(0);
-    let left = figures.taken(1);
+    let mut served = figures.start_request(0);
+    let left = figures.start_request(1);
     assert_eq!(
         text(),
         r#"{"succeeded":{"look":0,"watch":0},"declined":{"look":0,"watch":0},"aborted":{"look":0,"watch":0},"forwards":5,"outstanding":2,"discovered":3,"ejected":1"#.to_string()
             + told
     );
-    served.ends(End::Succeeded);
+    served.set_outcome(End::Succeeded);
     drop(served);
     drop(left);
     assert_eq!(
@@ -39,13 +39,13 @@
 async fn the_time_of_a_request_is_told_by_class_and_outcome() {
     let figures = Figures::new(["look", "watch"].into_iter());
     for ms in 1..=100 {
-        let mut taken = figures.taken(1);
+        let mut taken = figures.start_request(1);
         tokio::time::advance(Duration::from_millis(ms)).await;
-        taken.ends(if ms > 90 { End::Declined } else { End::Succeeded });
+        taken.set_outcome(if ms > 90 { End::Declined } else { End::Succeeded });
     }
-    let mut days = figures.taken(0);
-    days.ends(End::Succeeded);
-    tokio::time::advance(LONGEST * 48).await;
+    let mut days = figures.start_request(0);
+    days.set_outcome(End::Succeeded);
+    tokio::time::advance(MAX_RECORDED_TIME * 48).await;
     drop(days);
     let times = figures.times();
     let told: Vec<_> = times.iter().map(|(class, end, t)| (class.as_str(), *end, t.count())).collect();
@@ -53,7 +53,10 @@
     assert_eq!(told, all);
     let near = |told: Duration, ms: f64| (told.as_secs_f64() * 1000.0 / ms - 1.0).abs() < 0.02;
     assert!(near(times[1].2.quantile(0.5), 45.0) && near(times[2].2.quantile(1.0), 100.0), "{times:?}");
-    assert!(near(times[0].2.quantile(1.0), LONGEST.as_millis() as f64), "the longest that is told apart");
+    assert!(
+        near(times[0].2.quantile(1.0), MAX_RECORDED_TIME.as_millis() as f64),
+        "the longest that is told apart"
+    );
     // Ends that lie among the times, so that one is near several of them.
     for ms in 1..=100 {
         let bounds = [Duration::from_millis(ms), Duration::from_micros(ms * 1000 + 300)];
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -25,18 +25,18 @@
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(800);
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Messages that may wait for the other process to read them. One that does not read is given up.
-pub const BACKLOG: usize = 4096;
+pub const MAX_QUEUED_MESSAGES: usize = 4096;
 /// The longest path that fits a socket's address, with a margin.
-const LONGEST_PATH: usize = 100;
+const MAX_SOCKET_PATH_BYTES: usize = 100;
 
 /// Where a gateway's processes meet.
-pub struct Rendezvous {
+pub struct HandoverSocket {
     path: PathBuf,
     /// Open while `path` leads through it.
     _dir: Option<File>,
 }
 
-impl Rendezvous {
+impl HandoverSocket {
     /// None if nobody gave a folder to meet in.
     pub fn of(gateway: &str) -> Option<Self> {
         let dir = PathBuf::from(env::var_os("TMPDIR").filter(|d| !d.is_empty())?);
@@ -44,12 +44,15 @@
         let name: String = gateway.chars().take(32).map(plain).collect();
         let file = format!("{name}.handover");
         let path = dir.join(&file);
-        if path.as_os_str().len() <= LONGEST_PATH {
-            return Some(Rendezvous { path, _dir: None });
+        if path.as_os_str().len() <= MAX_SOCKET_PATH_BYTES {
+            return Some(HandoverSocket { path, _dir: None });
         }
         // The address of a socket is short; a folder that is open has a short name too.
         let dir = File::open(dir).ok()?;
-        Some(Rendezvous { path: format!("/proc/self/fd/{}/{file}", dir.as_raw_fd()).into(), _dir: Some(dir) })
+        Some(HandoverSocket {
+            path: format!("/proc/self/fd/{}/{file}", dir.as_raw_fd()).into(),
+            _dir: Some(dir),
+        })
     }
 
     /// Takes the address over: a stale socket, or the predecessor's, gives way to this process's.
@@ -62,7 +65,7 @@
     }
 
     /// Asks the process that runs, if one does, for its state.
-    pub async fn join(&self) -> Option<(PeerConnection, State)> {
+    pub async fn request_state(&self) -> Option<(PeerConnection, State)> {
         let talk = async {
             let mut connection = PeerConnection::new(UnixStream::connect(&self.path).await?);
             connection.write(&PeerMessage::Hello).await?;
@@ -151,31 +154,31 @@
         if !matches!(hello, Ok(Ok(Some(PeerMessage::Hello)))) || self.driver.has_peer() {
             return;
         }
-        let (messages, outgoing) = mpsc::channel(BACKLOG);
+        let (messages, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let (rev, targets, snapshot) = self.driver.hand_over(messages);
         let state = State { rev, targets, snapshot, away: self.server.drains_clients() };
         tracing::info!("handover: a successor starts");
         if connection.write(&PeerMessage::State(Box::new(state))).await.is_ok() {
-            self.talk(connection, outgoing).await;
+            self.exchange_messages(connection, outgoing).await;
         } else {
-            self.ended();
+            self.handle_peer_end();
         }
     }
 
     /// Goes on from what a predecessor handed over, as one with it until it ends.
     pub fn take_over(self, connection: PeerConnection, state: State) {
-        let (messages, outgoing) = mpsc::channel(BACKLOG);
+        let (messages, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.driver.take_over(messages, state.rev, state.targets, state.snapshot);
         self.server.set_client_drain(state.away);
-        spawn_local(self.talk(connection, outgoing));
+        spawn_local(self.exchange_messages(connection, outgoing));
     }
 
     /// Both ways until the connection ends.
-    async fn talk(self, connection: PeerConnection, mut outgoing: mpsc::Receiver<PeerMessage>) {
+    async fn exchange_messages(self, connection: PeerConnection, mut outgoing: mpsc::Receiver<PeerMessage>) {
         let PeerConnection { mut from, mut to } = connection;
         let receiving = async {
             while let Some(message) = read(&mut from).await? {
-                self.received(message);
+                self.handle_message(message);
             }
             Ok::<_, io::Error>(())
         };
@@ -190,22 +193,22 @@
             Ok(()) => tracing::info!("handover: the other process has ended"),
             Err(e) => tracing::warn!("handover: the other process is lost: {e}"),
         }
-        self.ended();
+        self.handle_peer_end();
     }
 
-    fn received(&self, message: PeerMessage) {
+    fn handle_message(&self, message: PeerMessage) {
         match message {
             PeerMessage::Ready => self.server.set_successor(true),
             PeerMessage::Share(share) => self.driver.peer_share(share),
-            PeerMessage::Disable { server } => self.driver.ban(server),
-            PeerMessage::Enable { server } => self.driver.unban(server),
+            PeerMessage::Disable { server } => self.driver.apply_disable(server),
+            PeerMessage::Enable { server } => self.driver.apply_enable(server),
             PeerMessage::Away { on } => self.server.set_client_drain(on),
             // Out of turn.
             PeerMessage::Hello | PeerMessage::State(_) => {}
         }
     }
 
-    fn ended(&self) {
+    fn handle_peer_end(&self) {
         self.driver.peer_ended();
         self.server.set_successor(false);
     }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::discovery;
 use crate::driver::{Driver, DriverError};
-use crate::handover::{Handover, Rendezvous};
+use crate::handover::{Handover, HandoverSocket};
 use crate::ops::Ops;
 use crate::peer_message::PeerMessage;
 use crate::server::listener::{self, ListenError};
@@ -52,19 +52,19 @@
     operators: Option<SocketAddr>,
     driver: Rc<Driver>,
     server: Rc<Server>,
-    tuning: Tuning,
-    running: JoinHandle<Infallible>,
+    reload_handle: ReloadHandle,
+    driver_task: JoinHandle<Infallible>,
 }
 
 /// What may change while a gateway runs.
 #[derive(Clone)]
-pub struct Tuning {
+pub struct ReloadHandle {
     discovery: watch::Sender<Vec<SocketAddr>>,
 }
 
-impl Tuning {
+impl ReloadHandle {
     /// Applies those settings of a configuration that may change; the rest is fixed at the start.
-    pub fn take(&self, config: &Config) {
+    pub fn apply(&self, config: &Config) {
         self.discovery.send_if_modified(|at| {
             let changed = *at != config.discovery;
             at.clone_from(&config.discovery);
@@ -112,16 +112,23 @@
             None => None,
         };
         spawn_local(server.clone().enforce_client_drain());
-        if let Some(rendezvous) = Rendezvous::of(&config.name) {
+        if let Some(handover_socket) = HandoverSocket::of(&config.name) {
             let handover = Handover { driver: driver.clone(), server: server.clone() };
-            start_handover(&rendezvous, handover).await;
+            start_handover(&handover_socket, handover).await;
         }
         let (discovery, address) = watch::channel(config.discovery);
         spawn_local(discovery::watch(address, driver.clone(), version, newest, config.seed));
         spawn_local(backends.pool.clone().maintain());
-        let running = driver.clone();
-        let running = spawn_local(async move { running.run().await });
-        Ok(Host { clients, operators, driver, server, tuning: Tuning { discovery }, running })
+        let driver_task = driver.clone();
+        let driver_task = spawn_local(async move { driver_task.run().await });
+        Ok(Host {
+            clients,
+            operators,
+            driver,
+            server,
+            reload_handle: ReloadHandle { discovery },
+            driver_task,
+        })
     }
 
     /// The address that clients connect to.
@@ -135,8 +142,8 @@
     }
 
     /// A handle to change settings while the gateway runs.
-    pub fn tuning(&self) -> Tuning {
-        self.tuning.clone()
+    pub fn reload_handle(&self) -> ReloadHandle {
+        self.reload_handle.clone()
     }
 
     /// Serves clients until `stop`, then through the drain.
@@ -145,9 +152,9 @@
     /// The driver has ended, which it never should.
     pub async fn serve(self, stop: impl Future<Output = ()>) -> Result<(), HostError> {
         // From the first connection that this process lets in.
-        self.driver.tell_peer(PeerMessage::Ready);
+        self.driver.send_to_peer(PeerMessage::Ready);
         tokio::select! {
-            lost = self.running => Err(HostError::DriverEnded(lost)),
+            lost = self.driver_task => Err(HostError::DriverEnded(lost)),
             () = self.server.accept(self.clients, stop) => Ok(()),
         }
     }
@@ -165,12 +172,12 @@
 }
 
 /// Takes over from a predecessor, if there is one, and waits for a successor.
-async fn start_handover(rendezvous: &Rendezvous, handover: Handover) {
-    if let Some((connection, state)) = rendezvous.join().await {
+async fn start_handover(handover_socket: &HandoverSocket, handover: Handover) {
+    if let Some((connection, state)) = handover_socket.request_state().await {
         tracing::info!("handover: goes on from a predecessor");
         handover.clone().take_over(connection, state);
     }
-    match rendezvous.listen() {
+    match handover_socket.listen() {
         Ok(listener) => drop(spawn_local(handover.serve(listener))),
         Err(e) => tracing::warn!("handover: no successor can take over from this process: {e}"),
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -22,4 +22,4 @@
 mod staleness;
 
 pub use config::Config;
-pub use host::{Host, HostError, Tuning};
+pub use host::{Host, HostError, ReloadHandle};
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,10 +1,10 @@
-//! One HTTP/1.1 connection to a roll server, and what was written to it on whose account.
+//! One HTTP/1.1 connection to a roll server, and what was written to it on whose shared.
 //!
 //! A connection is polled by the attempt that uses it and by nothing while it is idle: dropping the attempt
 //! closes it, so no late answer can reach anyone, and an exchange wakes one task.
 
 use crate::bodies::Payload;
-use crate::pool::connection::{Fitness, Open, Reusable};
+use crate::pool::connection::{LinkState, Open, Reusable};
 use gateway_decisions::Ending;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -24,18 +24,18 @@
 use tokio::time::Instant;
 
 /// What is read ahead of a connection to a roll server; a longer head is none.
-const READ_AHEAD: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// How much of an attempt's request has been handed to its socket.
 #[derive(Default)]
 pub struct Progress {
     /// Whether it has a connection to be handed to.
-    pub begun: Cell<bool>,
+    pub connected: Cell<bool>,
     pub written: Cell<usize>,
     /// The bytes after which it may be complete; 0 while that is unknown.
     pub required: Cell<usize>,
     /// When it was written, while no answer has begun.
-    pub sent: Cell<Option<Instant>>,
+    pub unanswered_since: Cell<Option<Instant>>,
     counted: Cell<bool>,
 }
 
@@ -47,7 +47,7 @@
         required > 0 && self.written.get() >= required
     }
 
-    pub fn broken(&self) -> Ending {
+    pub fn ending_when_broken(&self) -> Ending {
         if self.may_have_run() {
             Ending::Cut
         } else {
@@ -57,21 +57,21 @@
 }
 
 /// What a connection and its socket share.
-struct Account {
+struct SharedState {
     /// The attempt that writes now.
     progress: RefCell<Rc<Progress>>,
     /// Attempts written completely, over all connections.
     forwards: Rc<Cell<u64>>,
     /// Whether the socket itself is to be peeked at, not only at what the event loop has heard of it.
     peek: Cell<bool>,
-    seen: Cell<Fitness>,
+    peeked: Cell<LinkState>,
 }
 
 pub struct Link {
     sender: SendRequest<Payload>,
-    io: http1::Connection<Counted, Payload>,
-    closed: Option<Fitness>,
-    account: Rc<Account>,
+    io: http1::Connection<CountingSocket, Payload>,
+    closed: Option<LinkState>,
+    shared: Rc<SharedState>,
 }
 
 impl Link {
@@ -81,7 +81,7 @@
         request: Request<Payload>,
         progress: &Rc<Progress>,
     ) -> Option<Response<Incoming>> {
-        self.account.progress.replace(progress.clone());
+        self.shared.progress.replace(progress.clone());
         let answer = self.sender.send_request(request);
         drive(&mut self.io, &mut self.closed, answer).await?.ok()
     }
@@ -98,30 +98,30 @@
 }
 
 impl Reusable for Link {
-    fn fitness(&mut self) -> Fitness {
+    fn link_state(&mut self) -> LinkState {
         let mut cx = Context::from_waker(Waker::noop());
-        let account = &self.account;
-        account.peek.set(true);
-        account.seen.set(Fitness::Fit);
+        let shared = &self.shared;
+        shared.peek.set(true);
+        shared.peeked.set(LinkState::Ready);
         poll(&mut self.io, &mut self.closed, &mut cx);
-        account.peek.set(false);
+        shared.peek.set(false);
         match self.closed {
             Some(closed) => closed,
-            None if !self.sender.is_ready() => Fitness::Busy,
-            None => account.seen.get(),
+            None if !self.sender.is_ready() => LinkState::Busy,
+            None => shared.peeked.get(),
         }
     }
 }
 
 fn poll(
-    io: &mut http1::Connection<Counted, Payload>,
-    closed: &mut Option<Fitness>,
+    io: &mut http1::Connection<CountingSocket, Payload>,
+    closed: &mut Option<LinkState>,
     cx: &mut Context<'_>,
 ) -> bool {
     if closed.is_none() {
         match Pin::new(io).poll(cx) {
-            Poll::Ready(Ok(())) => *closed = Some(Fitness::Closed),
-            Poll::Ready(Err(_)) => *closed = Some(Fitness::Broken),
+            Poll::Ready(Ok(())) => *closed = Some(LinkState::Closed),
+            Poll::Ready(Err(_)) => *closed = Some(LinkState::Broken),
             Poll::Pending => {}
         }
     }
@@ -129,8 +129,8 @@
 }
 
 async fn drive<F: Future>(
-    io: &mut http1::Connection<Counted, Payload>,
-    closed: &mut Option<Fitness>,
+    io: &mut http1::Connection<CountingSocket, Payload>,
+    closed: &mut Option<LinkState>,
     waiting: F,
 ) -> Option<F::Output> {
     let mut waiting = pin!(waiting);
@@ -157,63 +157,66 @@
     async fn open(&self, address: SocketAddr) -> io::Result<Link> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let account = Rc::new(Account {
+        let shared = Rc::new(SharedState {
             progress: RefCell::default(),
             forwards: self.forwards.clone(),
             peek: Cell::new(false),
-            seen: Cell::new(Fitness::Fit),
+            peeked: Cell::new(LinkState::Ready),
         });
-        let io = Counted { io: TokioIo::new(stream), account: account.clone() };
-        let (sender, io) =
-            http1::Builder::new().max_buf_size(READ_AHEAD).handshake(io).await.map_err(io::Error::other)?;
-        Ok(Link { sender, io, closed: None, account })
+        let io = CountingSocket { io: TokioIo::new(stream), shared: shared.clone() };
+        let (sender, io) = http1::Builder::new()
+            .max_buf_size(READ_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(io::Error::other)?;
+        Ok(Link { sender, io, closed: None, shared })
     }
 }
 
-/// A socket that counts what was written to it on the current attempt's account.
-struct Counted {
+/// A socket that counts what was written to it on the current attempt's shared.
+struct CountingSocket {
     io: TokioIo<TcpStream>,
-    account: Rc<Account>,
+    shared: Rc<SharedState>,
 }
 
-impl Counted {
+impl CountingSocket {
     fn count(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &written {
-            let progress = self.account.progress.borrow();
+            let progress = self.shared.progress.borrow();
             progress.written.set(progress.written.get() + n);
             if progress.may_have_run() && !progress.counted.replace(true) {
-                self.account.forwards.set(self.account.forwards.get() + 1);
+                self.shared.forwards.set(self.shared.forwards.get() + 1);
             }
         }
         written
     }
 
     /// What has come in since the event loop last heard of this socket.
-    fn peek(&self) -> Fitness {
+    fn peek(&self) -> LinkState {
         match SockRef::from(self.io.inner()).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => Fitness::Closed,
-            Ok(_) => Fitness::Broken,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Fitness::Fit,
-            Err(_) => Fitness::Broken,
+            Ok(0) => LinkState::Closed,
+            Ok(_) => LinkState::Broken,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => LinkState::Ready,
+            Err(_) => LinkState::Broken,
         }
     }
 }
 
-impl Read for Counted {
+impl Read for CountingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
-        if read.is_pending() && self.account.peek.get() {
-            self.account.seen.set(self.peek());
+        if read.is_pending() && self.shared.peek.get() {
+            self.shared.peeked.set(self.peek());
         }
         read
     }
 }
 
-impl Write for Counted {
+impl Write for CountingSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.io).poll_write(cx, buf);
         self.count(written)
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -43,14 +43,14 @@
     let Arguments { config, command } = Arguments::parse();
     let done = match command.unwrap_or(Command::Run) {
         Command::Run => run(config),
-        Command::CheckConfig => checked(config),
+        Command::CheckConfig => check_config(config),
         Command::PrintDefaults => print(config::DEFAULTS),
         Command::PrintSchema => print(format!("{:#}\n", config::schema())),
     };
     end("sprucehatch-gateway", done.map(|()| ExitCode::SUCCESS))
 }
 
-fn file(argument: Option<PathBuf>) -> Result<PathBuf, Wrong> {
+fn config_path(argument: Option<PathBuf>) -> Result<PathBuf, Wrong> {
     let none = || Wrong::one("LB_CONFIG is not set: it or --config names the configuration file");
     one_of(argument, "LB_CONFIG")?.ok_or_else(none)
 }
@@ -59,8 +59,8 @@
     std::env::var(variable).ok()
 }
 
-fn checked(argument: Option<PathBuf>) -> Result<(), Wrong> {
-    let path = file(argument)?;
+fn check_config(argument: Option<PathBuf>) -> Result<(), Wrong> {
+    let path = config_path(argument)?;
     config::load(&path, environment)?;
     print(format!("{}: ok\n", path.display()))
 }
@@ -84,25 +84,25 @@
         .unwrap_or_else(|e| Err(Wrong::one(format!("lost: {e}"))))
 }
 
-fn on(kind: SignalKind) -> Result<Signal, Wrong> {
+fn listen_for(kind: SignalKind) -> Result<Signal, Wrong> {
     signal(kind).map_err(|e| Wrong::one(format!("cannot listen for signals: {e}")))
 }
 
 async fn serve(argument: Option<PathBuf>, inherited: Option<std::net::TcpListener>) -> Result<(), Wrong> {
     // Before anything that takes time: no SIGHUP may end the program.
-    let mut hangup = on(SignalKind::hangup())?;
-    let (mut term, mut int) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
-    let path = file(argument)?;
+    let mut hangup = listen_for(SignalKind::hangup())?;
+    let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
+    let path = config_path(argument)?;
     let config = config::load(&path, environment)?;
     log::start(&config.log).map_err(Wrong::one)?;
-    let mut before = config.clone();
+    let mut current = config.clone();
     let host = Host::start(config, inherited).await.map_err(Wrong::one)?;
-    let tuning = host.tuning();
+    let reload_handle = host.reload_handle();
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            if let Some(config) = reload(&path, &before) {
-                tuning.take(&config);
-                before = config;
+            if let Some(config) = reload(&path, &current) {
+                reload_handle.apply(&config);
+                current = config;
             }
         }
     });
--- a/crates/gateway/src/openmetrics.rs
+++ b/crates/gateway/src/openmetrics.rs
@@ -19,7 +19,7 @@
 
 /// All figures at one moment.
 #[derive(Debug)]
-pub struct Moment {
+pub struct MetricsSnapshot {
     /// For each outcome, the counts by class.
     pub ends: Vec<(End, Vec<(String, u64)>)>,
     pub times: Vec<(String, End, Times)>,
@@ -28,7 +28,7 @@
     pub lines: Option<program_support::log::Lines>,
 }
 
-impl Moment {
+impl MetricsSnapshot {
     pub fn text(self) -> Result<String, fmt::Error> {
         let mut registry = Registry::with_prefix("granitethread");
         registry.register_collector(Box::new(self));
@@ -40,25 +40,25 @@
 
 /// Writes metrics one after another.
 struct Metrics<'a> {
-    to: DescriptorEncoder<'a>,
+    encoder: DescriptorEncoder<'a>,
 }
 
 impl Metrics<'_> {
-    fn one(&mut self, name: &str, help: &str, metric: &impl EncodeMetric) -> fmt::Result {
-        metric.encode(self.to.encode_descriptor(name, help, None, metric.metric_type())?)
+    fn metric(&mut self, name: &str, help: &str, metric: &impl EncodeMetric) -> fmt::Result {
+        metric.encode(self.encoder.encode_descriptor(name, help, None, metric.metric_type())?)
     }
 
-    fn count(&mut self, name: &str, help: &str, count: u64) -> fmt::Result {
-        self.one(name, help, &ConstCounter::new(count))
+    fn counter(&mut self, name: &str, help: &str, count: u64) -> fmt::Result {
+        self.metric(name, help, &ConstCounter::new(count))
     }
 
-    fn now(&mut self, name: &str, help: &str, value: usize) -> fmt::Result {
-        self.one(name, help, &ConstGauge::new(value as i64))
+    fn gauge(&mut self, name: &str, help: &str, value: usize) -> fmt::Result {
+        self.metric(name, help, &ConstGauge::new(value as i64))
     }
 
     /// A count for each set of labels.
-    fn counts<L: EncodeLabelSet>(&mut self, name: &str, help: &str, each: &[(L, u64)]) -> fmt::Result {
-        let mut family = self.to.encode_descriptor(name, help, None, MetricType::Counter)?;
+    fn counters<L: EncodeLabelSet>(&mut self, name: &str, help: &str, each: &[(L, u64)]) -> fmt::Result {
+        let mut family = self.encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
         for (labels, count) in each {
             ConstCounter::new(*count).encode(family.encode_family(labels)?)?;
         }
@@ -66,9 +66,9 @@
     }
 }
 
-impl Collector for Moment {
+impl Collector for MetricsSnapshot {
     fn encode(&self, encoder: DescriptorEncoder) -> fmt::Result {
-        let mut metrics = Metrics { to: encoder };
+        let mut metrics = Metrics { encoder: encoder };
         self.encode_requests(&mut metrics)?;
         encode_gauges(&mut metrics, &self.gauges, self.outstanding)?;
         encode_list_age(&mut metrics, &self.gauges.list)?;
@@ -76,13 +76,13 @@
         if let Some(lines) = &self.lines {
             let fates = [("written", lines.written), ("lost", lines.lost), ("left_out", lines.suppressed)];
             let each = fates.map(|(fate, n)| ([("fate", fate)], n));
-            metrics.counts("log_lines", "Lines of the log, by what became of them", &each)?;
+            metrics.counters("log_lines", "Lines of the log, by what became of them", &each)?;
         }
         Ok(())
     }
 }
 
-impl Moment {
+impl MetricsSnapshot {
     /// Counts and durations of requests, by class and outcome.
     fn encode_requests(&self, m: &mut Metrics) -> fmt::Result {
         let word = |end: &End| ENDS.iter().find(|(e, _)| e == end).map_or("", |(_, word)| *word);
@@ -93,10 +93,11 @@
             .iter()
             .flat_map(|(end, classes)| classes.iter().map(move |(class, count)| (labels(class, end), *count)))
             .collect();
-        m.counts("requests", "Requests that ended, by class and outcome", &ends)?;
+        m.counters("requests", "Requests that ended, by class and outcome", &ends)?;
         let name = "request_duration";
         let help = "Time from a request's last byte to the last of its answer";
-        let mut family = m.to.encode_descriptor(name, help, Some(&Unit::Seconds), MetricType::Histogram)?;
+        let mut family =
+            m.encoder.encode_descriptor(name, help, Some(&Unit::Seconds), MetricType::Histogram)?;
         for (class, end, times) in &self.times {
             let ends = BUCKETS_MS.map(Duration::from_millis);
             let bounds = ends.iter().map(Duration::as_secs_f64).chain([f64::INFINITY]);
@@ -117,41 +118,42 @@
 /// Attempts, roll servers and their capacity.
 fn encode_gauges(m: &mut Metrics, gauges: &Gauges, outstanding: u64) -> fmt::Result {
     let Gauges { forwards, discovered, ejected, list, fullness: f, .. } = gauges;
-    m.count("forwards", "Attempts written whole to roll servers", *forwards)?;
-    m.now("requests_outstanding", "Requests taken but not ended", outstanding as usize)?;
-    m.now("roll_servers_discovered", "Roll servers in the list", *discovered)?;
-    m.now("roll_servers_ejected", "Listed roll servers that are avoided", *ejected)?;
-    m.one("rooms_open", "Part of the rooms at roll servers that is open", &ConstGauge::new(f.open))?;
-    m.one("room_attempts", "Attempts that may be out at once", &ConstGauge::new(f.room))?;
-    m.now("requests_waiting", "Requests that wait for room", f.waiting)?;
-    m.one("repeats_left", "Repeats that may go out now", &ConstGauge::new(f.repeats))?;
-    m.one("list_version", "Version of the list in use", &ConstGauge::new(list.version as i64))?;
+    m.counter("forwards", "Attempts written whole to roll servers", *forwards)?;
+    m.gauge("requests_outstanding", "Requests taken but not ended", outstanding as usize)?;
+    m.gauge("roll_servers_discovered", "Roll servers in the list", *discovered)?;
+    m.gauge("roll_servers_ejected", "Listed roll servers that are avoided", *ejected)?;
+    m.metric("rooms_open", "Part of the rooms at roll servers that is open", &ConstGauge::new(f.open))?;
+    m.metric("room_attempts", "Attempts that may be out at once", &ConstGauge::new(f.room))?;
+    m.gauge("requests_waiting", "Requests that wait for room", f.waiting)?;
+    m.metric("repeats_left", "Repeats that may go out now", &ConstGauge::new(f.repeats))?;
+    m.metric("list_version", "Version of the list in use", &ConstGauge::new(list.version as i64))?;
     Ok(())
 }
 
 fn encode_list_age(m: &mut Metrics, list: &ListAge) -> fmt::Result {
     let age = ConstGauge::new(list.age_ms as f64 / 1000.0);
     let help = "Time since discovery last told the list or had nothing newer";
-    let age_of = m.to.encode_descriptor("list_age", help, Some(&Unit::Seconds), MetricType::Gauge)?;
+    let age_of = m.encoder.encode_descriptor("list_age", help, Some(&Unit::Seconds), MetricType::Gauge)?;
     age.encode(age_of)
 }
 
 /// Connections to roll servers.
 fn encode_connections(m: &mut Metrics, c: &PoolFigures) -> fmt::Result {
-    m.now("connections_open", "Connections to roll servers, idle ones among them", c.open)?;
-    m.now("connections_idle", "Idle connections to roll servers", c.idle)?;
-    m.now("connections_opening", "Connections to roll servers that are being opened", c.opening)?;
-    m.now("connections_peak", "The most that were open or being opened at once", c.peak)?;
-    m.count("connections_opened", "Connections to roll servers that came up", c.opened)?;
-    m.count("connections_failed", "Connections to roll servers that did not come up", c.failed)?;
-    m.count("connections_reused", "Requests on a connection that had carried others", c.reused)?;
-    m.count("connection_waits", "Requests that found no idle connection", c.waits)?;
+    m.gauge("connections_open", "Connections to roll servers, idle ones among them", c.open)?;
+    m.gauge("connections_idle", "Idle connections to roll servers", c.idle)?;
+    m.gauge("connections_opening", "Connections to roll servers that are being opened", c.opening)?;
+    m.gauge("connections_peak", "The most that were open or being opened at once", c.peak)?;
+    m.counter("connections_opened", "Connections to roll servers that came up", c.opened)?;
+    m.counter("connections_failed", "Connections to roll servers that did not come up", c.failed)?;
+    m.counter("connections_reused", "Requests on a connection that had carried others", c.reused)?;
+    m.counter("connection_waits", "Requests that found no idle connection", c.waits)?;
     let waited = ConstCounter::new(c.waited_us as f64 / 1e6);
     let help = "Time that requests waited for a connection which they got";
-    let of = m.to.encode_descriptor("connection_wait", help, Some(&Unit::Seconds), MetricType::Counter)?;
+    let of =
+        m.encoder.encode_descriptor("connection_wait", help, Some(&Unit::Seconds), MetricType::Counter)?;
     waited.encode(of)?;
-    let closed: Vec<_> = c.closed.iter().map(|(cause, n)| ([("cause", cause.word())], *n)).collect();
-    m.counts("connections_closed", "Connections to roll servers that were closed, by cause", &closed)
+    let closed: Vec<_> = c.closed.iter().map(|(cause, n)| ([("cause", cause.label())], *n)).collect();
+    m.counters("connections_closed", "Connections to roll servers that were closed, by cause", &closed)
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/openmetrics/tests.rs
+++ b/crates/gateway/src/openmetrics/tests.rs
@@ -10,12 +10,12 @@
     let odd = "a \"quoted\"\\ name\nof two lines";
     let figures = Figures::new(["look", odd].into_iter());
     for (class, ms) in [(0, 3), (0, 30), (0, 30_000), (1, 700)] {
-        let mut taken = figures.taken(class);
+        let mut taken = figures.start_request(class);
         tokio::time::advance(Duration::from_millis(ms)).await;
-        taken.ends(End::Succeeded);
+        taken.set_outcome(End::Succeeded);
     }
     let counts = |end| figures.counts(end).into_iter().map(|(c, n)| (c.to_string(), n)).collect();
-    let moment = Moment {
+    let moment = MetricsSnapshot {
         ends: ENDS.iter().map(|(end, _)| (*end, counts(*end))).collect(),
         times: figures.times(),
         outstanding: 0,
--- a/crates/gateway/src/ops.rs
+++ b/crates/gateway/src/ops.rs
@@ -7,7 +7,7 @@
 use crate::config::MAX_OPERATOR_CALLS;
 use crate::driver::Driver;
 use crate::figures::{Gauges, ENDS};
-use crate::openmetrics::{self, Moment};
+use crate::openmetrics::{self, MetricsSnapshot};
 use crate::peer_message::PeerMessage;
 use crate::server::Server;
 use bytes::Bytes;
@@ -30,9 +30,9 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// A complete call is answered at once, so only an incomplete one ever reaches this.
-const CALL_TIME: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(5);
-const SERVERS: &str = "/-/roll-servers/";
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+const SERVERS_PATH: &str = "/-/roll-servers/";
 
 pub struct Ops {
     pub name: String,
@@ -46,7 +46,7 @@
 fn set_level(log: &log::Log, query: &str) -> Response<Full<Bytes>> {
     match log.change(field(query, "level").as_deref(), field(query, "module").as_deref()) {
         Ok(()) => plain(StatusCode::OK, "changed\n"),
-        Err(what) => worded(StatusCode::BAD_REQUEST, format!("{what}\n")),
+        Err(what) => response(StatusCode::BAD_REQUEST, format!("{what}\n")),
     }
 }
 
@@ -65,7 +65,7 @@
         let mut calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             };
             calls.retain(|call| !call.is_finished());
@@ -86,7 +86,7 @@
             .keep_alive(false)
             .serve_connection(TokioIo::new(stream), service);
         // An error is the caller's: it left, or sent what is no HTTP.
-        let _ = timeout(CALL_TIME, connection).await;
+        let _ = timeout(CALL_TIMEOUT, connection).await;
     }
 
     async fn answer<B>(&self, request: Request<B>) -> Response<Full<Bytes>> {
@@ -120,16 +120,16 @@
                 Some(log) => set_level(log, query),
             },
             "/-/drain" => {
-                self.driver.tell_peer(PeerMessage::Away { on: true });
+                self.driver.send_to_peer(PeerMessage::Away { on: true });
                 self.server.set_client_drain(true);
                 plain(StatusCode::OK, "draining\n")
             }
             "/-/resume" => {
-                self.driver.tell_peer(PeerMessage::Away { on: false });
+                self.driver.send_to_peer(PeerMessage::Away { on: false });
                 self.server.set_client_drain(false);
                 plain(StatusCode::OK, "resumed\n")
             }
-            _ => self.by_hand(path).await,
+            _ => self.disable_or_enable(path).await,
         }
     }
 
@@ -149,7 +149,7 @@
         let figures = &self.driver.figures;
         let named =
             |counts: BTreeMap<&str, u64>| counts.into_iter().map(|(c, n)| (c.to_string(), n)).collect();
-        let moment = Moment {
+        let moment = MetricsSnapshot {
             ends: ENDS.iter().map(|(end, _)| (*end, named(figures.counts(*end)))).collect(),
             times: figures.times(),
             outstanding: figures.outstanding(),
@@ -164,7 +164,7 @@
                     .insert(CONTENT_TYPE, HeaderValue::from_static(openmetrics::CONTENT_TYPE));
                 answer
             }
-            Err(_) => unworded(),
+            Err(_) => encoding_failure(),
         }
     }
 
@@ -188,7 +188,7 @@
             outstanding: figures.outstanding(),
             discovered: self.backends.pool.listed(),
             ejected: self.driver.ejected(),
-            out_by_hand: self.backends.pool.banned().iter().map(ToString::to_string).collect(),
+            out_by_hand: self.backends.pool.disabled().iter().map(ToString::to_string).collect(),
             list: self.driver.list_age(),
             fullness: self.driver.fullness(),
             latency: latency.collect(),
@@ -196,7 +196,7 @@
         }
     }
 
-    async fn by_hand(&self, path: &str) -> Response<Full<Bytes>> {
+    async fn disable_or_enable(&self, path: &str) -> Response<Full<Bytes>> {
         let known = action(path).and_then(|(id, out)| {
             let id = percent_decode_str(id).decode_utf8().ok()?;
             self.backends.pool.knows(&id).then(|| (id.as_ref().into(), out))
@@ -217,7 +217,7 @@
 
 /// The server that a path names, and whether it goes out.
 fn action(path: &str) -> Option<(&str, bool)> {
-    let (id, verb) = path.strip_prefix(SERVERS)?.split_once('/')?;
+    let (id, verb) = path.strip_prefix(SERVERS_PATH)?.split_once('/')?;
     match verb {
         _ if id.is_empty() => None,
         "disable" => Some((id, true)),
@@ -227,22 +227,22 @@
 }
 
 fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    worded(status, Bytes::from_static(text.as_bytes()))
+    response(status, Bytes::from_static(text.as_bytes()))
 }
 
-fn worded(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+fn response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::new(text.into()));
     *answer.status_mut() = status;
     answer
 }
 
 fn json(text: serde_json::Result<Vec<u8>>) -> Response<Full<Bytes>> {
-    let Ok(text) = text else { return unworded() };
-    let mut answer = worded(StatusCode::OK, text);
+    let Ok(text) = text else { return encoding_failure() };
+    let mut answer = response(StatusCode::OK, text);
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
-fn unworded() -> Response<Full<Bytes>> {
+fn encoding_failure() -> Response<Full<Bytes>> {
     plain(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be worded\n")
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -36,10 +36,10 @@
     opener: O,
     servers: RefCell<HashMap<Name, Server<O::Link>>>,
     /// Out by hand. The module decides it; here it stops a send that still waits for its connection.
-    banned: RefCell<HashSet<Name>>,
+    disabled: RefCell<HashSet<Name>>,
     counts: Rc<ConnectionCounts>,
     /// The most connections over all servers, and at one that has no limit of its own.
-    most: Cell<usize>,
+    max_connections: Cell<usize>,
     connect_timeout: Duration,
     idle_timeout: Duration,
     staleness: RefCell<Staleness>,
@@ -51,9 +51,9 @@
         Rc::new(Pool {
             opener,
             servers: RefCell::default(),
-            banned: RefCell::default(),
+            disabled: RefCell::default(),
             counts: Rc::default(),
-            most: Cell::new(most),
+            max_connections: Cell::new(most),
             connect_timeout,
             idle_timeout,
             staleness: RefCell::new(Staleness::new(Instant::now())),
@@ -73,7 +73,7 @@
     }
 
     fn usable(&self, name: &Name, server: &Server<O::Link>) -> bool {
-        server.ready && !self.banned.borrow().contains(name)
+        server.ready && !self.disabled.borrow().contains(name)
     }
 
     /// How many are in the list.
@@ -83,19 +83,19 @@
 
     /// Whether anyone has this name: a listed server, or one out by hand that the list lacks for now.
     pub fn knows(&self, name: &str) -> bool {
-        self.servers.borrow().get(name).is_some_and(|s| s.listed) || self.banned.borrow().contains(name)
+        self.servers.borrow().get(name).is_some_and(|s| s.listed) || self.disabled.borrow().contains(name)
     }
 
     /// Those out by hand, in order.
-    pub fn banned(&self) -> Vec<Name> {
-        let mut banned: Vec<Name> = self.banned.borrow().iter().cloned().collect();
-        banned.sort();
-        banned
+    pub fn disabled(&self) -> Vec<Name> {
+        let mut disabled: Vec<Name> = self.disabled.borrow().iter().cloned().collect();
+        disabled.sort();
+        disabled
     }
 
     /// Out by hand: nothing new is written to it, and its idle connections go.
-    pub fn ban(&self, name: &Name) {
-        self.banned.borrow_mut().insert(name.clone());
+    pub fn disable(&self, name: &Name) {
+        self.disabled.borrow_mut().insert(name.clone());
         if let Some(s) = self.servers.borrow_mut().get_mut(name) {
             s.end_generation();
             s.waiting.clear();
@@ -103,8 +103,8 @@
     }
 
     /// Back by hand.
-    pub fn unban(&self, name: &Name) {
-        self.banned.borrow_mut().remove(name);
+    pub fn enable(&self, name: &Name) {
+        self.disabled.borrow_mut().remove(name);
     }
 
     /// Applies an update of the list. Connections to an old address, an old process or a server that wants
@@ -114,20 +114,23 @@
         let mut servers = self.servers.borrow_mut();
         if scope != Scope::Changes {
             let named: HashSet<&str> = targets.iter().map(|t| t.uid.as_str()).collect();
-            servers.iter_mut().filter(|(name, _)| !named.contains(&***name)).for_each(|(_, s)| s.unlist());
+            servers
+                .iter_mut()
+                .filter(|(name, _)| !named.contains(&***name))
+                .for_each(|(_, s)| s.mark_unlisted());
         }
         let mut moved = Vec::new();
         for t in targets {
             if t.state == State::Gone {
                 if let Some(s) = servers.get_mut(t.uid.as_str()) {
-                    s.unlist();
+                    s.mark_unlisted();
                 }
                 continue;
             }
             let address = t.endpoint.parse().ok();
             let name: Name = t.uid.as_str().into();
             let known = servers.entry(name.clone()).or_insert_with(|| Server::new(address, t.boot_ms, now));
-            if known.list(address, t.boot_ms, t.state == State::Ready, now) {
+            if known.apply_listing(address, t.boot_ms, t.state == State::Ready, now) {
                 moved.push(name);
             }
         }
@@ -135,14 +138,14 @@
         servers.retain(|_, s| s.listed || s.connections.get() > 0);
         drop(servers);
         // Who waits at a server that has moved goes on to its new address.
-        moved.iter().for_each(|name| self.open_for(name));
+        moved.iter().for_each(|name| self.open_for_waiters(name));
     }
 
     // ---- Limits ----
 
     /// The most connections over all servers.
     pub fn set_limit(&self, most: usize) {
-        self.most.set(most);
+        self.max_connections.set(most);
         while self.counts.total.get() > most && self.close_longest_idle() {}
         self.counts.freed();
     }
@@ -152,7 +155,7 @@
         if let Some(s) = self.servers.borrow_mut().get_mut(name) {
             let over = s.connections.get().saturating_sub(most).min(s.idle.len());
             close(s.idle.drain(..over), CloseReason::Room);
-            s.most = most;
+            s.max_connections = most;
         }
         self.counts.freed();
     }
@@ -161,7 +164,7 @@
     pub fn close_longest_idle(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let idle = servers.values_mut().filter(|s| !s.idle.is_empty());
-        let Some(oldest) = idle.min_by_key(|s| s.idle[0].used) else { return false };
+        let Some(oldest) = idle.min_by_key(|s| s.idle[0].last_used) else { return false };
         oldest.idle.remove(0).close(CloseReason::Room);
         true
     }
--- a/crates/gateway/src/pool/checkout.rs
+++ b/crates/gateway/src/pool/checkout.rs
@@ -1,7 +1,7 @@
 //! How an attempt comes by a connection and gives it back: idle ones, those who wait, and what is opened for them.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Checkout, Fitness, Open, Pooled, Reusable, Slot, Unavailable};
+use crate::pool::connection::{Checkout, LinkState, Open, Pooled, Reusable, Slot, Unavailable};
 use crate::pool::server::{close, Server};
 use crate::pool::Pool;
 use gateway_decisions::Name;
@@ -15,60 +15,60 @@
 
 impl<O: Open> Pool<O> {
     /// A connection for one attempt at this server.
-    pub async fn take(self: &Rc<Self>, name: &Name) -> Checkout<O::Link> {
+    pub async fn checkout(self: &Rc<Self>, name: &Name) -> Checkout<O::Link> {
         let mut waiter = {
             let mut servers = self.servers.borrow_mut();
             let Some(s) = servers.get_mut(name).filter(|s| self.usable(name, s)) else {
-                return Err(Unavailable::Gone);
+                return Err(Unavailable::NotAccepting);
             };
-            if let Some(p) = self.last_used(s, Instant::now()) {
+            if let Some(p) = self.take_idle(s, Instant::now()) {
                 return Ok(self.hand_out(p));
             }
-            let (give, given) = oneshot::channel();
-            s.waiting.push_back(give);
-            Waiter::new(given, self)
+            let (sender, receiver) = oneshot::channel();
+            s.waiting.push_back(sender);
+            Waiter::new(receiver, self)
         };
-        self.open_for(name);
+        self.open_for_waiters(name);
         let asked = Instant::now();
-        match timeout(self.connect_timeout, &mut waiter.given).await {
+        match timeout(self.connect_timeout, &mut waiter.receiver).await {
             // The list or operators may have spoken since it was handed over.
             Ok(Ok(Ok(p))) if !self.is_current(&p) => {
                 p.close(CloseReason::Listed);
-                Err(Unavailable::Gone)
+                Err(Unavailable::NotAccepting)
             }
             Ok(Ok(given)) => {
                 let p = given?;
                 self.counts.figures.borrow_mut().waited_us += asked.elapsed().as_micros() as u64;
                 Ok(self.hand_out(p))
             }
-            Ok(Err(_)) => Err(Unavailable::Gone),
+            Ok(Err(_)) => Err(Unavailable::NotAccepting),
             Err(_) => {
                 let opening = self.servers.borrow().get(name).is_some_and(|s| s.opening.get() > 0);
-                Err(if opening { Unavailable::Silent } else { Unavailable::Full })
+                Err(if opening { Unavailable::ConnectTimeout } else { Unavailable::AtCapacity })
             }
         }
     }
 
     fn hand_out(&self, mut p: Pooled<O::Link>) -> Pooled<O::Link> {
-        if p.uses > 0 {
+        if p.use_count > 0 {
             self.counts.figures.borrow_mut().reused += 1;
-            p.idled = Some(p.used.elapsed());
+            p.idle_time = Some(p.last_used.elapsed());
         }
-        p.uses += 1;
+        p.use_count += 1;
         p
     }
 
     /// The idle connection that was used last, if it is still to be trusted; the others are older.
-    fn last_used(&self, s: &mut Server<O::Link>, now: Instant) -> Option<Pooled<O::Link>> {
+    fn take_idle(&self, s: &mut Server<O::Link>, now: Instant) -> Option<Pooled<O::Link>> {
         let limit = self.idle_limit(s, now);
         while let Some(mut p) = s.idle.pop() {
-            if now - p.used >= limit {
+            if now - p.last_used >= limit {
                 p.close(CloseReason::Expired);
                 close(s.idle.drain(..), CloseReason::Expired);
                 return None;
             }
-            match p.link.fitness() {
-                Fitness::Fit => return Some(p),
+            match p.link.link_state() {
+                LinkState::Ready => return Some(p),
                 other => self.closed_while_idle(s, p, other, now),
             }
         }
@@ -81,11 +81,11 @@
         &self,
         s: &mut Server<O::Link>,
         p: Pooled<O::Link>,
-        found: Fitness,
+        found: LinkState,
         now: Instant,
     ) {
-        if found == Fitness::Closed {
-            let idle = now - p.used;
+        if found == LinkState::Closed {
+            let idle = now - p.last_used;
             s.staleness.record(idle, true, now);
             self.staleness.borrow_mut().record(idle, true, now);
         }
@@ -103,18 +103,20 @@
     }
 
     /// Opens what those who wait at a server need, as far as the limits go.
-    pub(super) fn open_for(self: &Rc<Self>, name: &Name) {
+    pub(super) fn open_for_waiters(self: &Rc<Self>, name: &Name) {
         loop {
             let opening = {
                 let mut servers = self.servers.borrow_mut();
                 let Some(s) = servers.get_mut(name).filter(|s| self.usable(name, s)) else { return };
                 s.waiting.retain(|w| !w.is_closed());
                 let Some(address) = s.address.filter(|_| {
-                    s.opening.get() < s.waiting.len() && s.connections.get() < s.most && self.most.get() > 0
+                    s.opening.get() < s.waiting.len()
+                        && s.connections.get() < s.max_connections
+                        && self.max_connections.get() > 0
                 }) else {
                     return;
                 };
-                if self.counts.total.get() < self.most.get() {
+                if self.counts.total.get() < self.max_connections.get() {
                     let slot = Slot::new(&self.counts, &s.connections, &s.opening);
                     Some((address, s.generation, slot))
                 } else {
@@ -139,16 +141,24 @@
                 Ok(Ok(link)) => {
                     slot.opened();
                     let now = Instant::now();
-                    let p = Pooled { link, slot, server, generation, used: now, uses: 0, idled: None };
-                    return self.reuse(p);
+                    let p = Pooled {
+                        link,
+                        slot,
+                        server,
+                        generation,
+                        last_used: now,
+                        use_count: 0,
+                        idle_time: None,
+                    };
+                    return self.assign_or_keep_idle(p);
                 }
                 Ok(Err(e)) if out_of_descriptors(&e) => {
                     if !self.close_longest_idle() {
-                        break Unavailable::Descriptors;
+                        break Unavailable::OutOfDescriptors;
                     }
                 }
                 Ok(Err(_)) => break Unavailable::Refused,
-                Err(_) => break Unavailable::Silent,
+                Err(_) => break Unavailable::ConnectTimeout,
             }
         };
         drop(slot);
@@ -163,16 +173,16 @@
 
     /// Takes back a connection whose exchange has ended.
     pub fn give_back(&self, mut p: Pooled<O::Link>) {
-        p.used = Instant::now();
-        match p.link.fitness() {
-            Fitness::Fit => self.reuse(p),
-            Fitness::Broken => p.close(CloseReason::Closed),
-            Fitness::Busy | Fitness::Closed => p.close(CloseReason::Ended),
+        p.last_used = Instant::now();
+        match p.link.link_state() {
+            LinkState::Ready => self.assign_or_keep_idle(p),
+            LinkState::Broken => p.close(CloseReason::Closed),
+            LinkState::Busy | LinkState::Closed => p.close(CloseReason::Ended),
         }
     }
 
     /// To who waits for it, or to the others that are idle.
-    fn reuse(&self, mut p: Pooled<O::Link>) {
+    fn assign_or_keep_idle(&self, mut p: Pooled<O::Link>) {
         let mut servers = self.servers.borrow_mut();
         let current =
             servers.get_mut(&p.server).filter(|s| s.generation == p.generation && self.usable(&p.server, s));
@@ -186,10 +196,10 @@
                 Err(Err(_)) => return,
             }
         }
-        if s.connections.get() > s.most || self.counts.total.get() > self.most.get() {
+        if s.connections.get() > s.max_connections || self.counts.total.get() > self.max_connections.get() {
             return p.close(CloseReason::Room);
         }
-        let index = s.idle.partition_point(|other| other.used <= p.used);
+        let index = s.idle.partition_point(|other| other.last_used <= p.last_used);
         s.idle.insert(index, p);
         // It may free a slot for others.
         self.counts.freed();
@@ -203,15 +213,15 @@
 
 /// An entry in a server's queue. A connection that was assigned but not taken goes back.
 struct Waiter<O: Open> {
-    given: oneshot::Receiver<Checkout<O::Link>>,
+    receiver: oneshot::Receiver<Checkout<O::Link>>,
     pool: Rc<Pool<O>>,
 }
 
 impl<O: Open> Waiter<O> {
-    fn new(given: oneshot::Receiver<Checkout<O::Link>>, pool: &Rc<Pool<O>>) -> Self {
+    fn new(receiver: oneshot::Receiver<Checkout<O::Link>>, pool: &Rc<Pool<O>>) -> Self {
         pool.counts.waiting.set(pool.counts.waiting.get() + 1);
         pool.counts.figures.borrow_mut().waits += 1;
-        Waiter { given, pool: pool.clone() }
+        Waiter { receiver, pool: pool.clone() }
     }
 }
 
@@ -219,8 +229,8 @@
     fn drop(&mut self) {
         let counts = &self.pool.counts;
         counts.waiting.set(counts.waiting.get() - 1);
-        if let Ok(Ok(p)) = self.given.try_recv() {
-            self.pool.reuse(p);
+        if let Ok(Ok(p)) = self.receiver.try_recv() {
+            self.pool.assign_or_keep_idle(p);
         }
     }
 }
--- a/crates/gateway/src/pool/close_reason.rs
+++ b/crates/gateway/src/pool/close_reason.rs
@@ -27,7 +27,7 @@
 
 impl CloseReason {
     /// As the figures name it.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             CloseReason::GivenUp => "given_up",
             CloseReason::Expired => "expired",
--- a/crates/gateway/src/pool/connection.rs
+++ b/crates/gateway/src/pool/connection.rs
@@ -14,8 +14,8 @@
 
 /// How an open connection stands between two requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fitness {
-    Fit,
+pub enum LinkState {
+    Ready,
     /// An exchange on it has not ended.
     Busy,
     /// Closed by the other side, in order.
@@ -26,7 +26,7 @@
 
 /// A connection that may serve more than one request.
 pub trait Reusable: 'static {
-    fn fitness(&mut self) -> Fitness;
+    fn link_state(&mut self) -> LinkState;
 }
 
 /// Opens connections.
@@ -39,15 +39,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
     /// The server wants nothing new.
-    Gone,
+    NotAccepting,
     /// The limits of this gateway left no capacity in time.
-    Full,
+    AtCapacity,
     /// The process may open nothing more.
-    Descriptors,
+    OutOfDescriptors,
     /// The server's machine refused.
     Refused,
     /// The connection never came up.
-    Silent,
+    ConnectTimeout,
 }
 
 /// What all connections are counted in, wherever they are.
@@ -73,7 +73,7 @@
 /// A connection's share of the limits, from before it is opened until after it is closed.
 pub struct Slot {
     pub counts: Rc<ConnectionCounts>,
-    pub at_server: Rc<Cell<usize>>,
+    pub server_connections: Rc<Cell<usize>>,
     /// Those being opened in this generation of the server; none once it is up.
     pub opening: Option<Rc<Cell<usize>>>,
     pub cause: CloseReason,
@@ -83,18 +83,18 @@
     /// The slot of a connection that is about to be opened.
     pub fn new(
         counts: &Rc<ConnectionCounts>,
-        at_server: &Rc<Cell<usize>>,
+        server_connections: &Rc<Cell<usize>>,
         opening: &Rc<Cell<usize>>,
     ) -> Self {
         counts.total.set(counts.total.get() + 1);
-        at_server.set(at_server.get() + 1);
+        server_connections.set(server_connections.get() + 1);
         opening.set(opening.get() + 1);
         let mut f = counts.figures.borrow_mut();
         f.opening += 1;
         f.peak = f.peak.max(counts.total.get());
         Slot {
             counts: counts.clone(),
-            at_server: at_server.clone(),
+            server_connections: server_connections.clone(),
             opening: Some(opening.clone()),
             cause: CloseReason::GivenUp,
         }
@@ -114,7 +114,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.counts.total.set(self.counts.total.get() - 1);
-        self.at_server.set(self.at_server.get() - 1);
+        self.server_connections.set(self.server_connections.get() - 1);
         let mut f = self.counts.figures.borrow_mut();
         match self.opening.take() {
             Some(opening) => {
@@ -137,10 +137,10 @@
     pub slot: Slot,
     pub server: Name,
     pub generation: u64,
-    pub used: Instant,
-    pub uses: u32,
+    pub last_used: Instant,
+    pub use_count: u32,
     /// How long it had idled when it was handed out, if it had been used before.
-    pub idled: Option<Duration>,
+    pub idle_time: Option<Duration>,
 }
 
 impl<L> Pooled<L> {
--- a/crates/gateway/src/pool/feedback.rs
+++ b/crates/gateway/src/pool/feedback.rs
@@ -9,11 +9,11 @@
 use tokio::time::Instant;
 
 /// A server that has given a connection up resets a request on it at once: later breaks have other causes.
-const STALE_RESET_TIME: Duration = Duration::from_millis(20);
+const STALE_RESET_WINDOW: Duration = Duration::from_millis(20);
 
 impl<O: Open> Pool<O> {
     /// A server has begun an answer on a connection that was written to at `written`.
-    pub fn answered(&self, p: &Pooled<O::Link>, written: Instant) {
+    pub fn record_answer(&self, p: &Pooled<O::Link>, written: Instant) {
         let now = Instant::now();
         if let Some(s) = self.servers.borrow_mut().get_mut(&p.server) {
             s.last_answer = now;
@@ -22,12 +22,12 @@
     }
 
     /// The connection broke before an answer began.
-    pub fn broke(&self, p: Pooled<O::Link>, written: Instant) {
+    pub fn close_broken(&self, p: Pooled<O::Link>, written: Instant) {
         let now = Instant::now();
         if let Some(s) = self.servers.borrow_mut().get_mut(&p.server) {
             self.record_staleness(s, &p, true, written, now);
         }
-        let stale = p.idled.is_some() && now - written < STALE_RESET_TIME;
+        let stale = p.idle_time.is_some() && now - written < STALE_RESET_WINDOW;
         p.close(if stale { CloseReason::Stale } else { CloseReason::Broken });
     }
 
@@ -40,8 +40,8 @@
         written: Instant,
         now: Instant,
     ) {
-        if now - written < STALE_RESET_TIME {
-            let idled = p.idled.unwrap_or_default();
+        if now - written < STALE_RESET_WINDOW {
+            let idled = p.idle_time.unwrap_or_default();
             s.staleness.record(idled, broken, now);
             self.staleness.borrow_mut().record(idled, broken, now);
         }
@@ -49,7 +49,7 @@
 
     /// Nothing came for a request that was written at `written`. If nothing at all has come from this server
     /// since, its machine may be cut off: what is idle there may be dead, and to connect anew tells.
-    pub fn silent(&self, name: &Name, written: Instant) {
+    pub fn handle_timeout(&self, name: &Name, written: Instant) {
         if let Some(s) = self.servers.borrow_mut().get_mut(name).filter(|s| s.last_answer < written) {
             close(s.idle.drain(..), CloseReason::Silent);
         }
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -1,7 +1,7 @@
 //! Upkeep: closes what has idled for too long, and opens for those who wait as slots become free.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Fitness, Open, Reusable};
+use crate::pool::connection::{LinkState, Open, Reusable};
 use crate::pool::server::Server;
 use crate::pool::Pool;
 use gateway_decisions::Name;
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use tokio::time::{interval, Instant};
 
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<O: Open> Pool<O> {
     /// Closes what has idled for too long or was closed by the other side, and opens for those who wait as
     /// places become free.
     pub async fn maintain(self: Rc<Self>) {
-        let mut every = interval(SWEEP_EVERY);
+        let mut every = interval(SWEEP_INTERVAL);
         loop {
             tokio::select! {
                 now = every.tick() => self.sweep(now),
@@ -26,7 +26,7 @@
             let waiting: Vec<Name> =
                 servers.iter().filter(|(_, s)| waits(s)).map(|(n, _)| n.clone()).collect();
             drop(servers);
-            waiting.iter().for_each(|name| self.open_for(name));
+            waiting.iter().for_each(|name| self.open_for_waiters(name));
         }
     }
 
@@ -36,12 +36,12 @@
         for s in servers.values_mut() {
             let limit = self.idle_limit(s, now);
             for mut p in std::mem::take(&mut s.idle) {
-                if now - p.used >= limit {
+                if now - p.last_used >= limit {
                     p.close(CloseReason::Expired);
                     continue;
                 }
-                match p.link.fitness() {
-                    Fitness::Fit => s.idle.push(p),
+                match p.link.link_state() {
+                    LinkState::Ready => s.idle.push(p),
                     other => self.closed_while_idle(s, p, other, now),
                 }
             }
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -18,7 +18,7 @@
     pub ready: bool,
     pub generation: u64,
     /// The most connections, and how many there are: up or being opened, of all generations.
-    pub most: usize,
+    pub max_connections: usize,
     pub connections: Rc<Cell<usize>>,
     /// Those of them that are being opened in this generation.
     pub opening: Rc<Cell<usize>>,
@@ -40,7 +40,7 @@
             listed: true,
             ready: false,
             generation: 0,
-            most: usize::MAX,
+            max_connections: usize::MAX,
             connections: Rc::default(),
             opening: Rc::default(),
             idle: Vec::new(),
@@ -51,7 +51,13 @@
     }
 
     /// The list names it so. Whether a generation of its connections has ended by that.
-    pub fn list(&mut self, address: Option<SocketAddr>, boot_ms: u64, ready: bool, now: Instant) -> bool {
+    pub fn apply_listing(
+        &mut self,
+        address: Option<SocketAddr>,
+        boot_ms: u64,
+        ready: bool,
+        now: Instant,
+    ) -> bool {
         (self.listed, self.ready) = (true, ready);
         let restarted = self.boot_ms != boot_ms;
         let moved = !ready || self.address != address || restarted;
@@ -69,7 +75,7 @@
     }
 
     /// The list names it no more.
-    pub fn unlist(&mut self) {
+    pub fn mark_unlisted(&mut self) {
         self.end_generation();
         self.waiting.clear();
         (self.listed, self.ready) = (false, false);
--- a/crates/gateway/src/pool/tests.rs
+++ b/crates/gateway/src/pool/tests.rs
@@ -1,7 +1,7 @@
 //! The pool with connections that are what the test says they are, on a clock that stands still.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Checkout, Fitness, Open, Pooled, Reusable, Unavailable};
+use crate::pool::connection::{Checkout, LinkState, Open, Pooled, Reusable, Unavailable};
 use crate::pool::Pool;
 use gateway_decisions::Scope;
 use gateway_protocol::list::{State, Target};
@@ -36,7 +36,7 @@
     /// All idle connections have idled for so much longer.
     pub fn age(&self, by: Duration) {
         let mut servers = self.servers.borrow_mut();
-        servers.values_mut().flat_map(|s| &mut s.idle).for_each(|p| p.used -= by);
+        servers.values_mut().flat_map(|s| &mut s.idle).for_each(|p| p.last_used -= by);
     }
 }
 
@@ -50,8 +50,8 @@
 }
 
 impl Reusable for Fake {
-    fn fitness(&mut self) -> Fitness {
-        self.world.fitness.borrow()[self.number]
+    fn link_state(&mut self) -> LinkState {
+        self.world.link_state.borrow()[self.number]
     }
 }
 
@@ -66,7 +66,7 @@
 #[derive(Default)]
 struct World {
     /// By number, of all connections that ever came up.
-    fitness: RefCell<Vec<Fitness>>,
+    link_state: RefCell<Vec<LinkState>>,
     open: RefCell<HashSet<usize>>,
     handshakes: RefCell<VecDeque<Handshake>>,
     begun: Cell<usize>,
@@ -95,9 +95,9 @@
         self.0.handshakes.borrow_mut().push_back((address, end));
         // One that nobody ever ends stays under way.
         ended.await.map_err(io::Error::other)??;
-        let mut fitness = self.0.fitness.borrow_mut();
-        fitness.push(Fitness::Fit);
-        let number = fitness.len() - 1;
+        let mut link_state = self.0.link_state.borrow_mut();
+        link_state.push(LinkState::Ready);
+        let number = link_state.len() - 1;
         self.0.open.borrow_mut().insert(number);
         Ok(Fake { number, address, handshake, world: self.0.clone() })
     }
@@ -142,7 +142,7 @@
 /// Asks for a connection, as far as that gets by itself.
 async fn ask(pool: &Rc<Pool<Opener>>, name: &str) -> Take {
     let (pool, name) = (pool.clone(), name.into());
-    let task = spawn_local(async move { pool.take(&name).await });
+    let task = spawn_local(async move { pool.checkout(&name).await });
     settle().await;
     task
 }
@@ -175,7 +175,7 @@
             advance(Duration::from_secs(1)).await;
             settle().await;
             let p = ask(&pool, "s").await.await.unwrap().unwrap();
-            assert_eq!((p.link.number, p.idled), (second, Some(Duration::from_secs(1))));
+            assert_eq!((p.link.number, p.idle_time), (second, Some(Duration::from_secs(1))));
             pool.give_back(p);
         }
         assert!(!world.open.borrow().contains(&first), "nobody asked for it in its time");
@@ -195,13 +195,13 @@
         let number = busy.link.number;
         pool.give_back(busy);
         let got = waits.await.unwrap().unwrap();
-        assert_eq!((got.link.number, got.idled), (number, Some(Duration::ZERO)));
+        assert_eq!((got.link.number, got.idle_time), (number, Some(Duration::ZERO)));
         assert!((30_000..33_000).contains(&pool.figures().waited_us), "{}", pool.figures());
         world.answers(Ok(()));
         settle().await;
         assert_eq!(pool.figures().idle, 1, "for the next");
         let next = ask(&pool, "s").await.await.unwrap().unwrap();
-        assert_eq!((next.link.number, next.idled), (1, None), "nothing was ever written to it");
+        assert_eq!((next.link.number, next.idle_time), (1, None), "nothing was ever written to it");
     });
 }
 
@@ -252,11 +252,11 @@
 #[test]
 fn what_the_server_closed_or_spoke_on_unasked_is_not_handed_out() {
     with_pool(|pool, world| async move {
-        for found in [Fitness::Closed, Fitness::Broken] {
+        for found in [LinkState::Closed, LinkState::Broken] {
             let p = opened(&pool, &world, "s").await;
             let number = p.link.number;
             pool.give_back(p);
-            world.fitness.borrow_mut()[number] = found;
+            world.link_state.borrow_mut()[number] = found;
             let next = opened(&pool, &world, "s").await;
             assert_ne!(next.link.number, number);
         }
@@ -268,7 +268,7 @@
 fn an_answer_that_was_the_last_ends_its_connection() {
     with_pool(|pool, world| async move {
         let p = opened(&pool, &world, "s").await;
-        world.fitness.borrow_mut()[p.link.number] = Fitness::Closed;
+        world.link_state.borrow_mut()[p.link.number] = LinkState::Closed;
         pool.give_back(p);
         assert_eq!((pool.figures().open, closed(&pool, CloseReason::Ended)), (0, 1));
     });
@@ -283,7 +283,7 @@
             let number = p.link.number;
             pool.give_back(p);
             advance(Duration::from_millis(300)).await;
-            world.fitness.borrow_mut()[number] = Fitness::Closed;
+            world.link_state.borrow_mut()[number] = LinkState::Closed;
             let p = opened(&pool, &world, "s").await;
             p.close(CloseReason::GivenUp);
         }
@@ -302,11 +302,11 @@
         let (a, b) = (opened(&pool, &world, "s").await, opened(&pool, &world, "s").await);
         let written = Instant::now();
         advance(Duration::from_millis(50)).await;
-        pool.answered(&a, written);
+        pool.record_answer(&a, written);
         pool.give_back(a);
-        pool.silent(&"s".into(), written);
+        pool.handle_timeout(&"s".into(), written);
         assert_eq!(pool.figures().idle, 1, "it answers others");
-        pool.silent(&"s".into(), Instant::now() + Duration::from_millis(1));
+        pool.handle_timeout(&"s".into(), Instant::now() + Duration::from_millis(1));
         assert_eq!((pool.figures().idle, closed(&pool, CloseReason::Silent)), (0, 1));
         drop(b);
     });
@@ -337,8 +337,11 @@
                 settle().await;
             }
             let got = [fourth.await.unwrap().unwrap(), fifth.await.unwrap().unwrap()];
-            assert!(got.iter().filter(|p| p.idled.is_none()).all(|p| p.link.address == end));
-            assert!(got.iter().any(|p| p.idled.is_none()), "the one who waited goes on to the new process");
+            assert!(got.iter().filter(|p| p.idle_time.is_none()).all(|p| p.link.address == end));
+            assert!(
+                got.iter().any(|p| p.idle_time.is_none()),
+                "the one who waited goes on to the new process"
+            );
             assert!(closed(&pool, CloseReason::Listed) >= 2);
             assert_eq!(pool.figures().idle, 0);
         });
@@ -350,17 +353,17 @@
     let calls: [fn(&Rc<Pool<Opener>>); 3] = [
         |pool| pool.update(Scope::Changes, &[target("s", address(1), 0, State::Terminating)]),
         |pool| pool.update(Scope::Full, &[up("t", 2, 0)]),
-        |pool| pool.ban(&"s".into()),
+        |pool| pool.disable(&"s".into()),
     ];
     for call in calls {
         with_pool(|pool, world| async move {
             let waits = ask(&pool, "s").await;
             call(&pool);
-            assert_eq!(missing(waits.await), Unavailable::Gone);
+            assert_eq!(missing(waits.await), Unavailable::NotAccepting);
             world.answers(Ok(()));
             settle().await;
             assert_eq!((pool.figures().open, closed(&pool, CloseReason::Listed)), (0, 1));
-            assert_eq!(missing(ask(&pool, "s").await.await), Unavailable::Gone);
+            assert_eq!(missing(ask(&pool, "s").await.await), Unavailable::NotAccepting);
             assert!(world.under_way().is_empty());
         });
     }
@@ -374,7 +377,7 @@
         let waits = ask(&pool, "s").await;
         pool.give_back(busy);
         pool.update(Scope::Changes, &[target("s", address(1), 0, State::Terminating)]);
-        assert_eq!(missing(waits.await), Unavailable::Gone);
+        assert_eq!(missing(waits.await), Unavailable::NotAccepting);
         assert_eq!(pool.figures().open, 0);
     });
 }
@@ -407,12 +410,12 @@
         pool.set_server_limit(&"s".into(), 1);
         let busy = opened(&pool, &world, "s").await;
         let start = Instant::now();
-        assert_eq!(missing(ask(&pool, "s").await.await), Unavailable::Full);
+        assert_eq!(missing(ask(&pool, "s").await.await), Unavailable::AtCapacity);
         assert!(start.elapsed() <= CONNECT + Duration::from_millis(2), "{:?}", start.elapsed());
         drop(busy);
         settle().await;
         let silent = ask(&pool, "s").await;
-        assert_eq!(missing(silent.await), Unavailable::Silent, "it never came up");
+        assert_eq!(missing(silent.await), Unavailable::ConnectTimeout, "it never came up");
         advance(CONNECT).await;
         settle().await;
         assert_eq!((pool.figures().opening, pool.connections_to(&"s".into())), (0, 0));
@@ -467,7 +470,7 @@
         let got = waits.await.unwrap().unwrap();
         let waits = ask(&pool, "t").await;
         world.answers(Err(out()));
-        assert_eq!(missing(waits.await), Unavailable::Descriptors, "nothing is idle any more");
+        assert_eq!(missing(waits.await), Unavailable::OutOfDescriptors, "nothing is idle any more");
         drop(got);
         let f = pool.figures();
         assert_eq!((f.open, f.opening, pool.counts.total.get()), (0, 0, 0));
@@ -518,7 +521,7 @@
     address: SocketAddr,
     boot_ms: u64,
     ready: bool,
-    banned: bool,
+    disabled: bool,
     most: usize,
     /// Handshakes that had begun by its last change.
     since: usize,
@@ -530,7 +533,7 @@
             address: address(n as u16 + 1),
             boot_ms: 0,
             ready: true,
-            banned: false,
+            disabled: false,
             most: usize::MAX,
             since: 0,
         })
@@ -570,12 +573,12 @@
                 if *back {
                     pool.give_back(p);
                 } else {
-                    pool.broke(p, Instant::now());
+                    pool.close_broken(p, Instant::now());
                 }
             }
             Step::Server(n, closes) => {
-                let found = if *closes { Fitness::Closed } else { Fitness::Broken };
-                if let Some(f) = world.fitness.borrow_mut().get_mut(*n) {
+                let found = if *closes { LinkState::Closed } else { LinkState::Broken };
+                if let Some(f) = world.link_state.borrow_mut().get_mut(*n) {
                     *f = found;
                 }
             }
@@ -604,12 +607,12 @@
                 pool.update(Scope::Changes, &[list(*s, k, state[*what as usize])]);
             }
             Step::Ban(s, on) => {
-                known[*s].banned = *on;
+                known[*s].disabled = *on;
                 if *on {
                     known[*s].since = world.begun.get();
-                    pool.ban(&SERVERS[*s].into());
+                    pool.disable(&SERVERS[*s].into());
                 } else {
-                    pool.unban(&SERVERS[*s].into());
+                    pool.enable(&SERVERS[*s].into());
                 }
             }
             Step::Leave(_) | Step::Handshake(..) | Step::End(..) => {}
@@ -621,10 +624,10 @@
         for (s, task) in done {
             if let Ok(p) = task.await.expect("no panic") {
                 let k = &known[s];
-                assert!(k.ready && !k.banned && p.link.address == k.address, "after {step:?}");
+                assert!(k.ready && !k.disabled && p.link.address == k.address, "after {step:?}");
                 assert!(p.link.handshake >= k.since, "after {step:?}");
-                assert_eq!(world.fitness.borrow()[p.link.number], Fitness::Fit, "after {step:?}");
-                assert!(p.idled.is_none_or(|idle| idle < IDLE), "after {step:?}");
+                assert_eq!(world.link_state.borrow()[p.link.number], LinkState::Ready, "after {step:?}");
+                assert!(p.idle_time.is_none_or(|idle| idle < IDLE), "after {step:?}");
                 assert!(held.iter().all(|h| h.link.number != p.link.number), "after {step:?}");
                 held.push(p);
             }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -20,18 +20,18 @@
 /// The module that the log's events and levels name for all of the server, whichever file an event comes from.
 const LOG_TARGET: &str = "sprucehatch_gateway::server";
 
-/// SIGKILL is due so long after SIGTERM and the longest deadline, of which no more than `MOST_DEADLINE` counts.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-const MOST_DEADLINE: Duration = Duration::from_secs(3);
+/// SIGKILL is due so long after SIGTERM and the longest deadline, of which no more than `MAX_COUNTED_DEADLINE` counts.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// The process is gone so long before that, unless it still owes an answer.
-const EXIT_BEFORE: Duration = Duration::from_millis(100);
+const EXIT_MARGIN: Duration = Duration::from_millis(100);
 
 /// All client connections of one gateway.
 pub struct Server {
     driver: Rc<Driver>,
     backends: Rc<Backends>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
-    budget: usize,
+    max_clients: usize,
     draining: Cell<bool>,
     /// Since when operators have clients sent away.
     client_drain_since: Cell<Option<Instant>>,
@@ -39,28 +39,28 @@
     successor: Cell<bool>,
     successor_changed: Notify,
     /// How long after SIGTERM the process may go on.
-    longest_drain: Duration,
-    left: Notify,
+    max_drain: Duration,
+    client_left: Notify,
 }
 
 impl Server {
-    /// A server that takes nothing yet; `budget` is the most connections at once.
-    pub fn new(driver: Rc<Driver>, backends: Rc<Backends>, budget: usize) -> Self {
-        let (clients, draining, client_drain_since, left) = Default::default();
+    /// A server that takes nothing yet; `max_clients` is the most connections at once.
+    pub fn new(driver: Rc<Driver>, backends: Rc<Backends>, max_clients: usize) -> Self {
+        let (clients, draining, client_drain_since, client_left) = Default::default();
         let (successor, successor_changed) = Default::default();
         let longest = driver.classes.iter().map(|(.., deadline)| *deadline).max().unwrap_or_default();
-        let longest_drain = longest.min(MOST_DEADLINE) + KILL_AFTER - EXIT_BEFORE;
+        let max_drain = longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - EXIT_MARGIN;
         Server {
             driver,
             backends,
             clients,
-            budget,
+            max_clients,
             draining,
             client_drain_since,
             successor,
             successor_changed,
-            longest_drain,
-            left,
+            max_drain,
+            client_left,
         }
     }
 
--- a/crates/gateway/src/server/api.rs
+++ b/crates/gateway/src/server/api.rs
@@ -32,9 +32,11 @@
             "/ready" => plain(StatusCode::OK, "ready\n"),
             _ => plain(StatusCode::NOT_FOUND, ""),
         };
-        client.known.set(true);
-        let last =
-            self.draining.get() || self.successor.get() || self.drains_clients() || client.closing.get();
+        client.answered_before.set(true);
+        let last = self.draining.get()
+            || self.successor.get()
+            || self.drains_clients()
+            || client.close_after_answer.get();
         if last || matches!(reply.status(), StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT) {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -44,11 +46,11 @@
 
     async fn api(&self, request: Request<IncomingBody>, client: &Client) -> Result<Reply, StatusCode> {
         let begun = Instant::now();
-        let incoming = self.take(request, client, begun).await?;
+        let incoming = self.read_request(request, client, begun).await?;
         let id = incoming.id;
         let upload = incoming.outgoing.body.relay().cloned();
         let (answer, mut outstanding) = self.answer(incoming, upload.as_ref(), client).await?;
-        let mut reply = worded(answer, &mut outstanding);
+        let mut reply = to_reply(answer, &mut outstanding);
         tracing::debug!(
             target: LOG_TARGET,
             request = %RequestName(id),
@@ -59,12 +61,12 @@
         if upload.is_some_and(|u| u.ended().is_none()) {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        reply.body_mut().taken = Some(outstanding);
+        reply.body_mut().outstanding = Some(outstanding);
         Ok(reply)
     }
 
     /// Reads a request's headers, and its body or the beginning of it.
-    async fn take(
+    async fn read_request(
         &self,
         request: Request<IncomingBody>,
         client: &Client,
@@ -80,7 +82,7 @@
             }
             return Err(StatusCode::BAD_REQUEST);
         };
-        let waited = if client.known.get() { Duration::ZERO } else { begun - client.connected };
+        let waited = if client.answered_before.get() { Duration::ZERO } else { begun - client.connected };
         incoming.outgoing.body = bodies::take(body, self.backends.memory(), waited).await.map_err(status)?;
         incoming.arrived = Instant::now();
         tracing::debug!(
@@ -104,22 +106,22 @@
         client: &Client,
     ) -> Result<(Answer, OutstandingRequest), StatusCode> {
         let (id, class, wait) = (incoming.id, incoming.class, incoming.timeout);
-        let taken = || self.driver.figures.taken(class);
+        let taken = || self.driver.figures.start_request(class);
         let mut pending = self.driver.submit(incoming).ok_or(StatusCode::BAD_REQUEST)?;
         let Some(upload) = upload else {
             let taken = taken();
-            return Ok((awaited(&mut pending, client).await?, taken));
+            return Ok((wait_for_answer(&mut pending, client).await?, taken));
         };
         let early = tokio::select! {
             biased;
             answer = &mut pending => Some(answer),
             () = upload.completed() => None,
-            () = client.left() => return Err(StatusCode::BAD_REQUEST),
+            () = client.disconnected() => return Err(StatusCode::BAD_REQUEST),
         };
         let Some(answer) = early else {
             let taken = taken();
             self.driver.body_complete(id, wait);
-            return Ok((awaited(&mut pending, client).await?, taken));
+            return Ok((wait_for_answer(&mut pending, client).await?, taken));
         };
         if let Some(fault) = upload.fault() {
             return Err(status(fault));
@@ -131,11 +133,11 @@
 }
 
 /// An answer as its client reads it. `outstanding` hears how the request ended, where that is known by now.
-fn worded(answer: Answer, outstanding: &mut OutstandingRequest) -> Reply {
+fn to_reply(answer: Answer, outstanding: &mut OutstandingRequest) -> Reply {
     match answer {
-        Answer::Served(served) => worded_served(served, outstanding),
+        Answer::Served(served) => served_reply(served, outstanding),
         Answer::Refused { tried, retry_after } => {
-            outstanding.ends(End::Declined);
+            outstanding.set_outcome(End::Declined);
             let status = if tried { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
             let mut reply = plain(status, "");
             // None means no advice, not to come back at once.
@@ -145,20 +147,20 @@
             }
             reply
         }
-        Answer::Failed { late: true } => plain(StatusCode::GATEWAY_TIMEOUT, ""),
-        Answer::Failed { late: false } => plain(StatusCode::BAD_GATEWAY, ""),
+        Answer::Failed { timed_out: true } => plain(StatusCode::GATEWAY_TIMEOUT, ""),
+        Answer::Failed { timed_out: false } => plain(StatusCode::BAD_GATEWAY, ""),
     }
 }
 
-fn worded_served(served: Served, outstanding: &mut OutstandingRequest) -> Reply {
-    let what = match served.body {
+fn served_reply(served: Served, outstanding: &mut OutstandingRequest) -> Reply {
+    let content = match served.body {
         ServedBody::Buffered(body) => {
-            outstanding.ends(End::Succeeded);
+            outstanding.set_outcome(End::Succeeded);
             ReplyContent::Buffered(body)
         }
         ServedBody::Stream(download) => ReplyContent::Stream(download),
     };
-    let mut reply = Response::new(ReplyBody { what, ..ReplyBody::default() });
+    let mut reply = Response::new(ReplyBody { content, ..ReplyBody::default() });
     if let Some(kind) = served.content_type {
         reply.headers_mut().insert(CONTENT_TYPE, kind);
     }
@@ -168,10 +170,10 @@
     reply
 }
 
-async fn awaited(pending: &mut PendingAnswer, client: &Client) -> Result<Answer, StatusCode> {
+async fn wait_for_answer(pending: &mut PendingAnswer, client: &Client) -> Result<Answer, StatusCode> {
     tokio::select! {
         biased;
         answer = pending => Ok(answer),
-        () = client.left() => Err(StatusCode::BAD_REQUEST),
+        () = client.disconnected() => Err(StatusCode::BAD_REQUEST),
     }
 }
--- a/crates/gateway/src/server/connections.rs
+++ b/crates/gateway/src/server/connections.rs
@@ -1,7 +1,7 @@
-//! Clients' connections: their slots in the budget, the serving of each, and which close.
+//! Clients' connections: their slots in the max_clients, the serving of each, and which close.
 
-use crate::client::{Client, Tap};
-use crate::server::reply::RequestInHand;
+use crate::client::{Client, ClientSocket};
+use crate::server::reply::RequestInProgress;
 use crate::server::Server;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -16,19 +16,19 @@
 
 /// A peer that has not sent one complete head by then is let go: whoever connects is owed an answer or a close
 /// within 3 s, and an honest client may take 2 s for its head.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(2600);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2600);
 /// A client that has sent one, and then nothing or half a request's head for this long, is let go.
-const HEAD_TIME: Duration = Duration::from_secs(30);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-const HEAD_BYTES: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-const EMFILE_PAUSE: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 impl Server {
     /// Closes connections that have had no request for so long.
     pub(super) fn close_idle(&self, now: Instant, least: Duration) {
         for client in self.clients.borrow().values() {
-            if client.idle.get().is_some_and(|at| now.saturating_duration_since(at) >= least) {
+            if client.idle_since.get().is_some_and(|at| now.saturating_duration_since(at) >= least) {
                 client.close.notify_one();
             }
         }
@@ -37,18 +37,18 @@
     /// Closes connections of clients that leave their answer unread.
     pub(super) fn close_unread(&self, now: Instant) {
         for client in self.clients.borrow().values() {
-            if client.takes_nothing(now) {
+            if client.is_write_stalled(now) {
                 client.close.notify_one();
             }
         }
     }
 
-    /// Accepts one client within the descriptor budget.
-    pub(super) async fn admit(self: &Rc<Self>, listener: &TcpListener, next: &mut u64) {
-        if self.clients.borrow().len() >= self.budget {
+    /// Accepts one client within the descriptor max_clients.
+    pub(super) async fn accept_one(self: &Rc<Self>, listener: &TcpListener, next: &mut u64) {
+        if self.clients.borrow().len() >= self.max_clients {
             self.close_longest_idle();
-            while self.clients.borrow().len() >= self.budget {
-                self.left.notified().await;
+            while self.clients.borrow().len() >= self.max_clients {
+                self.client_left.notified().await;
             }
         }
         match listener.accept().await {
@@ -65,7 +65,7 @@
             Err(_) => {
                 self.backends.pool.close_longest_idle();
                 self.close_longest_idle();
-                sleep(EMFILE_PAUSE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
@@ -74,10 +74,10 @@
     /// request, which may be on its way; if none comes in its time, that ends it.
     pub(super) fn close_all(&self) {
         for client in self.clients.borrow().values() {
-            if client.known.get() || client.idle.get().is_none() {
+            if client.answered_before.get() || client.idle_since.get().is_none() {
                 client.close.notify_one();
             } else {
-                client.closing.set(true);
+                client.close_after_answer.set(true);
             }
         }
     }
@@ -89,8 +89,8 @@
             client.stop_lingering.notify_one();
             return;
         }
-        let idle = clients.values().filter(|c| c.idle.get().is_some());
-        if let Some(client) = idle.min_by_key(|c| (c.begun.get(), c.idle.get())) {
+        let idle = clients.values().filter(|c| c.idle_since.get().is_some());
+        if let Some(client) = idle.min_by_key(|c| (c.request_begun.get(), c.idle_since.get())) {
             client.close.notify_one();
         }
     }
@@ -100,29 +100,29 @@
             return;
         }
         let service = service_fn(|request| {
-            client.idle.set(None);
-            let busy = RequestInHand(client.clone());
+            client.idle_since.set(None);
+            let in_progress = RequestInProgress(client.clone());
             async move {
-                let mut reply = self.reply(request, &busy.0).await;
+                let mut reply = self.reply(request, &in_progress.0).await;
                 // Until the answer is written: a long one keeps its connection busy.
-                reply.body_mut().busy = Some(busy);
+                reply.body_mut().in_progress = Some(in_progress);
                 Ok::<_, Infallible>(reply)
             }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIME)
-            .max_buf_size(HEAD_BYTES)
-            .serve_connection(TokioIo::new(Tap(client.clone())), service);
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .serve_connection(TokioIo::new(ClientSocket(client.clone())), service);
         let mut connection = pin!(connection);
-        let mut first = pin!(sleep_until(client.connected + FIRST_REQUEST_TIME));
+        let mut first = pin!(sleep_until(client.connected + FIRST_REQUEST_TIMEOUT));
         loop {
             tokio::select! {
                 // First, so that a request which has arrived is read before a close.
                 biased;
                 // Errors are the client's: it left, or sent what is no HTTP.
                 ended = connection.as_mut() => {
-                    if ended.is_ok() && client.last_answered.get() && client.has_unread() {
+                    if ended.is_ok() && client.last_answered.get() && client.has_unread_input() {
                         client.linger().await;
                     }
                     return;
@@ -134,11 +134,11 @@
                         CloseMode::AfterNextAnswer => {}
                     }
                     // A request is on its way or in flight: its answer says that it is the last.
-                    client.closing.set(true);
+                    client.close_after_answer.set(true);
                 }
                 // With a request in hand, its body's time or its answer ends it.
                 () = &mut first, if !first.is_elapsed() => {
-                    if !client.known.get() && client.idle.get().is_some() {
+                    if !client.answered_before.get() && client.idle_since.get().is_some() {
                         return;
                     }
                 }
@@ -158,13 +158,13 @@
 
 impl CloseMode {
     fn of(client: &Client, now: Instant) -> Self {
-        if client.takes_nothing(now) {
+        if client.is_write_stalled(now) {
             return CloseMode::AtOnce;
         }
-        if client.idle.get().is_none() {
+        if client.idle_since.get().is_none() {
             return CloseMode::Gracefully;
         }
-        match (client.begun.get() || client.has_unread(), client.known.get()) {
+        match (client.request_begun.get() || client.has_unread_input(), client.answered_before.get()) {
             (true, _) => CloseMode::AfterNextAnswer,
             (false, false) => CloseMode::AtOnce,
             // The end of its last answer may still be on its way out.
@@ -173,7 +173,7 @@
     }
 }
 
-/// A client's slot in the budget.
+/// A client's slot in the max_clients.
 struct ClientSlot {
     server: Rc<Server>,
     number: u64,
@@ -182,6 +182,6 @@
 impl Drop for ClientSlot {
     fn drop(&mut self) {
         self.server.clients.borrow_mut().remove(&self.number);
-        self.server.left.notify_one();
+        self.server.client_left.notify_one();
     }
 }
--- a/crates/gateway/src/server/parse.rs
+++ b/crates/gateway/src/server/parse.rs
@@ -1,7 +1,7 @@
 //! What the headers of a client's request say.
 
 use crate::backends::outgoing::Outgoing;
-use crate::bodies::Content;
+use crate::bodies::RequestBody;
 use crate::driver::request::ClientRequest;
 use crate::driver::Driver;
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Customers are numbered below this.
-const ACCOUNT_LIMIT: u64 = 1 << 33;
+const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 
 /// Reads a request's headers; None if one is missing or malformed, or the method does not fit the class.
 pub fn parse(driver: &Driver, head: Parts, empty: bool) -> Option<ClientRequest> {
@@ -33,7 +33,7 @@
     let plan_name = text(h, "plan")?;
     let plan = driver.plans.iter().position(|name| name == plan_name)?;
     let account = text(h, "account")?;
-    hex(account).filter(|a| *a < ACCOUNT_LIMIT)?;
+    hex(account).filter(|a| *a < CUSTOMER_ID_LIMIT)?;
     let timeout = client_timeout(text(h, "request-timeout")?)?.min(longest);
     let Quota { units, spread } = quota(driver, text(h, "quota-info")?)?;
     Some(ClientRequest {
@@ -45,7 +45,7 @@
         timeout,
         units,
         spread,
-        repeat: h.get("client-retry").is_some_and(|v| v == "1"),
+        is_retry: h.get("client-retry").is_some_and(|v| v == "1"),
         outgoing: Outgoing {
             request_id: h.get("request-id")?.clone(),
             idempotency_key: h.get("idempotency-key").cloned(),
@@ -55,7 +55,7 @@
             // A roll server is no proxy: it gets path and query, also where the client named the host.
             uri: head.uri.into_parts().path_and_query?.into(),
             // The body comes later.
-            body: Content::Buffered(Bytes::new()),
+            body: RequestBody::Buffered(Bytes::new()),
             wait: timeout,
         },
     })
@@ -82,7 +82,7 @@
     let spread: u32 = field("spread")?.parse().ok()?;
     let first: u32 = field("first")?.parse().ok()?;
     // Beyond what a client of ours can say, figures would mislead the module about everyone's requests.
-    let most = if driver.most_units > 0.0 { driver.most_units } else { f64::MAX };
+    let most = if driver.max_units > 0.0 { driver.max_units } else { f64::MAX };
     let gateways = driver.gateways;
     let in_range = units > 0.0 && units <= most && (1..=gateways).contains(&spread) && first < gateways;
     in_range.then_some(Quota { units, spread })
--- a/crates/gateway/src/server/reply.rs
+++ b/crates/gateway/src/server/reply.rs
@@ -20,9 +20,9 @@
 /// The body of an answer to a client. What ends with the request is dropped with it.
 #[derive(Default)]
 pub struct ReplyBody {
-    pub what: ReplyContent,
-    pub taken: Option<OutstandingRequest>,
-    pub busy: Option<RequestInHand>,
+    pub content: ReplyContent,
+    pub outstanding: Option<OutstandingRequest>,
+    pub in_progress: Option<RequestInProgress>,
 }
 
 /// The bytes of a body: all of them, or those that come.
@@ -46,13 +46,13 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let me = &mut *self;
-        match &mut me.what {
+        match &mut me.content {
             ReplyContent::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
             ReplyContent::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             ReplyContent::Stream(download) => {
                 let next = Pin::new(&mut **download).poll_frame(cx);
-                if let Some(taken) = me.taken.as_mut().filter(|_| download.done()) {
-                    taken.ends(End::Succeeded);
+                if let Some(outstanding) = me.outstanding.as_mut().filter(|_| download.done()) {
+                    outstanding.set_outcome(End::Succeeded);
                 }
                 next
             }
@@ -60,14 +60,14 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        match &self.what {
+        match &self.content {
             ReplyContent::Buffered(bytes) => bytes.is_empty(),
             ReplyContent::Stream(download) => download.done(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.what {
+        match &self.content {
             ReplyContent::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             ReplyContent::Stream(download) => download.size_hint(),
         }
@@ -75,19 +75,19 @@
 }
 
 /// Marks a client idle again, also when its request is dropped.
-pub struct RequestInHand(pub Rc<Client>);
+pub struct RequestInProgress(pub Rc<Client>);
 
-impl Drop for RequestInHand {
+impl Drop for RequestInProgress {
     fn drop(&mut self) {
-        self.0.begun.set(false);
-        self.0.idle.set(Some(Instant::now()));
+        self.0.request_begun.set(false);
+        self.0.idle_since.set(Some(Instant::now()));
     }
 }
 
 /// An answer with a text of our own.
 pub fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let what = ReplyContent::Buffered(Bytes::from_static(text.as_bytes()));
-    let mut reply = Response::new(ReplyBody { what, ..ReplyBody::default() });
+    let content = ReplyContent::Buffered(Bytes::from_static(text.as_bytes()));
+    let mut reply = Response::new(ReplyBody { content, ..ReplyBody::default() });
     *reply.status_mut() = status;
     reply
 }
