--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: attempts at roll servers, over the connections that the pool gives.
+//! Backends: attempts at roll servers, over connections of the pool.
 
 pub mod download;
 pub mod outcome;
@@ -26,34 +26,34 @@
 use std::time::Duration;
 use tokio::time::{interval, timeout_at, Instant};
 
-/// An answer of unknown length that takes longer goes on to the client as it comes.
+/// An answer of unknown length that is not complete after this time is streamed to the client.
 const BUFFER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// All roll servers: the connections to them, and the memory for bodies.
+/// All roll servers: their connection pool, and the memory budget for bodies.
 pub struct Backends {
     pub pool: Rc<Pool<Dialer>>,
     memory: Budget,
 }
 
 impl Backends {
-    /// No connection yet, within the configuration's limits.
+    /// Creates the backends with an empty pool and the configuration's limits.
     pub fn new(config: &Config) -> Rc<Self> {
         let dialer = Dialer { forwards: Rc::default() };
         let pool = Pool::new(dialer, config.backend_sockets, config.connect_timeout, config.idle_timeout);
         Rc::new(Backends { pool, memory: Budget::new(config.body_memory) })
     }
 
-    /// Memory for bodies, of requests and answers alike.
+    /// Returns the memory budget for bodies of requests and answers.
     pub fn memory(&self) -> &Budget {
         &self.memory
     }
 
-    /// Attempts written completely, since the start.
+    /// Returns the number of attempts that have been written completely since the start.
     pub fn forwards(&self) -> u64 {
         self.pool.opener().forwards.get()
     }
 
-    /// One attempt at one backend, given up at `attempt_deadline`.
+    /// Runs one attempt at one backend, and gives up at `attempt_deadline`.
     pub async fn attempt(
         self: &Rc<Self>,
         name: &Name,
@@ -74,13 +74,14 @@
                 Err(_) => Outcome::without_answer(Ending::NoRoute),
             };
         };
-        // It takes as long as the client does; a backend that reads nothing of it is given up.
+        // A relayed request takes as long as its client. The attempt is given up only if the backend stops
+        // reading.
         let mut outcome = tokio::select! {
             outcome = exchange => outcome,
             () = stalled(progress, upload) => Outcome::without_answer(progress.ending_when_broken()),
         };
         if upload.fault().is_some() && outcome.ending == Ending::NoRoute {
-            // The client broke off, not the backend.
+            // The client aborted its body; the backend is not at fault.
             outcome.ending = Ending::Stale;
         }
         outcome
@@ -105,7 +106,7 @@
         };
         let has_length = request.body.length().is_some();
         let request = request.to_backend(wait, progress);
-        // Without a length beforehand, the body's end shows it.
+        // A body of unknown length sets this when its last byte may be written.
         progress.required.set(if has_length { size(&request) } else { 0 });
         let written = Instant::now();
         progress.unanswered_since.set(Some(written));
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Reads the body of an answer other than 200 to its end, for the connection's sake. None if it breaks off.
+    /// Reads the body of an answer other than 200 to its end, so that the connection can be reused. Returns
+    /// None if the answer breaks off.
     async fn read_unserved(
         &self,
         mut connection: Pooled<Link>,
@@ -135,7 +137,7 @@
     ) -> Option<Option<ServedBody>> {
         let body = Limited::new(body, SMALL_BODY_BYTES).collect();
         match connection.link.drive(body).await {
-            // Its status says it all; the connection goes.
+            // The status alone is enough. The connection is closed, because the body was not read to its end.
             Some(Err(e)) if e.is::<LengthLimitError>() => Some(None),
             Some(Ok(_)) => {
                 self.pool.give_back(connection);
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Buffers a small body, memory allowing; what is larger, or takes longer, is for the client to take. None if it
-    /// breaks off.
+    /// Buffers a small body if there is memory for it. A body that is larger or takes longer is streamed to
+    /// the client. Returns None if the answer breaks off.
     async fn read_served(
         &self,
         mut connection: Pooled<Link>,
@@ -192,13 +194,13 @@
                 }
             }
         }
-        // The rest comes as the client takes it.
+        // The rest is read at the client's pace.
         let download = Download::new(&self.pool, connection, body, first, grant, length, framed);
         Some(Some(ServedBody::Stream(Box::new(download))))
     }
 }
 
-/// Ends once a backend has read nothing of a relayed body for [`STALL_TIMEOUT`].
+/// Completes once a backend has read nothing of a relayed body for [`STALL_TIMEOUT`].
 async fn stalled(progress: &Progress, upload: &Upload) {
     let (mut every, mut before, mut since) = (interval(STALL_TIMEOUT / 10), 0, Instant::now());
     while since.elapsed() < STALL_TIMEOUT {
@@ -210,7 +212,7 @@
     }
 }
 
-/// The parts of a small body in one piece.
+/// Joins the parts of a small body.
 fn join(mut parts: VecDeque<Bytes>) -> Bytes {
     match parts.len() {
         0 | 1 => parts.pop_front().unwrap_or_default(),
--- a/crates/gateway/src/backends/download.rs
+++ b/crates/gateway/src/backends/download.rs
@@ -1,4 +1,4 @@
-//! An answer that goes on to its client as it comes.
+//! An answer that is streamed to its client.
 
 use crate::bodies::{Grant, SMALL_BODY_BYTES};
 use crate::link::{Dialer, Link};
@@ -16,11 +16,12 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-/// A backend that has begun an answer and gives nothing for so long has broken off; so has one that reads nothing of a
-/// request's body.
+/// A backend that sends nothing for this long in the middle of an answer counts as broken; so does one that
+/// reads nothing of a request's body for this long.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An answer has ended. With no stated end, the connection's is the answer's.
+/// Returns the connection of a complete answer to the pool. Without framing the answer ends with the
+/// connection, which is then closed.
 pub fn release(pool: &Pool<Dialer>, connection: Pooled<Link>, framed: bool) {
     if framed {
         pool.give_back(connection);
@@ -29,26 +30,27 @@
     }
 }
 
-/// An answer on its way from a backend to a client, at the client's pace. Dropping it ends the attempt.
+/// An answer that is streamed from a backend to a client at the client's pace. Dropping it ends the attempt.
 pub struct Download {
     connection: Option<Pooled<Link>>,
     body: Incoming,
-    /// What came before it was known to be one.
+    /// Data that was received before the answer was found to need streaming.
     first: VecDeque<Bytes>,
     grant: Option<Grant>,
     length: Option<u64>,
     framed: bool,
     stall: Pin<Box<Sleep>>,
     waiting: bool,
-    /// How much of it has gone on.
+    /// The number of bytes that have been passed on to the client.
     bytes_passed_on: usize,
-    /// When its client's time is over.
+    /// When the client's time is over.
     limit: Option<Pin<Box<Sleep>>>,
     pool: Rc<Pool<Dialer>>,
 }
 
 impl Download {
-    /// `first` is what came of it before it was known to be one, and `grant` the memory which that counts against.
+    /// Creates the stream of an answer. `first` holds the data that was received before streaming began, and
+    /// `grant` is the memory that it counts against.
     pub fn new(
         pool: &Rc<Pool<Dialer>>,
         connection: Pooled<Link>,
@@ -73,19 +75,19 @@
         }
     }
 
-    /// Whether all of it has been taken.
+    /// Returns whether the whole answer has been passed on.
     pub fn done(&self) -> bool {
         self.connection.is_none() && self.first.is_empty()
     }
 
-    /// Its client waits so long. A large answer is timed by its first bytes, and what its server still gives goes on
-    /// past this time; a small one has to be complete.
+    /// Sets the client's deadline. A small answer must be complete by then. A large one must only have begun:
+    /// the rest may arrive later.
     pub fn set_deadline(&mut self, limit: Instant) {
         self.limit =
             self.length.is_none_or(|l| l <= SMALL_BODY_BYTES as u64).then(|| Box::pin(sleep_until(limit)));
     }
 
-    /// Whether a small answer has not come to its end in its client's time.
+    /// Returns whether a small answer is incomplete at the client's deadline.
     fn overdue(&mut self, cx: &mut Context<'_>) -> bool {
         if self.bytes_passed_on > SMALL_BODY_BYTES {
             self.limit = None;
@@ -123,7 +125,7 @@
             Poll::Ready(Some(Ok(frame))) => {
                 me.waiting = false;
                 me.bytes_passed_on += frame.data_ref().map_or(0, Bytes::len);
-                // Nobody may ask on after the last byte of a declared length.
+                // After the last byte of a declared length the body may not be polled again.
                 if me.body.is_end_stream() {
                     me.finish();
                 }
@@ -145,7 +147,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        // Asked for before the first part is taken; from then on the framing stands.
+        // Called before the first part is taken; after that the framing is fixed.
         self.length.map_or(SizeHint::default(), SizeHint::with_exact)
     }
 }
--- a/crates/gateway/src/backends/outcome.rs
+++ b/crates/gateway/src/backends/outcome.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended and what came back.
+//! The outcome of an attempt.
 
 use crate::backends::download::Download;
 use crate::pool::connection::Unavailable;
@@ -8,25 +8,25 @@
 use hyper::http::response::Parts;
 use serde::Deserialize;
 
-/// How an attempt ended and what came back.
+/// The outcome of an attempt: how it ended, and the backend's answer.
 pub struct Outcome {
     pub ending: Ending,
-    /// The complete answer of a backend that served the request.
+    /// The answer of a backend that served the request.
     pub served: Option<Served>,
     pub actual_units: f64,
     pub metered_share: Option<f64>,
     pub load: Option<Load>,
-    /// How it came by its connection.
+    /// How the attempt got its connection.
     pub via: Via,
 }
 
-/// The body of an answer: buffered, or relayed as it comes.
+/// The body of an answer: buffered, or streamed.
 pub enum ServedBody {
     Buffered(Bytes),
     Stream(Box<Download>),
 }
 
-/// What a client gets of a backend that served its request.
+/// The answer of a backend that served its request, for the client.
 pub struct Served {
     pub body: ServedBody,
     pub content_type: Option<HeaderValue>,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Nothing was written. What this gateway's own limits or list did says nothing of the server.
+    /// The outcome of an attempt without a connection: nothing was written. A cause within this gateway, such
+    /// as its limits or the list, says nothing about the server.
     pub fn unconnected(why: Unavailable) -> Self {
         match why {
             Unavailable::Refused => Outcome { via: Via::Refused, ..Outcome::without_answer(Ending::NoRoute) },
@@ -57,7 +58,8 @@
     }
 }
 
-/// What an answer says by its head; `body` is there if the request was served.
+/// Derives the outcome from the head of an answer; `body` is present if the status was 200 and its body could
+/// be read or streamed.
 pub fn outcome(head: &Parts, body: Option<ServedBody>) -> Outcome {
     let headers = &head.headers;
     let status = head.status.as_u16();
--- a/crates/gateway/src/backends/outgoing.rs
+++ b/crates/gateway/src/backends/outgoing.rs
@@ -1,4 +1,4 @@
-//! A client's request as it goes on to backends.
+//! Requests to backends.
 
 use crate::bodies::{Payload, RequestBody};
 use crate::link::Progress;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client's request as it goes on to backends.
+/// A client's request in the form that is sent to backends.
 pub struct Outgoing {
     pub method: Method,
     pub uri: Uri,
@@ -17,13 +17,13 @@
     pub content_type: Option<HeaderValue>,
     pub host: HeaderValue,
     pub body: RequestBody,
-    /// How long the client waits, once its body is complete.
+    /// How long the client waits once its body is complete.
     pub wait: Duration,
 }
 
 impl Outgoing {
-    /// The request for one attempt, whose client waits for so long. Where the body has no length beforehand, `progress`
-    /// hears when its last byte may be out.
+    /// Builds the request for one attempt, whose client waits for `wait`. If the body has no known length,
+    /// `progress` is updated when its last byte may be written.
     pub fn to_backend(&self, wait: Duration, progress: &Rc<Progress>) -> Request<Payload> {
         let (open, progress) = (self.body.length().is_none(), progress.clone());
         let payload = Payload::new(self.body.clone(), move || {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The bytes of a request on the wire: all that we ask for, with nothing of what hyper may add.
+/// Returns the size of a request on the wire in bytes, without anything that hyper may add.
 pub fn size(request: &Request<Payload>) -> usize {
     let line = request.method().as_str().len() + request.uri().path().len() + " HTTP/1.1\r\n".len() + 1;
     let query = request.uri().query().map_or(0, |q| q.len() + 1);
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests on their way in: buffered within a budget, or relayed as they come.
+//! Request bodies from clients: buffered within a memory budget, or relayed to the backend as they arrive.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -14,20 +14,20 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Up to this size bodies of both sides are buffered, memory allowing.
+/// Bodies of requests and answers up to this size are buffered, if there is memory.
 pub const SMALL_BODY_BYTES: usize = 64 << 10;
-/// The largest body of a request.
+/// The maximum size of a request's body.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// The most that is buffered of one request.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
-/// A client sends 64 kB a second at least; with pauses, half of that over all.
+/// The minimum average pace of a client. A client sends at least 64 kB/s; half of that allows for pauses.
 const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
-/// What a client may take beside.
+/// The time that a client may take in addition to what its pace allows.
 pub const BODY_TIMEOUT: Duration = Duration::from_millis(2600);
-/// What a rest that nobody wants may take.
+/// How long the rest of an unwanted body is read.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Memory for buffered bodies of all requests together.
+/// The memory for the buffered bodies of all requests together.
 #[derive(Clone)]
 pub struct Budget {
     available: Arc<AtomicUsize>,
@@ -38,24 +38,27 @@
         Budget { available: Arc::new(AtomicUsize::new(bytes)) }
     }
 
+    /// Takes memory from the budget; None if there is not enough.
     pub fn grant(&self, bytes: usize) -> Option<Grant> {
         let mut grant = Grant { available: self.available.clone(), bytes: 0 };
         grant.grow(bytes).then_some(grant)
     }
 
-    /// What one request may hold: a part of what is left, so that the last ones get something too.
+    /// Returns how much one request may buffer: a quarter of the available memory, so that later requests get
+    /// some too.
     fn share(&self) -> usize {
         (self.available.load(Ordering::Relaxed) / 4).clamp(SMALL_BODY_BYTES, MAX_BUFFERED_BYTES)
     }
 }
 
-/// A part of the budget. Dropping it gives it back.
+/// A part of the budget. Dropping it returns the memory.
 pub struct Grant {
     available: Arc<AtomicUsize>,
     bytes: usize,
 }
 
 impl Grant {
+    /// Enlarges the grant; returns false if there is not enough memory.
     fn grow(&mut self, bytes: usize) -> bool {
         let less = |left: usize| left.checked_sub(bytes);
         let granted = self.available.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok();
@@ -65,7 +68,7 @@
         granted
     }
 
-    /// These bytes, which count against the budget for as long as anyone holds them.
+    /// Returns the bytes, which count against the budget until the last reference to them is dropped.
     pub fn attach(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(BudgetedBytes { bytes, _grant: self })
     }
@@ -77,6 +80,7 @@
     }
 }
 
+/// Bytes together with the grant that they count against.
 struct BudgetedBytes {
     bytes: Bytes,
     _grant: Grant,
@@ -88,7 +92,7 @@
     }
 }
 
-/// Why a client's body cannot be had.
+/// Why a client's body cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     TooLarge,
@@ -100,19 +104,21 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Fault::TooLarge => "the client's body is too large",
-            Fault::TooSlow => "the client's body comes too slowly",
-            Fault::Broken => "the client's body breaks off",
+            Fault::TooSlow => "the client's body arrives too slowly",
+            Fault::Broken => "the client's body ended early",
         })
     }
 }
 
 impl std::error::Error for Fault {}
 
-/// A client's body under its time. Only waiting for the client counts, not what is left unread here.
+/// A client's body with a timeout. Only time spent waiting for the client counts, not time in which the
+/// gateway does not read.
 struct Paced<B> {
     body: B,
     received: u64,
-    /// Waited for it so far; None once it is relayed, when only each silence counts.
+    /// Time spent waiting for the client so far; None once the body is relayed, when only each single wait is
+    /// limited.
     waited: Option<Duration>,
     waiting_since: Option<Instant>,
     limit: Pin<Box<Sleep>>,
@@ -165,15 +171,15 @@
     }
 }
 
-/// The body of a request on its way to a backend.
+/// The body of a request to a backend.
 #[derive(Clone)]
 pub enum RequestBody {
     Buffered(Bytes),
     Relay(Rc<Upload>),
 }
 
-/// Reads a body: all of it if there is memory for that, else its beginning, and the rest is relayed.
-/// `waited`: how long the client has been waited for already.
+/// Reads a body: completely if there is memory for it; otherwise its beginning, and the rest is relayed.
+/// `waited` is how long the gateway has already waited for the client.
 pub async fn take(body: Incoming, budget: &Budget, waited: Duration) -> Result<RequestBody, Fault> {
     let length = body.size_hint().exact();
     if length.is_some_and(|l| l > MAX_BODY_BYTES) {
@@ -222,7 +228,7 @@
     })))
 }
 
-/// Reads on what nobody wants any more, so that the client gets to read its answer.
+/// Reads and discards the rest of an unwanted body, so that the client gets to read its answer.
 pub async fn discard(mut body: Incoming) {
     let limit = Instant::now() + DISCARD_TIMEOUT;
     let mut length = 0;
@@ -234,9 +240,9 @@
     }
 }
 
-/// A body that is relayed as it comes, once only.
+/// A body that is relayed as it arrives; it can be sent only once.
 pub struct Upload {
-    /// Its beginning, until the rest is consumed.
+    /// The buffered beginning, until the rest is read.
     buffered: RefCell<Bytes>,
     rest: RefCell<Paced<Incoming>>,
     length: Option<u64>,
@@ -247,12 +253,12 @@
 }
 
 impl Upload {
-    /// Whether a part of it is gone, so that it can't be sent again.
+    /// Returns whether a part of the body has been discarded, so that it cannot be sent again.
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
 
-    /// When its last byte was passed on.
+    /// Returns when the last byte was passed on.
     pub fn ended(&self) -> Option<Instant> {
         self.ended.get()
     }
@@ -261,19 +267,19 @@
         self.fault.get()
     }
 
-    /// Waits for its end.
+    /// Waits until the last byte has been passed on.
     pub async fn completed(&self) {
         if self.ended.get().is_none() {
             self.complete.notified().await;
         }
     }
 
-    /// Whether the client is what is waited for.
+    /// Returns whether the body currently waits for the client.
     pub fn waits_for_client(&self) -> bool {
         self.rest.borrow().waiting_since.is_some()
     }
 
-    /// Reads on what is left of it for a while.
+    /// Reads and discards the rest of the body for a limited time.
     pub async fn discard(self: Rc<Self>) {
         let limit = Instant::now() + DISCARD_TIMEOUT;
         let next = || std::future::poll_fn(|cx| self.rest.borrow_mut().poll(cx));
@@ -304,7 +310,7 @@
     }
 }
 
-/// One attempt's view of a request's body. `on_last_byte` is called when the last of it is handed over.
+/// The body of one attempt. `on_last_byte` is called when the last of it is handed over.
 pub struct Payload {
     content: RequestBody,
     begun: bool,
@@ -364,7 +370,7 @@
 }
 
 impl RequestBody {
-    /// Its length, where it is known beforehand.
+    /// Returns the length, if it is known beforehand.
     pub fn length(&self) -> Option<u64> {
         match self {
             RequestBody::Buffered(bytes) => Some(bytes.len() as u64),
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,5 +1,5 @@
-//! A client's connection, and its socket as the HTTP layer reads and writes it. The server keeps the socket in
-//! sight beside it: whether a request has begun to come in decides whether an idle connection may close.
+//! A client's connection, and its socket as the HTTP layer reads and writes it. The server inspects the
+//! socket as well: an idle connection may only be closed if no request has begun to arrive.
 
 use socket2::SockRef;
 use std::cell::Cell;
@@ -15,35 +15,35 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client that takes nothing of its answer for so long is let go.
+/// A client that accepts nothing of its answer for this long is disconnected.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How often a client is checked of which bytes lie behind its request.
+/// How often a client is checked for disconnection while unread bytes follow its request.
 const PEEK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a close lingers for the peer's own close, where bytes lie in the socket that nobody reads.
+/// How long a close waits for the peer's close if the socket holds bytes that will not be read.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 const LINGER_READ_BYTES: usize = 4096;
 
 /// A client's connection.
 pub struct Client {
     pub stream: TcpStream,
-    /// Whether bytes have come since its last request: a next one, of which the head is incomplete.
+    /// Whether bytes have arrived since the last request: the incomplete head of the next one.
     pub request_begun: Cell<bool>,
-    /// Since when it has taken nothing of what is to be written to it.
+    /// When the socket stopped accepting output; None while it does.
     pub write_blocked_since: Cell<Option<Instant>>,
-    /// Its next answer is to be the last.
+    /// The next answer is the last one on this connection.
     pub close_after_answer: Cell<bool>,
-    /// An answer has said that it is the last: what still comes is no request.
+    /// An answer has announced that it is the last: whatever arrives after it is not a request.
     pub last_answered: Cell<bool>,
-    /// Its close lingers, so that the end of its last answer reaches it.
+    /// The close is lingering, so that the end of the last answer reaches the client.
     pub lingering: Cell<bool>,
-    /// Ends a lingering close at once: its slot is wanted for a new connection.
+    /// Ends a lingering close immediately, because its slot is needed for a new connection.
     pub stop_lingering: Notify,
     pub connected: Instant,
-    /// Whether a request of it has been read and answered, be it with an error.
+    /// Whether a request on this connection has been answered, even if with an error.
     pub answered_before: Cell<bool>,
-    /// Since when it has had no request in hand.
+    /// When the connection became idle; None while a request is in progress.
     pub idle_since: Cell<Option<Instant>>,
     pub close: Notify,
 }
@@ -69,24 +69,26 @@
         }
     }
 
-    /// Whether it has a request in hand, or an answer that has not left this program.
+    /// Returns whether a request is in progress, or an answer has not been written completely.
     pub fn is_owed_answer(&self) -> bool {
         self.idle_since.get().is_none() || self.write_blocked_since.get().is_some() || self.lingering.get()
     }
 
-    /// Whether it has left its answer unread for too long.
+    /// Returns whether the client has not read its answer for too long.
     pub fn is_write_stalled(&self, now: Instant) -> bool {
         self.write_blocked_since.get().is_some_and(|at| now.saturating_duration_since(at) >= UNREAD_TIMEOUT)
     }
 
-    /// Whether bytes wait in the socket, also those that the event loop has not been notified of yet.
+    /// Returns whether the socket holds unread bytes, including those that the event loop has not been
+    /// notified of yet.
     pub fn has_unread_input(&self) -> bool {
         let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_ok_and(|n| n > 0)
     }
 
-    /// Reads and drops what still comes until the peer closes too, `stop_lingering` is notified or `LINGER_TIMEOUT` is over. A
-    /// close over unread bytes would be a reset, which throws away what the send buffer holds of the last answer.
+    /// Reads and discards input until the peer closes, `stop_lingering` is notified or `LINGER_TIMEOUT` is
+    /// over. Closing a socket with unread bytes sends a reset, which discards the part of the last answer
+    /// that is still in the send buffer.
     pub async fn linger(&self) {
         self.lingering.set(true);
         tokio::select! {
@@ -95,6 +97,7 @@
         }
     }
 
+    /// Reads and discards input until the peer closes or the connection fails.
     async fn discard_until_closed(&self) {
         let mut discarded = [0; LINGER_READ_BYTES];
         while self.stream.readable().await.is_ok() {
@@ -106,14 +109,16 @@
         }
     }
 
-    /// Waits until it has closed its connection. The HTTP layer sees that only where no bytes lie behind the request.
+    /// Waits until the client has closed its connection. The HTTP layer notices that only if no bytes follow
+    /// the request.
     pub async fn disconnected(&self) {
         loop {
             let Ok(ready) = self.stream.ready(Interest::READABLE).await else { return };
             if ready.is_read_closed() {
                 return;
             }
-            // Taken as read only where nothing is there, so that the next event wakes again.
+            // `try_io` clears the readiness only if there is nothing to read, so that the next event wakes
+            // this task again.
             let peek = || SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
             match self.stream.try_io(Interest::READABLE, peek) {
                 Ok(1..) => sleep(PEEK_INTERVAL).await,
@@ -124,6 +129,7 @@
     }
 }
 
+/// The client's socket for the HTTP layer; records input and blocked output in [`Client`].
 pub struct ClientSocket(pub Rc<Client>);
 
 impl AsyncRead for ClientSocket {
@@ -147,6 +153,7 @@
 }
 
 impl ClientSocket {
+    /// Runs `write` when the socket is writable, and records since when writing is blocked.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a gateway: the platform's JSON file that `LB_CONFIG` names, or a TOML file of the same keys
-//! that staff write. The keys of the latter that are left out have the values of `defaults.toml`.
+//! The configuration of a gateway: the platform's JSON file that `LB_CONFIG` names, or a TOML file with the
+//! same keys, written by operators. Keys that a TOML file leaves out have the values of `defaults.toml`.
 
 use gateway_decisions::settings::{self, Wire};
 use gateway_decisions::Settings;
@@ -13,11 +13,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Descriptors that are neither clients nor backends: standard streams, the event loop, signals, the
-/// listeners, discovery, operators' calls, and a few in passing between accept and close.
+/// Descriptors for neither clients nor backends: standard streams, the event loop, signals, the listeners,
+/// discovery, operators' calls, and a few that are open briefly between accept and close.
 const RESERVED_DESCRIPTORS: usize = 40;
 
-/// The most operators' calls open at once. One more ends the oldest, whose request is incomplete.
+/// The maximum number of open operators' calls. One more ends the oldest, whose request is incomplete.
 pub const MAX_OPERATOR_CALLS: usize = 16;
 
 const MAX_FALLBACKS: usize = 15;
@@ -25,35 +25,35 @@
 /// A configuration that has been checked, with defaults filled in.
 #[derive(Clone)]
 pub struct Config {
-    /// The name of the gateway, the same after a restart.
+    /// The name of the gateway, which stays the same after a restart.
     pub name: String,
     /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the list is read; others are called when the first does not answer.
+    /// The addresses of the list service; the others are called when the first does not answer.
     pub discovery: Vec<SocketAddr>,
-    /// Where operators call; without an address there is no such listener.
+    /// The address that operators call; without one there is no such listener.
     pub ops: Option<SocketAddr>,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// The list that an earlier run of this gateway last had.
+    /// The last list of an earlier run of this gateway.
     pub cached_list: Option<List>,
-    /// The settings of the decision module.
+    /// The settings of the decision engine.
     pub settings: Settings,
     /// Zone names; a zone's number is its index.
     pub zones: Vec<String>,
     /// Memory for buffered bodies of all requests together, in bytes.
     pub body_memory: usize,
-    /// How long a connection to a roll server may take to open.
+    /// The timeout for opening a connection to a roll server.
     pub connect_timeout: Duration,
-    /// How long a connection to a roll server may idle at most.
+    /// The maximum idle time of a connection to a roll server.
     pub idle_timeout: Duration,
-    /// The most connections of clients at once.
+    /// The maximum number of client connections.
     pub client_sockets: usize,
-    /// The most connections to roll servers at once.
+    /// The maximum number of connections to roll servers.
     pub backend_sockets: usize,
     /// The options of the log.
     pub log: log::Options,
-    /// The document that it was read from, to find what a later one changes.
+    /// The document that the configuration was read from, to find what a later one changes.
     pub document: Value,
 }
 
@@ -121,7 +121,7 @@
     64
 }
 
-/// What a TOML file leaves out.
+/// The default values for keys that a TOML file leaves out.
 pub const DEFAULTS: &str = include_str!("defaults.toml");
 
 /// The JSON schema of the configuration.
@@ -129,10 +129,10 @@
     config::schema::<File>().to_value()
 }
 
-/// Reads and checks a configuration. `environment` goes before the file for the keys that it names.
+/// Reads and checks a configuration. `environment` overrides the file for the keys that it provides.
 ///
 /// # Errors
-/// The file cannot be read, or values are wrong: all that are, not the first alone.
+/// The file cannot be read, or values are invalid: all of them are reported, not only the first.
 pub fn load(path: &Path, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Wrong> {
     let text = config::read(path)?;
     read(&text, Form::of(path), environment).map_err(|wrong| wrong.of(path))
@@ -146,8 +146,8 @@
         }
         Form::Json => {
             let value = form.parse(text)?;
-            // The platform's keys may be more than are known here, and their ranges are the platform's. This
-            // program's own options are checked for unknown keys too.
+            // The platform's file may have keys that are unknown here, and the platform defines their ranges.
+            // This program's own options are also checked for unknown keys.
             let file = File::deserialize(&value).map_err(|e| {
                 let schema = config::schema::<File>();
                 config::check(&schema, &value, UnknownKeys::Ignored)
@@ -214,7 +214,7 @@
         cached_list: file.known,
         settings,
         zones,
-        // Twice over a start beside the old process, and with what sockets and heap need, within the limit.
+        // Room for two processes during a restart, with what sockets and heap need, within the limit.
         body_memory: (file.limits.memory_mb << 20) / 5,
         connect_timeout,
         idle_timeout,
@@ -225,7 +225,7 @@
     })
 }
 
-/// The addresses of a configuration, those that are well formed.
+/// The well-formed addresses of a configuration.
 struct Addresses {
     listen: Option<SocketAddr>,
     ops: Option<SocketAddr>,
@@ -233,7 +233,7 @@
 }
 
 impl Addresses {
-    /// Reads the file's addresses; a variable of the environment replaces the key of the file that it stands for.
+    /// Reads the file's addresses; an environment variable replaces the corresponding key of the file.
     fn read(file: &File, environment: impl Fn(&str) -> Option<String>, faults: &mut Vec<String>) -> Self {
         let mut address = |variable: &str, key: &str, in_file: &str| {
             let (text, key) = match environment(variable) {
@@ -252,7 +252,7 @@
             if has_ops { address("LB_OPS", "ops", file.ops.as_deref().unwrap_or_default()) } else { None };
         let mut discovery = vec![address("LB_DISCOVERY", "discovery", &file.discovery)];
         for (n, in_file) in file.discovery_fallbacks.iter().enumerate() {
-            // No variable has this name.
+            // No environment variable has an empty name.
             discovery.push(address("", &format!("discovery_fallbacks[{n}]"), in_file));
         }
         let count = file.discovery_fallbacks.len();
@@ -264,7 +264,7 @@
     }
 }
 
-/// The configured seed, or one that differs from start to start.
+/// Returns the configured seed, or a random one.
 fn random_seed(configured: Option<&str>, faults: &mut Vec<String>) -> u64 {
     match configured {
         Some(text) => u64::from_str_radix(text, 16).unwrap_or_else(|_| {
@@ -275,7 +275,7 @@
     }
 }
 
-/// A time of `settings.limits` that has no default.
+/// Reads a time of `settings.limits` that has no default.
 fn required_time(key: &str, nanoseconds: Option<u64>, faults: &mut Vec<String>) -> Duration {
     if nanoseconds.is_none() {
         faults.push(format!("settings.limits.{key} is missing: a time in nanoseconds is wanted"));
@@ -283,22 +283,23 @@
     Duration::from_nanos(nanoseconds.unwrap_or_default())
 }
 
-/// The backends' part of the descriptors that are not reserved. A pending request needs a client's connection for as
-/// long as it waits and a backend's only while an attempt is in flight, and clients keep idle ones.
+/// Returns the number of unreserved descriptors for backends. A pending request needs a client connection for
+/// its whole duration and a backend connection only while an attempt is in flight, and clients keep idle
+/// connections.
 fn backend_sockets(unreserved: usize) -> usize {
     unreserved * 2 / 5
 }
 
-/// How long a connection to a roll server may idle. A roll server counts idle time from when it wrote its answer and
-/// closes at the settings' time at the latest: half of it keeps clear of requests written to a connection that is
-/// being closed.
+/// Returns the idle timeout of connections to roll servers. A roll server measures idle time from when it
+/// wrote its answer and closes after the settings' time at the latest: half of that time avoids writing a
+/// request to a connection that is being closed.
 fn idle_timeout(keepalive: Duration, pool: &Pool) -> Duration {
     let half = keepalive / 2;
     pool.idle_ms.map_or(half, |ms| half.min(Duration::from_millis(ms)))
 }
 
-/// What a configuration read again changes, by key: what is applied at once, and what is from a restart on. The list
-/// as a gateway last had it and its random seed are of the start alone.
+/// Returns the keys that a reloaded configuration changes: those that are applied immediately, and those that
+/// need a restart. The cached list and the random seed count only at the start.
 pub fn changes(before: &Config, after: &Config) -> (Vec<String>, Vec<String>) {
     let keys = config::differences(&before.document, &after.document);
     let of = |key: &str, part: &str| {
@@ -309,5 +310,5 @@
     keys.into_iter().filter(counted).partition(applied)
 }
 
-/// The keys that are applied as soon as they are read.
+/// The keys that are applied on a reload.
 const APPLIED_AT_ONCE: [&str; 4] = ["discovery", "discovery_fallbacks", "log.level", "log.modules"];
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The watch on the list of backends: which address is called when, and what an answer or a failure changes.
+//! The watch on the list of backends: which address is called and when, and what an answer or a failure
+//! changes.
 
 use crate::driver::Driver;
 use gateway_decisions::Scope;
@@ -11,13 +12,13 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// How long a fallback is used before the primary is tried again, at first and at most.
+/// The initial and the maximum time for which a fallback is used before the primary is tried again.
 const MIN_PRIMARY_RETRY: Duration = Duration::from_secs(30);
 const MAX_PRIMARY_RETRY: Duration = Duration::from_secs(600);
 
-/// Which of several addresses is called. All serve one history of the list. The primary, which is the first, is called
-/// while it answers; after a failure the next address takes its turn, and the primary is tried again at intervals that
-/// double.
+/// Selects which of several addresses is called. All serve the same history of the list. The primary is the
+/// first address and is called while it answers. After a failure the next address is used, and the primary is
+/// retried at intervals that double.
 struct Sources {
     addresses: Vec<SocketAddr>,
     current: usize,
@@ -30,7 +31,7 @@
         Sources { addresses, current: 0, primary_retry: MIN_PRIMARY_RETRY, primary_due: Instant::now() }
     }
 
-    /// Whether the primary is to be tried in place of the fallback that answers now.
+    /// Returns whether the primary is to be retried in place of the fallback that is in use.
     fn is_primary_due(&self) -> bool {
         self.current != 0 && Instant::now() >= self.primary_due
     }
@@ -45,7 +46,8 @@
         }
     }
 
-    /// `jitter` is from 0 to 1: gateways that failed over together do not return together.
+    /// Handles a failed call. `jitter` is from 0 to 1: gateways that failed over at the same time do not
+    /// return at the same time.
     fn failed(&mut self, retried_primary: bool, jitter: f64) {
         if retried_primary {
             self.primary_retry = (self.primary_retry * 2).min(MAX_PRIMARY_RETRY);
@@ -59,9 +61,10 @@
     }
 }
 
-/// Asks for the full list once, unless the one of version `version` is in use, then for what changed since. Whatever
-/// fails, the old list stays in use and the next call comes on a new connection, to the next address if there are
-/// several. Reconfigured addresses are called at once, for the full list. `newest` is the version that the start had.
+/// Runs the watch: requests the full list once, unless the list of version `version` is in use, and then the
+/// changes since. If a call fails, the current list stays in use, and the next call uses a new connection,
+/// and the next address if there are several. Reconfigured addresses are called immediately, for the full
+/// list. `newest` is the version that was in use at the start.
 pub async fn watch(
     mut addresses: watch::Receiver<Vec<SocketAddr>>,
     driver: Rc<Driver>,
@@ -87,7 +90,7 @@
 /// One call for the list.
 struct Call {
     address: SocketAddr,
-    /// Whether it only finds out if the primary answers again.
+    /// Whether the call only checks that the primary answers again.
     retries_primary: bool,
     /// How long the list service may wait for an update before it answers.
     wait: Duration,
@@ -103,11 +106,11 @@
     begun: Instant,
     schedule: CallSchedule,
     rng: fastrand::Rng,
-    /// The version that the next call asks for changes since; None asks for the full list.
+    /// The version whose later changes the next call requests; None requests the full list.
     version: Option<u64>,
-    /// The latest version that is in use, also while the full list is asked for.
+    /// The latest version in use, kept while the full list is requested.
     newest: u64,
-    /// Before the next call.
+    /// The pause before the next call.
     pause: Duration,
 }
 
@@ -146,7 +149,7 @@
         Call { address: self.sources.addresses[index], retries_primary, wait, started: Instant::now() }
     }
 
-    /// Pauses and calls.
+    /// Pauses and then makes the call.
     async fn call(&mut self, call: &mut Call) -> Result<ListAnswer, WatchError> {
         if !self.pause.is_zero() {
             sleep(self.pause).await;
@@ -155,7 +158,7 @@
         self.client.call(call.address, self.version, call.wait).await
     }
 
-    /// Starts afresh with other addresses.
+    /// Starts again with other addresses.
     fn reconfigure(&mut self, addresses: Vec<SocketAddr>) {
         (self.version, self.newest, self.pause) = (None, 0, Duration::ZERO);
         self.client.disconnect();
@@ -166,7 +169,7 @@
     fn handle_answer(&mut self, call: &Call, answer: Result<ListAnswer, WatchError>) {
         self.pause = Duration::ZERO;
         match answer.and_then(|ListAnswer { list, .. }| self.reject_older(list)) {
-            // Changes apply only to the list that they follow, and only forwards.
+            // Changes apply only to the list that they follow, and only to a later version.
             Ok(list) if list.all || self.version.is_some_and(|version| list.rev >= version) => {
                 self.update(call, list);
             }
@@ -175,7 +178,8 @@
         }
     }
 
-    /// Fails for a list of a follower that lags: what is newer stays in use, whichever address answers.
+    /// Returns an error for the list of a follower that lags behind: a newer list stays in use, whichever
+    /// address answers.
     fn reject_older(&self, list: List) -> Result<List, WatchError> {
         let newest = self.newest;
         match list.rev < newest && self.sources.has_fallbacks() {
@@ -187,13 +191,13 @@
         }
     }
 
-    /// Hands an update of the list to the driver.
+    /// Passes an update of the list to the driver.
     fn update(&mut self, call: &Call, list: List) {
         self.sources.answered(call.retries_primary);
         // Only an answer that does not wait for an update shows how long the service's queue is.
         let took = if call.wait.is_zero() { call.started.elapsed() } else { Duration::ZERO };
         self.pause = self.schedule.after_answer(took, Reader::with_version(self.version), self.rng.f64());
-        // An agent that answers at once with nothing new must not keep the loop busy.
+        // An agent that answers immediately without anything new must not keep the loop busy.
         if self.version.replace(list.rev) == Some(list.rev) {
             self.pause = EMPTY_ANSWER_PAUSE;
         }
@@ -205,12 +209,12 @@
     fn handle_failure(&mut self, call: &Call, error: WatchError) {
         let has_fallbacks = self.sources.has_fallbacks();
         self.sources.failed(call.retries_primary, self.rng.f64());
-        // A rejected reader keeps its connection.
+        // A reader that the service rejected keeps its connection.
         if has_fallbacks || !matches!(error.failure, CallFailure::Rejected(_)) {
             self.client.disconnect();
         }
         if call.retries_primary {
-            // The fallback that answered is still there.
+            // The fallback that answered is still in use.
             return;
         }
         let WatchError { what, failure } = error;
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,9 +1,10 @@
-//! Drives the decision module: what happened becomes events, its actions are carried out. No policy.
+//! Drives the decision engine: turns what happens into events and carries out the engine's actions. The
+//! driver contains no policy.
 //!
-//! Whatever the module says or leaves unsaid, a request gets one final answer by its deadline, and two of
-//! its attempts are never out at once.
+//! Whatever the engine decides or leaves undecided, a request gets exactly one final answer by its deadline,
+//! and two of its attempts are never in flight at the same time.
 //!
-//! [`Driver`] is put together here; what it does is in one file for each concern below `driver/`.
+//! [`Driver`] is defined here; its behaviour is split by concern into the files in `driver/`.
 
 mod attempts;
 mod clock;
@@ -34,36 +35,37 @@
 use tokio::time::Instant;
 
 quick_error! {
-    /// Why there is no driver.
+    /// Why the driver could not be created.
     #[derive(Debug)]
     pub enum DriverError {
-        /// The decision module rejects the settings.
+        /// The decision engine rejects the settings.
         Settings(fault: String) {
             display("settings: {fault}")
         }
     }
 }
 
-/// One gateway's requests, timers and list around its decision module.
+/// The requests, timers and server list of one gateway, around its decision engine.
 pub struct Driver {
     state: RefCell<DriverState>,
     wake: Notify,
-    /// The module has taken in what was there.
+    /// Signals that the engine has handled the pending events.
     batch_handled: Notify,
     backends: Rc<Backends>,
     clock: Clock,
-    /// Receives what this process does, while there is another of this gateway.
+    /// The channel to the other process of this gateway, while there is one.
     peer: RefCell<Option<mpsc::Sender<PeerMessage>>>,
-    /// The latest list from discovery, for a successor.
+    /// The current server list, kept for a successor process.
     list: RefCell<Roster>,
     counts: Counts,
     pub figures: Rc<Figures>,
     discovery_down: Cell<bool>,
-    /// Once the process is to end: when the last request has to be answered.
+    /// The time by which the last request must be answered; set when the process shuts down.
     shutdown_deadline: Cell<Option<Instant>>,
-    /// The `Retry-After` of requests that end with the process, in nanoseconds; 0 where answers may not have one.
+    /// The `Retry-After` of requests that are rejected at shutdown, in nanoseconds; 0 if the settings allow
+    /// no `Retry-After`.
     shutdown_retry_after_ns: Time,
-    /// When discovery last sent the list or had nothing newer.
+    /// When discovery last sent a list or confirmed that there is nothing newer.
     list_confirmed: Cell<Instant>,
     zones: Vec<String>,
     tick: Duration,
@@ -71,17 +73,17 @@
     pub classes: Vec<(String, Effect, Duration)>,
     pub plans: Vec<String>,
     pub gateways: u32,
-    /// Whether all gateways call one discovery service, so that each call is a load on it.
+    /// Whether all gateways call the same discovery service, so that each call adds load to it.
     pub is_discovery_shared: bool,
-    /// The most units of one request; 0 if the settings have no limit.
+    /// The maximum number of units of one request; 0 if the settings have no limit.
     pub max_units: f64,
 }
 
 impl Driver {
-    /// A driver without requests.
+    /// Creates a driver without requests.
     ///
     /// # Errors
-    /// The decision module rejects the settings.
+    /// The decision engine rejects the settings.
     pub fn new(config: &Config, backends: Rc<Backends>) -> Result<Rc<Self>, DriverError> {
         let (clock, s) = (Clock::new(), config.settings.clone());
         let classes = s.classes.iter();
@@ -116,7 +118,7 @@
         }))
     }
 
-    /// Whether a request could go to any server.
+    /// Returns whether at least one server accepts requests.
     pub fn can_serve(&self) -> bool {
         self.backends.pool.any_ready()
     }
--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: each is one task, and its end is reported to the decision module once.
+//! Attempts: each runs as one task, and its end is reported to the decision engine exactly once.
 
 use crate::backends::outcome::{Outcome, Served, ServedBody};
 use crate::backends::outgoing::Outgoing;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Begins an attempt, unless the request is over or has one in flight.
+    /// Starts an attempt, unless the request has ended or already has an attempt in flight.
     pub(super) fn send(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -27,7 +27,8 @@
         let Some(pending) =
             pending.filter(|l| l.client.is_some() && l.attempt.is_none() && l.attempts < self.try_limit)
         else {
-            // Over already, as when the client left in this batch: the module hears that nothing went out.
+            // The request has already ended, for instance because its client disconnected in this batch:
+            // report to the engine that nothing was sent.
             state.events.push(self.attempt_end_event(
                 id,
                 attempt,
@@ -58,7 +59,7 @@
         pending.attempt = Some(run.spawn(pending.outgoing.clone(), attempt_deadline));
     }
 
-    /// An attempt is over, however it came to that.
+    /// Handles the end of an attempt, whatever caused it.
     fn handle_attempt_end(&self, run: &mut Attempt, mut outcome: Outcome) {
         let mut state = self.state.borrow_mut();
         let (mut last, mut body_discarded, mut elapsed) = (true, false, run.sent.elapsed());
@@ -99,6 +100,7 @@
         self.wake.notify_one();
     }
 
+    /// Builds the event that reports the end of an attempt to the engine.
     fn attempt_end_event(
         &self,
         id: RequestId,
@@ -126,7 +128,7 @@
     }
 }
 
-/// An attempt in flight. Its end is reported once, also if its task is aborted or lost.
+/// An attempt in flight. Its end is reported once, even if its task is aborted or dropped.
 struct Attempt {
     driver: Rc<Driver>,
     id: RequestId,
@@ -138,7 +140,7 @@
 }
 
 impl Attempt {
-    /// Runs as a task of its own, until `attempt_deadline` at the latest.
+    /// Runs the attempt as a separate task that ends at `attempt_deadline`.
     fn spawn(self, request: Rc<Outgoing>, attempt_deadline: Instant) -> RunningAttempt {
         let progress = self.progress.clone();
         let task = spawn_local(async move {
--- a/crates/gateway/src/driver/clock.rs
+++ b/crates/gateway/src/driver/clock.rs
@@ -1,29 +1,29 @@
-//! The decision module's clock.
+//! The decision engine's clock.
 
 use gateway_decisions::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The module's clock: nanoseconds of Unix time that only run forwards, since discovery gives starts of
-/// backends in Unix time.
+/// The engine's clock: monotonic nanoseconds of Unix time. Unix time, because discovery gives the start times
+/// of backends in it.
 pub struct Clock {
     start: Instant,
     unix: Time,
 }
 
 impl Clock {
-    /// A clock that runs from now on.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix: unix.as_nanos() as Time }
     }
 
-    /// The module's time of an instant.
+    /// Converts an instant to the engine's time.
     pub fn time(&self, at: Instant) -> Time {
         self.unix + at.saturating_duration_since(self.start).as_nanos() as Time
     }
 
-    /// The instant of a time of the module's, an hour from now at most.
+    /// Converts the engine's time to an instant, at most an hour from now.
     pub fn instant(&self, time: Time) -> Instant {
         let far = Duration::from_secs(3600);
         self.start + Duration::from_nanos(time.saturating_sub(self.unix)).min(self.start.elapsed() + far)
--- a/crates/gateway/src/driver/event_loop.rs
+++ b/crates/gateway/src/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop: hands the decision module what has happened and carries its actions out.
+//! The event loop: passes events to the decision engine and carries out its actions.
 
 use crate::driver::state::{increment, DriverState, Due, LOG_TARGET};
 use crate::driver::Driver;
@@ -15,7 +15,7 @@
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Driver {
-    /// Hands the module what has happened, a tick apart at least.
+    /// Passes batches of events to the engine, at least one tick apart.
     pub async fn run(self: &Rc<Self>) -> Infallible {
         let mut actions = Vec::new();
         let mut status = Instant::now() + STATUS_INTERVAL;
@@ -29,7 +29,7 @@
                     self.counts.longest_delay.set(self.counts.longest_delay.get().max(late));
                 }
             }
-            // Only a wait that something ends costs a wake-up: after a quiet spell there is none.
+            // After a quiet period no wait is needed, which saves a wake-up.
             if earliest > Instant::now() {
                 sleep_until(earliest).await;
             }
@@ -43,7 +43,8 @@
         }
     }
 
-    /// When the next timer is due. Deadlines of requests that are over wake nobody.
+    /// Returns when the next timer is due. Deadlines of requests that have ended are discarded and cause no
+    /// wake-up.
     fn next_due(&self) -> Instant {
         let mut state = self.state.borrow_mut();
         let DriverState { timers, requests, .. } = &mut *state;
@@ -56,7 +57,7 @@
         Instant::now() + STATUS_INTERVAL
     }
 
-    /// Hands the module all that has happened until now.
+    /// Passes all events until now to the engine and carries out its actions.
     pub(super) fn batch(self: &Rc<Self>, now: Instant, actions: &mut Vec<Action>) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -78,9 +79,9 @@
         self.batch_handled.notify_waiters();
     }
 
-    /// The module has not decided: the request is answered all the same, and nothing more goes out for it.
+    /// Answers a request that the engine has not decided by its deadline; no further attempt is sent for it.
     fn overdue(&self, state: &mut DriverState, id: RequestId, now: Instant) {
-        // An id may have come again since.
+        // The id may have been reused by a later request.
         let Some(pending) = state.requests.get_mut(&id).filter(|l| l.deadline <= now && l.client.is_some())
         else {
             return;
@@ -114,7 +115,7 @@
             Action::Timer { token, at } => {
                 state.timers.push(Reverse((self.clock.instant(at), Due::Engine(token))));
             }
-            // The watch always stands.
+            // The discovery watch runs all the time.
             Action::Subscribe { .. } => {}
             Action::Connections { server: Some(server), limit } => {
                 self.backends.pool.set_server_limit(&server, limit as usize);
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The module's final answer, if it is one without service.
+    /// Applies the engine's final decision not to serve a request.
     pub(super) fn finish(&self, state: &mut DriverState, id: RequestId, refuse: bool, retry_after_ns: Time) {
         let Some(pending) = state.requests.get_mut(&id) else { return };
         pending.may_have_run |= pending.attempt.is_some();
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Logs counts for whoever is on call, if there were any requests.
+    /// Logs the counts since the last status line, if there were any requests.
     fn status(&self) {
         let c = &self.counts;
         let take = |count: &Cell<u64>| count.replace(0);
@@ -154,7 +155,7 @@
                 let ListAge { version, age_ms } = self.list_age();
                 tracing::warn!(
                     target: LOG_TARGET,
-                    "discovery: away; version {version}, last confirmed {age_ms} ms ago, stands"
+                    "discovery: unavailable; version {version}, last confirmed {age_ms} ms ago, stays in use"
                 );
             }
             tracing::info!(target: LOG_TARGET, "connections since the start: {}", self.backends.pool.figures());
--- a/crates/gateway/src/driver/list.rs
+++ b/crates/gateway/src/driver/list.rs
@@ -1,4 +1,4 @@
-//! The list of roll servers, from discovery or a cache.
+//! The list of roll servers, from discovery or the cache.
 
 use crate::driver::state::LOG_TARGET;
 use crate::driver::Driver;
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// The list that the configuration gave; it may be old.
+    /// Applies the cached list of the configuration, which may be outdated.
     pub fn use_cached_list(&self, known: List) {
         self.list(Scope::Cached, known);
     }
@@ -23,7 +23,8 @@
     }
 
     pub(super) fn list(&self, scope: Scope, list: List) {
-        // Before the module hears of it: an attempt on its way checks with the backends.
+        // The pool is updated before the engine, because an attempt that is about to be sent checks with the
+        // pool.
         self.backends.pool.update(scope, &list.targets);
         self.list.borrow_mut().apply(&list);
         let nodes = list.targets.into_iter().map(|t| self.node(t)).collect();
@@ -46,13 +47,13 @@
         }
     }
 
-    /// The version of the list in use, and how long ago it was last known to be the latest.
+    /// Returns the version of the list in use, and how long ago discovery last confirmed it as the latest.
     pub fn list_age(&self) -> ListAge {
         let age_ms = self.list_confirmed.get().elapsed().as_millis() as u64;
         ListAge { version: self.list.borrow().rev, age_ms }
     }
 
-    /// Discovery did not answer, or with something else.
+    /// Handles a discovery call that failed or returned an invalid answer.
     pub fn discovery_failed(&self, what: &str) {
         if !self.discovery_down.replace(true) {
             tracing::warn!(target: LOG_TARGET, "discovery: {what}; the old list stands");
--- a/crates/gateway/src/driver/peer.rs
+++ b/crates/gateway/src/driver/peer.rs
@@ -1,4 +1,4 @@
-//! What the driver sends to the other process of this gateway, and takes over from it.
+//! Messages to the other process of this gateway, and the handover of state between the two.
 
 use crate::driver::Driver;
 use crate::peer_message::PeerMessage;
@@ -9,12 +9,13 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Whether there is another process of this gateway.
+    /// Returns whether another process of this gateway is connected.
     pub fn has_peer(&self) -> bool {
         self.peer.borrow().is_some()
     }
 
-    /// Sends to the other process, if there is one. One that does not keep up is disconnected: its link ends.
+    /// Sends a message to the other process, if one is connected. A process that does not keep up with the
+    /// messages is disconnected.
     pub fn send_to_peer(&self, message: PeerMessage) {
         let mut peer = self.peer.borrow_mut();
         if peer.as_ref().is_some_and(|p| p.try_send(message).is_err()) {
@@ -22,9 +23,11 @@
         }
     }
 
-    /// All that a successor starts from. What happens from now on is sent to it.
+    /// Returns the state that a successor starts from: list version, servers and snapshot. Every later change
+    /// is sent to it as a message.
     pub fn hand_over(self: &Rc<Self>, messages: mpsc::Sender<PeerMessage>) -> (u64, Vec<Target>, Snapshot) {
-        // Nothing may lie between the snapshot and the messages after it.
+        // Pending events are handled first: no change may fall between the snapshot and the messages that
+        // follow.
         self.batch(Instant::now(), &mut Vec::new());
         let snapshot = self.state.borrow().engine.snapshot();
         self.set_peer(messages);
@@ -32,7 +35,7 @@
         (list.rev, list.targets.values().cloned().collect(), snapshot)
     }
 
-    /// Goes on from what a predecessor knew.
+    /// Continues with the state of a predecessor.
     pub fn take_over(
         &self,
         messages: mpsc::Sender<PeerMessage>,
@@ -51,12 +54,12 @@
         self.event(Event::PeerProcess { running: true });
     }
 
-    /// What the other process has done.
+    /// Applies usage that the other process reports.
     pub fn peer_share(&self, share: Share) {
         self.event(Event::PeerShare(share));
     }
 
-    /// The other process has ended.
+    /// Handles the end of the other process.
     pub fn peer_ended(&self) {
         *self.peer.borrow_mut() = None;
         self.event(Event::PeerProcess { running: false });
--- a/crates/gateway/src/driver/request.rs
+++ b/crates/gateway/src/driver/request.rs
@@ -1,4 +1,4 @@
-//! What the server and the driver say to each other about one request.
+//! The requests and answers that the server and the driver exchange.
 
 use crate::backends::outcome::Served;
 use crate::backends::outgoing::Outgoing;
@@ -10,7 +10,7 @@
 /// The final answer to a request.
 pub enum Answer {
     Served(Served),
-    /// Trying again is harmless, best after so long.
+    /// The request did not run: it can be retried safely, preferably after this delay.
     Refused {
         tried: bool,
         retry_after: Option<Duration>,
@@ -20,7 +20,7 @@
     },
 }
 
-/// A client's request that the server found well-formed.
+/// A well-formed request of a client.
 pub struct ClientRequest {
     pub id: RequestId,
     pub class: usize,
@@ -34,7 +34,7 @@
     pub outgoing: Outgoing,
 }
 
-/// A request's id as clients and roll servers write it.
+/// Displays a request's id the way that clients and roll servers write it.
 pub struct RequestName(pub RequestId);
 
 impl fmt::Display for RequestName {
--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival until their one final answer.
+//! Requests from their arrival to their single final answer.
 
 use crate::driver::request::{Answer, ClientRequest, RequestName};
 use crate::driver::state::{increment, Due, PendingRequest, LOG_TARGET};
@@ -13,18 +13,18 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What the final answer needs at the end of a request's time: the module's decision and the way back.
+/// Time reserved at the end of a request's deadline for the engine's decision and for sending the answer.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
-/// How long past its deadline here the module may still decide about a request.
+/// How long after the request's deadline the engine may still decide.
 const DECISION_GRACE: Duration = Duration::from_millis(5);
 
-/// A request whose body is relayed has no deadline until that is complete. What bounds it till
-/// then is the client's pace.
+/// The deadline of a request whose body is relayed, until the body is complete. Until then only the client's
+/// pace limits the time.
 const RELAY_DEADLINE: Duration = Duration::from_secs(3600);
 
 impl Driver {
-    /// Takes in a request. None if one with its id is still pending: two attempts with one id must not be in flight
-    /// at once.
+    /// Accepts a request. Returns None if a request with its id is still pending: two attempts with the same
+    /// id must not be in flight at the same time.
     pub fn submit(self: &Rc<Self>, r: ClientRequest) -> Option<PendingAnswer> {
         let mut state = self.state.borrow_mut();
         if state.requests.contains_key(&r.id) {
@@ -61,12 +61,13 @@
         Some(PendingAnswer { id: r.id, answer, driver: self.clone(), answered: false })
     }
 
-    /// Until when a client waits for the end of its answer.
+    /// Returns the deadline of a pending request, or `fallback` if the request has ended.
     pub(super) fn deadline_or(&self, id: RequestId, fallback: Instant) -> Instant {
         self.state.borrow().requests.get(&id).map_or(fallback, |pending| pending.deadline)
     }
 
-    /// When a client that waits so long from then on has its answer at the latest.
+    /// Returns the deadline for the answer to a client that waits for `timeout` after its request is
+    /// complete.
     fn deadline(complete: Instant, timeout: Duration) -> Instant {
         complete + timeout - ANSWER_MARGIN.min(timeout / 10)
     }
@@ -75,7 +76,7 @@
         self.shutdown_deadline.get().map_or(deadline, |last| deadline.min(last))
     }
 
-    /// The process is to end: whatever has been taken, and still is, has its answer by then.
+    /// Sets the time by which all requests are answered because the process shuts down.
     pub fn set_shutdown_deadline(&self, last: Instant) {
         self.shutdown_deadline.set(Some(last));
         let state = &mut *self.state.borrow_mut();
@@ -86,7 +87,7 @@
         self.wake.notify_one();
     }
 
-    /// The body of a relayed request is complete: from now on its client's time runs.
+    /// Sets the deadline of a relayed request whose body is now complete: the client's timeout starts here.
     pub fn body_complete(&self, id: RequestId, timeout: Duration) {
         let mut state = self.state.borrow_mut();
         let deadline = self.capped_by_shutdown(Self::deadline(Instant::now(), timeout));
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Nobody waits for the answer any more.
+    /// Handles a client that disconnected before its answer.
     fn client_gone(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
         let Some(pending) = state.requests.get_mut(&id) else { return };
@@ -105,18 +106,19 @@
             return;
         }
         match &pending.attempt {
-            // It waits for a connection: with that it would be forwarded for nobody. What is written is the module's.
+            // The attempt still waits for a connection and must not be sent for a client that has gone. The
+            // engine decides about an attempt that has been written.
             Some(out) if !out.has_connection() => out.task.abort(),
             Some(_) => {}
             None => drop(state.requests.remove(&id)),
         }
         increment(&self.counts.failed);
-        tracing::debug!(target: LOG_TARGET, request = %RequestName(id), "left by its client");
+        tracing::debug!(target: LOG_TARGET, request = %RequestName(id), "client disconnected");
         state.events.push(Event::ClientGone { id });
         self.wake.notify_one();
     }
 
-    /// Gives the final answer, unless it has been given.
+    /// Sends the final answer, unless one has been sent.
     pub(super) fn answer(&self, pending: &mut PendingRequest, answer: Answer) {
         if let Some(client) = pending.client.take() {
             increment(match answer {
@@ -124,12 +126,13 @@
                 Answer::Refused { .. } => &self.counts.refused,
                 Answer::Failed { .. } => &self.counts.failed,
             });
-            // An error means that the client has just gone.
+            // Sending fails only if the client has just disconnected.
             let _ = client.send(answer);
         }
     }
 
-    /// The end without service: a refusal only if no attempt can have run.
+    /// Answers a request that was not served: it is refused only if no attempt can have run, and failed
+    /// otherwise.
     pub(super) fn answer_unserved(&self, pending: &mut PendingRequest, refuse: bool, retry_after_ns: Time) {
         let answer = if refuse && !pending.may_have_run {
             let retry_after = (retry_after_ns > 0).then(|| Duration::from_nanos(retry_after_ns));
@@ -141,7 +144,7 @@
     }
 }
 
-/// The wait for a final answer. Dropping it reports that the client is gone.
+/// Waits for the final answer. Dropping it reports that the client has disconnected.
 pub struct PendingAnswer {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
--- a/crates/gateway/src/driver/state.rs
+++ b/crates/gateway/src/driver/state.rs
@@ -13,12 +13,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// The module that the log's events and levels name for all of the driver, whichever file an event comes from.
+/// The log target of the whole driver, whichever of its files logs a line.
 pub const LOG_TARGET: &str = "sprucehatch_gateway::driver";
 
 /// A request from its arrival until it is answered and no attempt is in flight.
 pub struct PendingRequest {
-    /// None once answered, or when the client is gone.
+    /// None once the request is answered or its client has disconnected.
     pub client: Option<oneshot::Sender<Answer>>,
     pub outgoing: Rc<Outgoing>,
     pub attempts: u32,
@@ -35,20 +35,20 @@
 }
 
 impl RunningAttempt {
-    /// Whether it has its connection, so that it may have been written.
+    /// Returns whether the attempt has a connection, so that its request may have been written.
     pub fn has_connection(&self) -> bool {
         self.progress.connected.get()
     }
 }
 
-/// What a timer is for: one of the module's, by its token, or a request's deadline.
+/// The purpose of a timer: one that the engine set, by its token, or the deadline of a request.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Engine(u64),
     Deadline(RequestId),
 }
 
-/// What changes with each event.
+/// The state that changes with each event.
 pub struct DriverState {
     pub engine: Gateway,
     pub events: Vec<Event>,
@@ -62,14 +62,14 @@
     pub served: Cell<u64>,
     pub refused: Cell<u64>,
     pub failed: Cell<u64>,
-    /// Answered here because the module had not by the deadline.
+    /// Requests that the driver answered because the engine had not decided by the deadline.
     pub overdue: Cell<u64>,
     pub batches: Cell<u64>,
-    /// The longest that the loop came late to a timer.
+    /// The longest delay between the due time of a timer and the loop's wake-up.
     pub longest_delay: Cell<Duration>,
 }
 
-/// Counts one more.
+/// Increments a counter by one.
 pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -1,4 +1,5 @@
-//! The figures that operators read: what became of requests since the start of the process, and how long they took.
+//! The figures for operators: the outcomes of requests since the start of the process, and how long they
+//! took.
 
 use crate::pool::figures::PoolFigures;
 use gateway_protocol::status::{End, Fullness, ListAge};
@@ -10,17 +11,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// The outcomes of requests with their names in the reports, in the order of their index.
 pub const ENDS: [(End, &str); 3] =
     [(End::Succeeded, "succeeded"), (End::Declined, "declined"), (End::Aborted, "aborted")];
 
-/// Times are resolved to two digits, from a microsecond up to this; what takes longer counts as this long. A class
-/// and outcome that occurs takes some 26 kB.
+/// Times are recorded with two significant digits, from a microsecond up to this; a longer time counts as
+/// this. Each class and outcome that occurs takes about 26 kB.
 const MAX_RECORDED_TIME: Duration = Duration::from_secs(3600);
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 type PerClass<'a> = BTreeMap<&'a str, u64>;
 
-/// The times of one class and outcome.
+/// The durations of requests of one class and outcome.
 #[derive(Clone, Debug)]
 pub struct Times {
     histogram: Histogram<u64>,
@@ -44,13 +46,14 @@
         self.histogram.len()
     }
 
-    /// The time that so large a part of the requests took at most.
+    /// Returns the time within which this part of the requests ended.
     pub fn quantile(&self, part: f64) -> Duration {
         Duration::from_micros(self.histogram.value_at_quantile(part))
     }
 
-    /// How many took at most each of these times, in order, and longer than the one before; the last count is of those that
-    /// took longer than all. Each is counted once, though times are resolved to two digits only.
+    /// Returns the number of requests per bucket. `most` holds the upper ends of the buckets in ascending
+    /// order; the last count is of requests that took longer than all of them. Each request is counted once,
+    /// although times are recorded with two digits only.
     pub fn buckets(&self, most: &[Duration]) -> Vec<u64> {
         let mut counts = vec![0; most.len() + 1];
         for recorded in self.histogram.iter_recorded() {
@@ -62,9 +65,10 @@
     }
 }
 
-/// One class's three outcomes; none until one occurs.
+/// The durations of one class by outcome; None until the outcome occurs.
 type Ends = [Option<Box<Times>>; 3];
 
+/// The counts and durations of one gateway's requests.
 pub struct Figures {
     classes: Vec<String>,
     ends: RefCell<Vec<Ends>>,
@@ -85,7 +89,7 @@
     pub list: ListAge,
 }
 
-/// What is reported beside the counts of requests.
+/// The values that are reported in addition to the counts of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
     pub forwards: u64,
@@ -97,14 +101,14 @@
 }
 
 impl Figures {
-    /// Every class is there from the start, at 0.
+    /// Creates the figures. Every class is reported from the start, at 0.
     pub fn new<'a>(classes: impl Iterator<Item = &'a str>) -> Rc<Self> {
         let classes: Vec<String> = classes.map(str::to_string).collect();
         let ends = classes.iter().map(|_| Ends::default()).collect();
         Rc::new(Figures { classes, ends: RefCell::new(ends), outstanding: Cell::new(0) })
     }
 
-    /// A request of the class with this number is complete.
+    /// Records that a request of this class is complete and outstanding.
     pub fn start_request(self: &Rc<Self>, class: usize) -> OutstandingRequest {
         self.outstanding.set(self.outstanding.get() + 1);
         OutstandingRequest { figures: self.clone(), class, end: End::Aborted, since: Instant::now() }
@@ -114,7 +118,7 @@
         self.outstanding.get()
     }
 
-    /// The times of each class and outcome that has occurred.
+    /// Returns the durations of each class and outcome that has occurred.
     pub fn times(&self) -> Vec<(String, End, Times)> {
         let ends = self.ends.borrow();
         let each = self.classes.iter().zip(ends.iter());
@@ -124,7 +128,7 @@
             .collect()
     }
 
-    /// How often the classes ended so. Classes of one name count as one.
+    /// Returns how many requests had this outcome, by class. Classes of the same name are added up.
     pub fn counts(&self, end: End) -> PerClass<'_> {
         let mut counts = PerClass::new();
         for (class, ends) in self.classes.iter().zip(self.ends.borrow().iter()) {
@@ -149,7 +153,8 @@
     }
 }
 
-/// A request that has not ended. It is counted once, where this is dropped: as aborted unless said otherwise.
+/// A request that has not ended. It is counted once, when it is dropped: as aborted, unless another outcome
+/// was set.
 pub struct OutstandingRequest {
     figures: Rc<Figures>,
     class: usize,
@@ -158,7 +163,7 @@
 }
 
 impl OutstandingRequest {
-    /// How it ends, if nothing happens to it any more.
+    /// Sets the outcome that counts if nothing changes it before the drop.
     pub fn set_outcome(&mut self, end: End) {
         self.end = end;
     }
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -1,8 +1,8 @@
-//! Two processes, one gateway: a successor takes over from the process that runs, and both send each other
-//! what they do until one of them ends.
+//! The handover between two processes of one gateway (graceful restart): a successor takes over the state of
+//! the running process, and both exchange updates until one of them ends.
 //!
-//! Each process listens on a Unix socket under its gateway's name in `$TMPDIR`. Messages are lines of JSON. What
-//! they mean is the module's and the server's business.
+//! Each process listens on a Unix socket in `$TMPDIR` that is named after its gateway. Messages are lines of
+//! JSON. The decision engine and the server define what the messages mean.
 
 use crate::driver::Driver;
 use crate::peer_message::{PeerMessage, State};
@@ -21,23 +21,24 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long a predecessor may take to hand over: a dead one must not delay the start.
+/// How long a predecessor may take to send its state: an unresponsive one must not delay the start.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(800);
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Messages that may wait for the other process to read them. One that does not read is given up.
+/// The maximum number of messages that wait for the other process to read them. A process that does not read
+/// them is disconnected.
 pub const MAX_QUEUED_MESSAGES: usize = 4096;
-/// The longest path that fits a socket's address, with a margin.
+/// The longest path that fits into a Unix socket address, with a margin.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
 
-/// Where a gateway's processes meet.
+/// The Unix socket on which the processes of a gateway find each other.
 pub struct HandoverSocket {
     path: PathBuf,
-    /// Open while `path` leads through it.
+    /// Kept open while `path` refers to it.
     _dir: Option<File>,
 }
 
 impl HandoverSocket {
-    /// None if nobody gave a folder to meet in.
+    /// Returns the socket of this gateway, or None if `TMPDIR` is not set or cannot be opened.
     pub fn of(gateway: &str) -> Option<Self> {
         let dir = PathBuf::from(env::var_os("TMPDIR").filter(|d| !d.is_empty())?);
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
@@ -47,7 +48,7 @@
         if path.as_os_str().len() <= MAX_SOCKET_PATH_BYTES {
             return Some(HandoverSocket { path, _dir: None });
         }
-        // The address of a socket is short; a folder that is open has a short name too.
+        // A socket address is limited in length; an open folder has a short path in `/proc`.
         let dir = File::open(dir).ok()?;
         Some(HandoverSocket {
             path: format!("/proc/self/fd/{}/{file}", dir.as_raw_fd()).into(),
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Takes the address over: a stale socket, or the predecessor's, gives way to this process's.
+    /// Binds this process's socket and replaces a stale one, or that of the predecessor.
     pub fn listen(&self) -> io::Result<UnixListener> {
         let own = self.path.with_extension(format!("{}", std::process::id()));
         let _ = fs::remove_file(&own);
@@ -64,34 +65,37 @@
         Ok(listener)
     }
 
-    /// Asks the process that runs, if one does, for its state.
+    /// Requests the state of the running process, if there is one.
     pub async fn request_state(&self) -> Option<(PeerConnection, State)> {
         let talk = async {
             let mut connection = PeerConnection::new(UnixStream::connect(&self.path).await?);
             connection.write(&PeerMessage::Hello).await?;
             match connection.read().await? {
                 Some(PeerMessage::State(state)) => Ok((connection, *state)),
-                _ => Err(io::Error::other("no state came")),
+                _ => Err(io::Error::other("the predecessor sent no state")),
             }
         };
         match timeout(HANDOVER_TIMEOUT, talk).await {
             Ok(Ok(joined)) => Some(joined),
-            // Nobody was ever there, or is any more: the usual start.
+            // No predecessor exists: this is a normal start.
             Ok(Err(e)) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
                 None
             }
             Ok(Err(e)) => {
-                tracing::warn!("handover: {e}; starting without it");
+                tracing::warn!("handover: {e}; starting without the predecessor's state");
                 None
             }
             Err(_) => {
-                tracing::warn!("handover: the predecessor is silent; starting without it");
+                tracing::warn!(
+                    "handover: the predecessor did not answer in time; starting without its state"
+                );
                 None
             }
         }
     }
 }
 
+/// A connection to the other process of this gateway.
 pub struct PeerConnection {
     from: BufReader<OwnedReadHalf>,
     to: OwnedWriteHalf,
@@ -112,7 +116,7 @@
     }
 }
 
-/// None at the end of the connection.
+/// Reads a message. Returns None at the end of the connection.
 async fn read(from: &mut BufReader<OwnedReadHalf>) -> io::Result<Option<PeerMessage>> {
     let mut line = Vec::new();
     if from.read_until(b'\n', &mut line).await? == 0 {
@@ -127,7 +131,7 @@
     to.write_all(&line).await
 }
 
-/// What of this process the other one hears of and acts on.
+/// The parts of this process that send messages to the other process and apply its messages.
 #[derive(Clone)]
 pub struct Handover {
     pub driver: Rc<Driver>,
@@ -143,7 +147,7 @@
                     let connection = PeerConnection::new(stream);
                     spawn_local(self.clone().hand_over(connection));
                 }
-                Ok(_) => tracing::info!("handover: a successor is there already"),
+                Ok(_) => tracing::info!("handover: rejected a second successor, one is connected"),
                 Err(_) => sleep(ACCEPT_RETRY_PAUSE).await,
             }
         }
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Goes on from what a predecessor handed over, as one with it until it ends.
+    /// Continues with the state of a predecessor and exchanges messages with it until it ends.
     pub fn take_over(self, connection: PeerConnection, state: State) {
         let (messages, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.driver.take_over(messages, state.rev, state.targets, state.snapshot);
@@ -173,7 +177,7 @@
         spawn_local(self.exchange_messages(connection, outgoing));
     }
 
-    /// Both ways until the connection ends.
+    /// Exchanges messages in both directions until the connection ends.
     async fn exchange_messages(self, connection: PeerConnection, mut outgoing: mpsc::Receiver<PeerMessage>) {
         let PeerConnection { mut from, mut to } = connection;
         let receiving = async {
@@ -191,7 +195,7 @@
         let end = tokio::select! { end = receiving => end, end = sending => end };
         match end {
             Ok(()) => tracing::info!("handover: the other process has ended"),
-            Err(e) => tracing::warn!("handover: the other process is lost: {e}"),
+            Err(e) => tracing::warn!("handover: the connection to the other process failed: {e}"),
         }
         self.handle_peer_end();
     }
@@ -203,7 +207,7 @@
             PeerMessage::Disable { server } => self.driver.apply_disable(server),
             PeerMessage::Enable { server } => self.driver.apply_enable(server),
             PeerMessage::Away { on } => self.server.set_client_drain(on),
-            // Out of turn.
+            // These messages are not expected at this point.
             PeerMessage::Hello | PeerMessage::State(_) => {}
         }
     }
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! One gateway, put together and run.
+//! Assembles and runs one gateway.
 
 use crate::backends::Backends;
 use crate::config::Config;
@@ -29,24 +29,24 @@
             source(error)
             from()
         }
-        /// Clients' connections cannot be listened for.
+        /// The listener for clients cannot be opened.
         Clients(error: ListenError) {
             display("{error}")
             source(error)
         }
-        /// Operators' calls cannot be listened for.
+        /// The listener for operators cannot be opened.
         Operators(error: ListenError) {
             display("ops: {error}")
             source(error)
         }
-        /// The driver's task, which runs for as long as the process, has ended.
+        /// The driver's task, which runs as long as the process, has ended.
         DriverEnded(ended: Result<Infallible, JoinError>) {
             display("the driver ended: {ended:?}")
         }
     }
 }
 
-/// A gateway that listens and does not accept connections yet. To be used on a local runtime.
+/// A gateway that listens but does not accept connections yet. It must be used on a local runtime.
 pub struct Host {
     clients: TcpListener,
     operators: Option<SocketAddr>,
@@ -56,14 +56,15 @@
     driver_task: JoinHandle<Infallible>,
 }
 
-/// What may change while a gateway runs.
+/// Applies a changed configuration while the gateway runs.
 #[derive(Clone)]
 pub struct ReloadHandle {
     discovery: watch::Sender<Vec<SocketAddr>>,
 }
 
 impl ReloadHandle {
-    /// Applies those settings of a configuration that may change; the rest is fixed at the start.
+    /// Applies the settings of a configuration that may change at run time; the others are fixed at the
+    /// start.
     pub fn apply(&self, config: &Config) {
         self.discovery.send_if_modified(|at| {
             let changed = *at != config.discovery;
@@ -74,15 +75,16 @@
 }
 
 impl Host {
-    /// Opens the listeners, goes on from a predecessor where there is one, and begins to ask for the list.
-    /// `inherited` is the clients' listening socket where the platform opened it.
+    /// Opens the listeners, takes over from a predecessor if there is one, and starts to watch the list.
+    /// `inherited` is the clients' listening socket if the platform opened it.
     ///
     /// # Errors
     /// The settings are rejected, or an address cannot be listened on.
     pub async fn start(config: Config, inherited: Option<Inherited>) -> Result<Self, HostError> {
         let backends = Backends::new(&config);
         let driver = Driver::new(&config, backends.clone())?;
-        // Where each call is a load on discovery, the cached list saves one: a watch answers what has changed since.
+        // If all gateways call one discovery service, the cached list saves a call for the full list: a watch
+        // returns what has changed since.
         let cached = config.cached_list.as_ref();
         let version = cached.filter(|list| list.all && config.settings.subscribe).map(|list| list.rev);
         let newest = cached.map_or(0, |list| list.rev);
@@ -131,27 +133,27 @@
         })
     }
 
-    /// The address that clients connect to.
+    /// Returns the address that clients connect to.
     pub fn clients(&self) -> std::io::Result<SocketAddr> {
         self.clients.local_addr()
     }
 
-    /// The address that operators call, if there is one.
+    /// Returns the address that operators call, if there is one.
     pub fn operators(&self) -> Option<SocketAddr> {
         self.operators
     }
 
-    /// A handle to change settings while the gateway runs.
+    /// Returns a handle to apply a changed configuration while the gateway runs.
     pub fn reload_handle(&self) -> ReloadHandle {
         self.reload_handle.clone()
     }
 
-    /// Serves clients until `stop`, then through the drain.
+    /// Serves clients until `stop`, then drains.
     ///
     /// # Errors
-    /// The driver has ended, which it never should.
+    /// The driver has ended, which must not happen.
     pub async fn serve(self, stop: impl Future<Output = ()>) -> Result<(), HostError> {
-        // From the first connection that this process lets in.
+        // From now on this process accepts connections.
         self.driver.send_to_peer(PeerMessage::Ready);
         tokio::select! {
             lost = self.driver_task => Err(HostError::DriverEnded(lost)),
@@ -160,7 +162,7 @@
     }
 }
 
-/// Opens the listener of operators' calls and serves them; the address that it listens at.
+/// Opens the listener for operators and serves their calls. Returns the address that it listens on.
 fn serve_operators(ops: Ops, address: SocketAddr) -> Result<Option<SocketAddr>, HostError> {
     let listener = listener::listen(address).map_err(HostError::Operators)?;
     let address = listener.local_addr().ok();
@@ -174,7 +176,7 @@
 /// Takes over from a predecessor, if there is one, and waits for a successor.
 async fn start_handover(handover_socket: &HandoverSocket, handover: Handover) {
     if let Some((connection, state)) = handover_socket.request_state().await {
-        tracing::info!("handover: goes on from a predecessor");
+        tracing::info!("handover: taking over from a predecessor");
         handover.clone().take_over(connection, state);
     }
     match handover_socket.listen() {
--- a/crates/gateway/src/inherited.rs
+++ b/crates/gateway/src/inherited.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform opened it and names its descriptor.
+//! The clients' listening socket, if the platform opened it and passes its descriptor number.
 
 use quick_error::quick_error;
 use socket2::{Socket, Type};
@@ -6,23 +6,23 @@
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-const WANTED: &str = "the number of a listening TCP socket's descriptor is wanted";
+const EXPECTED: &str = "expected the descriptor number of a listening TCP socket";
 
 quick_error! {
     /// Why a descriptor cannot be adopted.
     #[derive(Debug)]
     pub enum InheritedError {
-        /// The text is not the number of a descriptor.
+        /// The text is not a descriptor number.
         NotANumber(text: String) {
-            display("{text:?}: {WANTED}")
+            display("{text:?}: {EXPECTED}")
         }
-        /// No socket is open under the number, or it is one of the standard streams.
+        /// The descriptor is not an open socket, or it is one of the standard streams.
         NotASocket(fd: RawFd) {
-            display("{fd} is no open socket: {WANTED}")
+            display("{fd} is not an open socket: {EXPECTED}")
         }
         /// The socket does not listen, or not for TCP.
         NotListening(fd: RawFd) {
-            display("{fd} does not listen for TCP connections: {WANTED}")
+            display("{fd} does not listen for TCP connections: {EXPECTED}")
         }
         /// The socket cannot be examined or set up.
         Io(fd: RawFd, error: io::Error) {
@@ -32,11 +32,11 @@
     }
 }
 
-/// Adopts the descriptor. To be called once, before anything else opens descriptors: what is open under the
-/// number by then was inherited.
+/// Adopts the descriptor. Must be called once, before anything else opens descriptors: a descriptor that is
+/// open by then was inherited.
 ///
 /// # Errors
-/// The text names no open socket that listens for TCP connections.
+/// The text does not name an open socket that listens for TCP connections.
 pub fn listener(number: &str) -> Result<TcpListener, InheritedError> {
     let fd: RawFd = number.parse().map_err(|_| InheritedError::NotANumber(number.to_string()))?;
     let io_error = |e| InheritedError::Io(fd, e);
@@ -57,7 +57,7 @@
 
 #[allow(unsafe_code)]
 fn adopt(fd: RawFd) -> OwnedFd {
-    // SAFETY: the descriptor is open, as was just seen, and was inherited for this process to own: it is
+    // SAFETY: the descriptor is open, as the caller has checked, and was inherited for this process to own: it is
     // adopted once, at the start, when no other part of the program holds a descriptor above 2.
     unsafe { OwnedFd::from_raw_fd(fd) }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The gateway on real sockets, around the decisions in `gateway-decisions`. The program in `main.rs` is thin: tests and
-//! tools host a gateway the same way, on a local runtime.
+//! The gateway on real sockets, around the decisions of `gateway-decisions`. The program in `main.rs` is
+//! thin: tests and tools host a gateway the same way, on a local runtime.
 
 #![warn(missing_docs)]
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,7 +1,8 @@
-//! One HTTP/1.1 connection to a roll server, and what was written to it on whose shared.
+//! An HTTP/1.1 connection to a roll server that counts the bytes written for each attempt.
 //!
-//! A connection is polled by the attempt that uses it and by nothing while it is idle: dropping the attempt
-//! closes it, so no late answer can reach anyone, and an exchange wakes one task.
+//! A connection is polled by the attempt that uses it, and not at all while it is idle: dropping the attempt
+//! closes the connection, so that a late answer cannot reach another request, and an exchange wakes only one
+//! task.
 
 use crate::bodies::Payload;
 use crate::pool::connection::{LinkState, Open, Reusable};
@@ -23,30 +24,32 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What is read ahead of a connection to a roll server; a longer head is none.
+/// The read buffer of a connection to a roll server; an answer with a longer head is an error.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How much of an attempt's request has been handed to its socket.
+/// How much of an attempt's request has been written to its socket.
 #[derive(Default)]
 pub struct Progress {
-    /// Whether it has a connection to be handed to.
+    /// Whether the attempt has a connection.
     pub connected: Cell<bool>,
     pub written: Cell<usize>,
-    /// The bytes after which it may be complete; 0 while that is unknown.
+    /// The number of written bytes from which the request may be complete; 0 while unknown.
     pub required: Cell<usize>,
-    /// When it was written, while no answer has begun.
+    /// When the request was written; None once the answer has begun.
     pub unanswered_since: Cell<Option<Instant>>,
     counted: Cell<bool>,
 }
 
 impl Progress {
-    /// Whether the last byte may be out. `required` counts what we ask hyper to write and hyper adds at most,
-    /// so a request is never taken for unwritten when it is not.
+    /// Returns whether the last byte may have been written. `required` counts the bytes that hyper is asked
+    /// to write, and hyper can only add to them, so a request that was written completely never counts as
+    /// incomplete.
     pub fn may_have_run(&self) -> bool {
         let required = self.required.get();
         required > 0 && self.written.get() >= required
     }
 
+    /// Returns the ending of the attempt if its connection breaks now.
     pub fn ending_when_broken(&self) -> Ending {
         if self.may_have_run() {
             Ending::Cut
@@ -56,17 +59,18 @@
     }
 }
 
-/// What a connection and its socket share.
+/// State that a connection and its socket share.
 struct SharedState {
-    /// The attempt that writes now.
+    /// The attempt that uses the connection.
     progress: RefCell<Rc<Progress>>,
-    /// Attempts written completely, over all connections.
+    /// The number of attempts written completely, over all connections.
     forwards: Rc<Cell<u64>>,
-    /// Whether the socket itself is to be peeked at, not only at what the event loop has heard of it.
+    /// Whether to peek at the socket itself, and not only rely on the event loop's notifications.
     peek: Cell<bool>,
     peeked: Cell<LinkState>,
 }
 
+/// A connection to a roll server, with its HTTP layer and its socket.
 pub struct Link {
     sender: SendRequest<Payload>,
     io: http1::Connection<CountingSocket, Payload>,
@@ -75,7 +79,7 @@
 }
 
 impl Link {
-    /// Sends one request and waits for the head of its answer. None if the connection broke first.
+    /// Sends one request and waits for the head of its answer. Returns None if the connection broke first.
     pub async fn send(
         &mut self,
         request: Request<Payload>,
@@ -86,12 +90,13 @@
         drive(&mut self.io, &mut self.closed, answer).await?.ok()
     }
 
-    /// Polls the connection along with what waits for it. None if it ended and left that waiting.
+    /// Polls the connection together with a future that waits for it. Returns None if the connection ended
+    /// before the future completed.
     pub async fn drive<F: Future>(&mut self, waiting: F) -> Option<F::Output> {
         drive(&mut self.io, &mut self.closed, waiting).await
     }
 
-    /// Polls the connection alone. Whether it has ended.
+    /// Polls only the connection. Returns whether it has ended.
     pub fn poll(&mut self, cx: &mut Context<'_>) -> bool {
         poll(&mut self.io, &mut self.closed, cx)
     }
@@ -147,7 +152,7 @@
 
 /// Opens connections to roll servers.
 pub struct Dialer {
-    /// Attempts written completely, since the start.
+    /// The number of attempts written completely since the start.
     pub forwards: Rc<Cell<u64>>,
 }
 
@@ -173,7 +178,7 @@
     }
 }
 
-/// A socket that counts what was written to it on the current attempt's shared.
+/// A socket that counts the bytes written for the current attempt.
 struct CountingSocket {
     io: TokioIo<TcpStream>,
     shared: Rc<SharedState>,
@@ -191,7 +196,7 @@
         written
     }
 
-    /// What has come in since the event loop last heard of this socket.
+    /// Checks for input that the event loop has not been notified of yet.
     fn peek(&self) -> LinkState {
         match SockRef::from(self.io.inner()).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => LinkState::Closed,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! sprucehatch-gateway: one gateway in a process of its own.
+//! sprucehatch-gateway: runs one gateway as a process.
 
 use clap::{Parser, Subcommand};
 use program_support::config::{one_of, Wrong};
@@ -50,6 +50,7 @@
     end("sprucehatch-gateway", done.map(|()| ExitCode::SUCCESS))
 }
 
+/// Returns the path of the configuration file, from the command line or `LB_CONFIG`.
 fn config_path(argument: Option<PathBuf>) -> Result<PathBuf, Wrong> {
     let none = || Wrong::one("LB_CONFIG is not set: it or --config names the configuration file");
     one_of(argument, "LB_CONFIG")?.ok_or_else(none)
@@ -66,7 +67,7 @@
 }
 
 fn run(argument: Option<PathBuf>) -> Result<(), Wrong> {
-    // First of all: the number must not stand for a descriptor of this program's own.
+    // This comes first: the number must not refer to a descriptor that this program opens itself.
     let inherited = match std::env::var_os("LB_INHERITED_FD") {
         Some(fd) => {
             let listener = inherited::listener(&fd.to_string_lossy());
@@ -78,18 +79,19 @@
         .enable_all()
         .build_local(Default::default())
         .map_err(|e| Wrong::one(format!("cannot start the event loop: {e}")))?;
-    // As a task: what wakes the future of `block_on` itself costs a write to an eventfd each time.
+    // Spawned as a task: waking the future of `block_on` itself costs a write to an eventfd each time.
     runtime
         .block_on(async { spawn_local(serve(argument, inherited)).await })
-        .unwrap_or_else(|e| Err(Wrong::one(format!("lost: {e}"))))
+        .unwrap_or_else(|e| Err(Wrong::one(format!("the gateway's task failed: {e}"))))
 }
 
+/// Installs a signal handler.
 fn listen_for(kind: SignalKind) -> Result<Signal, Wrong> {
     signal(kind).map_err(|e| Wrong::one(format!("cannot listen for signals: {e}")))
 }
 
 async fn serve(argument: Option<PathBuf>, inherited: Option<std::net::TcpListener>) -> Result<(), Wrong> {
-    // Before anything that takes time: no SIGHUP may end the program.
+    // The handlers are installed before anything that takes time: a SIGHUP must never end the program.
     let mut hangup = listen_for(SignalKind::hangup())?;
     let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
     let path = config_path(argument)?;
@@ -112,8 +114,8 @@
     host.serve(stop).await.map_err(Wrong::one)
 }
 
-/// Takes what may change from the file as it is now; the environment is of the start and may be outdated. A file that
-/// cannot be used changes nothing: whoever replaced it reads why in the log.
+/// Reads the configuration file again, without the environment, which dates from the start and may be
+/// outdated. If the file is invalid, nothing changes, and the log tells the operator why.
 fn reload(path: &Path, before: &Config) -> Option<Config> {
     let config = match config::load(path, |_| None) {
         Ok(config) => config,
--- a/crates/gateway/src/openmetrics.rs
+++ b/crates/gateway/src/openmetrics.rs
@@ -1,4 +1,4 @@
-//! The figures as OpenMetrics text, worded by the client library of that format.
+//! The figures as OpenMetrics text, encoded by the client library of that format.
 
 use crate::figures::{Gauges, Times, ENDS};
 use crate::pool::figures::PoolFigures;
@@ -14,13 +14,13 @@
 
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Upper ends of the buckets of times, in milliseconds.
+/// Upper bounds of the duration buckets, in milliseconds.
 const BUCKETS_MS: [u64; 12] = [1, 5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10_000];
 
 /// All figures at one moment.
 #[derive(Debug)]
 pub struct MetricsSnapshot {
-    /// For each outcome, the counts by class.
+    /// The counts by class for each outcome.
     pub ends: Vec<(End, Vec<(String, u64)>)>,
     pub times: Vec<(String, End, Times)>,
     pub outstanding: u64,
@@ -29,6 +29,7 @@
 }
 
 impl MetricsSnapshot {
+    /// Encodes all metrics as OpenMetrics text.
     pub fn text(self) -> Result<String, fmt::Error> {
         let mut registry = Registry::with_prefix("granitethread");
         registry.register_collector(Box::new(self));
@@ -38,7 +39,7 @@
     }
 }
 
-/// Writes metrics one after another.
+/// Encodes metrics one by one.
 struct Metrics<'a> {
     encoder: DescriptorEncoder<'a>,
 }
@@ -56,7 +57,7 @@
         self.metric(name, help, &ConstGauge::new(value as i64))
     }
 
-    /// A count for each set of labels.
+    /// Encodes a counter for each set of labels.
     fn counters<L: EncodeLabelSet>(&mut self, name: &str, help: &str, each: &[(L, u64)]) -> fmt::Result {
         let mut family = self.encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
         for (labels, count) in each {
@@ -83,7 +84,7 @@
 }
 
 impl MetricsSnapshot {
-    /// Counts and durations of requests, by class and outcome.
+    /// Encodes counts and durations of requests, by class and outcome.
     fn encode_requests(&self, m: &mut Metrics) -> fmt::Result {
         let word = |end: &End| ENDS.iter().find(|(e, _)| e == end).map_or("", |(_, word)| *word);
         let labels =
@@ -115,7 +116,7 @@
     }
 }
 
-/// Attempts, roll servers and their capacity.
+/// Encodes attempts, roll servers and their capacity.
 fn encode_gauges(m: &mut Metrics, gauges: &Gauges, outstanding: u64) -> fmt::Result {
     let Gauges { forwards, discovered, ejected, list, fullness: f, .. } = gauges;
     m.counter("forwards", "Attempts written whole to roll servers", *forwards)?;
@@ -137,7 +138,7 @@
     age.encode(age_of)
 }
 
-/// Connections to roll servers.
+/// Encodes connections to roll servers.
 fn encode_connections(m: &mut Metrics, c: &PoolFigures) -> fmt::Result {
     m.gauge("connections_open", "Connections to roll servers, idle ones among them", c.open)?;
     m.gauge("connections_idle", "Idle connections to roll servers", c.idle)?;
--- a/crates/gateway/src/ops.rs
+++ b/crates/gateway/src/ops.rs
@@ -1,7 +1,7 @@
-//! The operators' address: words their calls and the answers, and decides nothing.
+//! The HTTP interface for operators. It translates calls and answers and contains no policy.
 //!
-//! One call a connection, each in a task of its own under one short time limit, so that an incomplete call, or none,
-//! delays nobody else's.
+//! Each connection carries one call and is served by a task with a short timeout, so that an incomplete call
+//! delays no other call.
 
 use crate::backends::Backends;
 use crate::config::MAX_OPERATOR_CALLS;
@@ -29,11 +29,12 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A complete call is answered at once, so only an incomplete one ever reaches this.
+/// Timeout of a call. Only an incomplete call can reach it, because complete ones are answered immediately.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 const SERVERS_PATH: &str = "/-/roll-servers/";
 
+/// The interface for operators of one gateway.
 pub struct Ops {
     pub name: String,
     pub started: Instant,
@@ -42,7 +43,7 @@
     pub server: Rc<Server>,
 }
 
-/// Sets the level of the log, or of the module that the query names.
+/// Sets the log level, globally or for the module that the query names.
 fn set_level(log: &log::Log, query: &str) -> Response<Full<Bytes>> {
     match log.change(field(query, "level").as_deref(), field(query, "module").as_deref()) {
         Ok(()) => plain(StatusCode::OK, "changed\n"),
@@ -50,7 +51,7 @@
     }
 }
 
-/// A field of a query. One whose bytes are no text is none.
+/// Returns a field of a query, or None if it is missing or is not valid UTF-8.
 fn field<'a>(query: &'a str, key: &str) -> Option<Cow<'a, str>> {
     let encoded = query.split('&').find_map(|part| part.strip_prefix(key)?.strip_prefix('='))?;
     percent_decode_str(encoded).decode_utf8().ok()
@@ -61,6 +62,7 @@
 }
 
 impl Ops {
+    /// Accepts operators' calls forever; at the limit a new call ends the oldest.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) -> Infallible {
         let mut calls: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -78,14 +80,14 @@
     }
 
     async fn call(self: Rc<Self>, stream: TcpStream) {
-        // Without it an answer is only slower.
+        // If this fails, answers are only slower.
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.answer(request).await) });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .keep_alive(false)
             .serve_connection(TokioIo::new(stream), service);
-        // An error is the caller's: it left, or sent what is no HTTP.
+        // Errors are caused by the caller: it disconnected, or sent something other than HTTP.
         let _ = timeout(CALL_TIMEOUT, connection).await;
     }
 
@@ -133,7 +135,7 @@
         }
     }
 
-    /// What the figures show beside the counts of requests.
+    /// Returns the values that are reported in addition to the counts of requests.
     fn gauges(&self) -> Gauges {
         Gauges {
             forwards: self.backends.forwards(),
@@ -196,6 +198,7 @@
         }
     }
 
+    /// Disables or enables the server that the path names.
     async fn disable_or_enable(&self, path: &str) -> Response<Full<Bytes>> {
         let known = action(path).and_then(|(id, out)| {
             let id = percent_decode_str(id).decode_utf8().ok()?;
@@ -215,7 +218,7 @@
     }
 }
 
-/// The server that a path names, and whether it goes out.
+/// Returns the server that a path names, and whether it is to be disabled.
 fn action(path: &str) -> Option<(&str, bool)> {
     let (id, verb) = path.strip_prefix(SERVERS_PATH)?.split_once('/')?;
     match verb {
@@ -243,6 +246,7 @@
     answer
 }
 
+/// The answer if the figures cannot be encoded.
 fn encoding_failure() -> Response<Full<Bytes>> {
     plain(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be worded\n")
 }
--- a/crates/gateway/src/peer_message.rs
+++ b/crates/gateway/src/peer_message.rs
@@ -1,14 +1,15 @@
-//! What two processes of one gateway tell each other. The words alone: who says and hears them is in
-//! `driver/peer.rs`, `server.rs` and `handover.rs`.
+//! The messages that two processes of one gateway exchange. This file only defines them; they are sent and
+//! handled in `driver/peer.rs`, `server.rs` and `handover.rs`.
 
 use gateway_decisions::{Name, Share, Snapshot};
 use gateway_protocol::list::Target;
 use serde::{Deserialize, Serialize};
 
-/// One message, as a line of JSON. Variants and fields keep their names: the other process may be of another version.
+/// One message, encoded as a line of JSON. Variants and fields keep their names: the other process may be of
+/// another version.
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The successor's first word.
+    /// The successor's first message.
     Hello,
     /// The predecessor's answer.
     State(Box<State>),
@@ -21,13 +22,13 @@
     Enable {
         server: Name,
     },
-    /// Operators have clients sent away, or no more.
+    /// An operator started or ended a drain of clients.
     Away {
         on: bool,
     },
 }
 
-/// All that a successor needs to go on as one with its predecessor.
+/// The state with which a successor continues.
 #[derive(Serialize, Deserialize)]
 pub struct State {
     pub rev: u64,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,12 +1,15 @@
-//! The pool of connections to roll servers: which are open, who waits for one, and what becomes of each.
+//! The connection pool for roll servers: open connections, the attempts that wait for one, and how
+//! connections are reused or closed.
 //!
-//! How many there may be is the module's decision; the pool keeps within it. An attempt takes the connection that was
-//! used last, so that the rest age out. If none is idle it waits for what comes first: a connection that
-//! another attempt gives back, or one that is opened for it. One that was opened and not needed is kept if the
-//! limits allow. Those who wait at a server are served in turn.
+//! The decision engine sets the connection limits, and the pool enforces them. A checkout takes the most
+//! recently used idle connection, so that the others reach the idle timeout. If no connection is idle, the
+//! attempt waits for whichever comes first: a connection that another attempt returns, or a new one that is
+//! opened for it. A new connection that is no longer needed is kept if the limits allow. Attempts that wait
+//! for the same server are served in the order of their arrival.
 //!
-//! A connection belongs to a generation of its server, which ends when the list has another address or start, and
-//! when the server wants nothing new. Nothing of a past generation is handed out, kept or written to.
+//! Each connection belongs to a generation of its server. A generation ends when the list gives the server
+//! another address or start time, and when the server accepts no new requests. Connections of a past
+//! generation are not checked out, kept or written to.
 
 mod checkout;
 pub mod close_reason;
@@ -35,10 +38,12 @@
 pub struct Pool<O: Open> {
     opener: O,
     servers: RefCell<HashMap<Name, Server<O::Link>>>,
-    /// Out by hand. The module decides it; here it stops a send that still waits for its connection.
+    /// Servers that an operator disabled. The decision engine already excludes them; the pool uses this set
+    /// to stop an attempt that still waits for its connection.
     disabled: RefCell<HashSet<Name>>,
     counts: Rc<ConnectionCounts>,
-    /// The most connections over all servers, and at one that has no limit of its own.
+    /// The maximum number of connections to all servers together, and to a single server that has no limit of
+    /// its own.
     max_connections: Cell<usize>,
     connect_timeout: Duration,
     idle_timeout: Duration,
@@ -46,7 +51,7 @@
 }
 
 impl<O: Open> Pool<O> {
-    /// No connection is used that has been idle for `idle_timeout`.
+    /// Creates a pool that never reuses a connection after it has been idle for `idle_timeout`.
     pub fn new(opener: O, most: usize, connect_timeout: Duration, idle_timeout: Duration) -> Rc<Self> {
         Rc::new(Pool {
             opener,
@@ -60,40 +65,43 @@
         })
     }
 
-    /// What opens connections.
+    /// Returns the opener that establishes connections.
     pub fn opener(&self) -> &O {
         &self.opener
     }
 
     // ---- Servers ----
 
-    /// Whether a request could go to any server.
+    /// Returns whether at least one server accepts requests.
     pub fn any_ready(&self) -> bool {
         self.servers.borrow().iter().any(|(name, s)| self.usable(name, s))
     }
 
+    /// Returns whether the server accepts requests and is not disabled.
     fn usable(&self, name: &Name, server: &Server<O::Link>) -> bool {
         server.ready && !self.disabled.borrow().contains(name)
     }
 
-    /// How many are in the list.
+    /// Returns the number of listed servers.
     pub fn listed(&self) -> usize {
         self.servers.borrow().values().filter(|s| s.listed).count()
     }
 
-    /// Whether anyone has this name: a listed server, or one out by hand that the list lacks for now.
+    /// Returns whether a server of this name is listed, or disabled by an operator while it is missing from
+    /// the list.
     pub fn knows(&self, name: &str) -> bool {
         self.servers.borrow().get(name).is_some_and(|s| s.listed) || self.disabled.borrow().contains(name)
     }
 
-    /// Those out by hand, in order.
+    /// Returns the servers that an operator disabled, sorted by name.
     pub fn disabled(&self) -> Vec<Name> {
         let mut disabled: Vec<Name> = self.disabled.borrow().iter().cloned().collect();
         disabled.sort();
         disabled
     }
 
-    /// Out by hand: nothing new is written to it, and its idle connections go.
+    /// Disables a server for an operator: no new request is written to it, and its idle connections are
+    /// closed.
     pub fn disable(&self, name: &Name) {
         self.disabled.borrow_mut().insert(name.clone());
         if let Some(s) = self.servers.borrow_mut().get_mut(name) {
@@ -102,13 +110,13 @@
         }
     }
 
-    /// Back by hand.
+    /// Enables a server that an operator disabled.
     pub fn enable(&self, name: &Name) {
         self.disabled.borrow_mut().remove(name);
     }
 
-    /// Applies an update of the list. Connections to an old address, an old process or a server that wants
-    /// nothing new are of no use.
+    /// Applies an update of the server list. Closes connections to an old address, to a process that has been
+    /// replaced, and to a server that accepts no new requests.
     pub fn update(self: &Rc<Self>, scope: Scope, targets: &[Target]) {
         let now = Instant::now();
         let mut servers = self.servers.borrow_mut();
@@ -134,23 +142,23 @@
                 moved.push(name);
             }
         }
-        // What is still out keeps its server's count until it is closed.
+        // A server with connections in use stays until they are closed, because they count against its limit.
         servers.retain(|_, s| s.listed || s.connections.get() > 0);
         drop(servers);
-        // Who waits at a server that has moved goes on to its new address.
+        // Attempts that wait for a server that has moved continue with its new address.
         moved.iter().for_each(|name| self.open_for_waiters(name));
     }
 
     // ---- Limits ----
 
-    /// The most connections over all servers.
+    /// Sets the maximum number of connections to all servers together.
     pub fn set_limit(&self, most: usize) {
         self.max_connections.set(most);
         while self.counts.total.get() > most && self.close_longest_idle() {}
         self.counts.freed();
     }
 
-    /// The most connections to one server.
+    /// Sets the maximum number of connections to one server.
     pub fn set_server_limit(&self, name: &Name, most: usize) {
         if let Some(s) = self.servers.borrow_mut().get_mut(name) {
             let over = s.connections.get().saturating_sub(most).min(s.idle.len());
@@ -160,7 +168,7 @@
         self.counts.freed();
     }
 
-    /// Closes the connection that has been idle for longest. Whether there was one.
+    /// Closes the connection that has been idle the longest. Returns false if no connection is idle.
     pub fn close_longest_idle(&self) -> bool {
         let mut servers = self.servers.borrow_mut();
         let idle = servers.values_mut().filter(|s| !s.idle.is_empty());
@@ -169,12 +177,12 @@
         true
     }
 
-    /// Connections to a server that are up or being opened.
+    /// Returns the number of connections to a server that are open or being opened.
     pub fn connections_to(&self, name: &Name) -> usize {
         self.servers.borrow().get(name).map_or(0, |s| s.connections.get())
     }
 
-    /// What staff see.
+    /// Returns the pool's figures for operators.
     pub fn figures(&self) -> PoolFigures {
         let idle = self.servers.borrow().values().map(|s| s.idle.len()).sum();
         PoolFigures { idle, ..self.counts.figures.borrow().clone() }
--- a/crates/gateway/src/pool/checkout.rs
+++ b/crates/gateway/src/pool/checkout.rs
@@ -1,4 +1,5 @@
-//! How an attempt comes by a connection and gives it back: idle ones, those who wait, and what is opened for them.
+//! Checkout and return of connections: idle connections, waiting attempts, and connections that are opened
+//! for them.
 
 use crate::pool::close_reason::CloseReason;
 use crate::pool::connection::{Checkout, LinkState, Open, Pooled, Reusable, Slot, Unavailable};
@@ -14,7 +15,7 @@
 use tokio::time::{timeout, Instant};
 
 impl<O: Open> Pool<O> {
-    /// A connection for one attempt at this server.
+    /// Checks out a connection to this server for one attempt; waits for one if none is idle.
     pub async fn checkout(self: &Rc<Self>, name: &Name) -> Checkout<O::Link> {
         let mut waiter = {
             let mut servers = self.servers.borrow_mut();
@@ -31,7 +32,8 @@
         self.open_for_waiters(name);
         let asked = Instant::now();
         match timeout(self.connect_timeout, &mut waiter.receiver).await {
-            // The list or operators may have spoken since it was handed over.
+            // The server may have been drained, moved or disabled after the connection was assigned to this
+            // attempt.
             Ok(Ok(Ok(p))) if !self.is_current(&p) => {
                 p.close(CloseReason::Listed);
                 Err(Unavailable::NotAccepting)
@@ -49,6 +51,7 @@
         }
     }
 
+    /// Counts the use of a connection and records how long it was idle.
     fn hand_out(&self, mut p: Pooled<O::Link>) -> Pooled<O::Link> {
         if p.use_count > 0 {
             self.counts.figures.borrow_mut().reused += 1;
@@ -58,7 +61,8 @@
         p
     }
 
-    /// The idle connection that was used last, if it is still to be trusted; the others are older.
+    /// Takes the most recently used idle connection that is still usable. If it has reached the idle timeout,
+    /// so have all others, which are older.
     fn take_idle(&self, s: &mut Server<O::Link>, now: Instant) -> Option<Pooled<O::Link>> {
         let limit = self.idle_limit(s, now);
         while let Some(mut p) = s.idle.pop() {
@@ -75,8 +79,8 @@
         None
     }
 
-    /// The other side closed it before anything was written to it. Only an orderly close shows a limit on
-    /// idle time: a reset is the end of a process.
+    /// Closes a connection that the server closed while it was idle. Only an orderly close tells something
+    /// about the server's idle timeout: a reset means that a process ended.
     pub(super) fn closed_while_idle(
         &self,
         s: &mut Server<O::Link>,
@@ -92,17 +96,18 @@
         p.close(CloseReason::Closed);
     }
 
-    /// How long a connection may idle and still be used.
+    /// Returns how long a connection to this server may be idle and still be reused.
     pub(super) fn idle_limit(&self, s: &mut Server<O::Link>, now: Instant) -> Duration {
         s.staleness.limit(&mut self.staleness.borrow_mut(), now).min(self.idle_timeout)
     }
 
+    /// Returns whether the connection still belongs to the current generation of a usable server.
     fn is_current(&self, p: &Pooled<O::Link>) -> bool {
         let servers = self.servers.borrow();
         servers.get(&p.server).is_some_and(|s| s.generation == p.generation && self.usable(&p.server, s))
     }
 
-    /// Opens what those who wait at a server need, as far as the limits go.
+    /// Opens connections for the attempts that wait for a server, as far as the limits allow.
     pub(super) fn open_for_waiters(self: &Rc<Self>, name: &Name) {
         loop {
             let opening = {
@@ -134,6 +139,7 @@
         }
     }
 
+    /// Opens a connection and assigns it to a waiting attempt, or reports the failure to one.
     async fn open(self: &Rc<Self>, server: Name, address: SocketAddr, generation: u64, mut slot: Slot) {
         let limit = Instant::now() + self.connect_timeout;
         let missing = loop {
@@ -165,13 +171,14 @@
         let mut servers = self.servers.borrow_mut();
         let Some(s) = servers.get_mut(&server).filter(|s| s.generation == generation) else { return };
         s.waiting.retain(|w| !w.is_closed());
-        // Whoever has waited longest bears it, unless what is still being opened will do for all.
+        // The failure goes to the attempt that has waited longest, unless the connections still being opened
+        // are enough for all waiting attempts.
         if s.waiting.len() > s.opening.get() {
             let _ = s.waiting.pop_front().map(|first| first.send(Err(missing)));
         }
     }
 
-    /// Takes back a connection whose exchange has ended.
+    /// Returns a connection whose exchange has ended to the pool.
     pub fn give_back(&self, mut p: Pooled<O::Link>) {
         p.last_used = Instant::now();
         match p.link.link_state() {
@@ -181,7 +188,7 @@
         }
     }
 
-    /// To who waits for it, or to the others that are idle.
+    /// Assigns a connection to the first waiting attempt, or keeps it idle if none waits.
     fn assign_or_keep_idle(&self, mut p: Pooled<O::Link>) {
         let mut servers = self.servers.borrow_mut();
         let current =
@@ -201,17 +208,19 @@
         }
         let index = s.idle.partition_point(|other| other.last_used <= p.last_used);
         s.idle.insert(index, p);
-        // It may free a slot for others.
+        // An idle connection can be closed to free its slot for another server.
         self.counts.freed();
     }
 }
 
+/// Returns whether the process or the system is out of file descriptors.
 fn out_of_descriptors(e: &io::Error) -> bool {
     // EMFILE and ENFILE, which the standard library does not name.
     matches!(e.raw_os_error(), Some(24 | 23))
 }
 
-/// An entry in a server's queue. A connection that was assigned but not taken goes back.
+/// An attempt's entry in the queue of a server. A connection that was assigned but not taken goes back to the
+/// pool.
 struct Waiter<O: Open> {
     receiver: oneshot::Receiver<Checkout<O::Link>>,
     pool: Rc<Pool<O>>,
--- a/crates/gateway/src/pool/close_reason.rs
+++ b/crates/gateway/src/pool/close_reason.rs
@@ -1,32 +1,33 @@
-//! Why connections are closed.
+//! Reasons for closing connections.
 
 use serde::Serialize;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloseReason {
-    /// The attempt on it was given up, or its client left.
+    /// The attempt that used the connection was cancelled or timed out, or its client disconnected.
     GivenUp,
-    /// It stood idle for too long.
+    /// The connection reached its idle timeout.
     Expired,
-    /// The other side closed it while it was idle, or said what nobody had asked for.
+    /// The server closed the connection while it was idle, or sent data that belongs to no request.
     Closed,
-    /// It broke as soon as it was written to again.
+    /// The connection was reused after idling and broke as soon as a request was written to it.
     Stale,
-    /// It broke under a request.
+    /// The connection broke during a request.
     Broken,
-    /// Its last answer was to be its last.
+    /// The server's answer announced that it was the last on this connection.
     Ended,
-    /// The server is drained, gone, moved, restarted or out by hand.
+    /// The server is draining, removed, moved, restarted or disabled by an operator.
     Listed,
-    /// The server said nothing on another connection.
+    /// The server did not respond on another connection.
     Silent,
-    /// It made room.
+    /// The connection was closed because of a connection limit, or to free its slot or descriptor for another
+    /// one.
     Room,
 }
 
 impl CloseReason {
-    /// As the figures name it.
+    /// Returns the name of the reason in the figures.
     pub fn label(self) -> &'static str {
         match self {
             CloseReason::GivenUp => "given_up",
--- a/crates/gateway/src/pool/connection.rs
+++ b/crates/gateway/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the pool, and the counts that limit all of them.
+//! A connection of the pool, and the counts that limit the connections.
 
 use crate::pool::close_reason::CloseReason;
 use crate::pool::figures::PoolFigures;
@@ -12,19 +12,19 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How an open connection stands between two requests.
+/// The state of an open connection between two requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
     Ready,
-    /// An exchange on it has not ended.
+    /// An exchange on the connection has not ended.
     Busy,
-    /// Closed by the other side, in order.
+    /// The server closed the connection in an orderly way.
     Closed,
-    /// Reset, or bytes came that nobody asked for.
+    /// The connection was reset, or the server sent bytes that belong to no request.
     Broken,
 }
 
-/// A connection that may serve more than one request.
+/// A connection that can serve more than one request.
 pub trait Reusable: 'static {
     fn link_state(&mut self) -> LinkState;
 }
@@ -35,34 +35,34 @@
     fn open(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Link>>;
 }
 
-/// Why an attempt got no connection. None of these wrote anything.
+/// Why an attempt got no connection. In all these cases nothing was written to the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// The server wants nothing new.
+    /// The server accepts no new requests.
     NotAccepting,
-    /// The limits of this gateway left no capacity in time.
+    /// The connection limits of this gateway left no capacity in time.
     AtCapacity,
-    /// The process may open nothing more.
+    /// The process has no file descriptors left.
     OutOfDescriptors,
-    /// The server's machine refused.
+    /// The server's machine refused the connection.
     Refused,
-    /// The connection never came up.
+    /// The connection was not established within the connect timeout.
     ConnectTimeout,
 }
 
-/// What all connections are counted in, wherever they are.
+/// Counts of all connections, idle, in use or being opened.
 #[derive(Default)]
 pub struct ConnectionCounts {
-    /// Up or being opened.
+    /// Connections that are open or being opened.
     pub total: Cell<usize>,
     pub figures: RefCell<PoolFigures>,
-    /// Attempts that wait, and the signal that a slot has become free meanwhile.
+    /// The number of attempts that wait for a connection, and the signal that a slot has become free.
     pub waiting: Cell<usize>,
     pub freed: Notify,
 }
 
 impl ConnectionCounts {
-    /// A slot has become free: wakes those who wait for one.
+    /// Signals that a slot has become free, if any attempt waits for one.
     pub fn freed(&self) {
         if self.waiting.get() > 0 {
             self.freed.notify_one();
@@ -70,17 +70,18 @@
     }
 }
 
-/// A connection's share of the limits, from before it is opened until after it is closed.
+/// A connection's slot in the connection limits, held from before it is opened until after it is closed.
 pub struct Slot {
     pub counts: Rc<ConnectionCounts>,
     pub server_connections: Rc<Cell<usize>>,
-    /// Those being opened in this generation of the server; none once it is up.
+    /// The number of connections being opened in this generation of the server; None once this connection is
+    /// open.
     pub opening: Option<Rc<Cell<usize>>>,
     pub cause: CloseReason,
 }
 
 impl Slot {
-    /// The slot of a connection that is about to be opened.
+    /// Takes the slot of a connection that is about to be opened.
     pub fn new(
         counts: &Rc<ConnectionCounts>,
         server_connections: &Rc<Cell<usize>>,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The connection is up.
+    /// Records that the connection is open.
     pub fn opened(&mut self) {
         if let Some(opening) = self.opening.take() {
             opening.set(opening.get() - 1);
@@ -130,25 +131,26 @@
     }
 }
 
-/// A connection in the hands of one attempt, or idle.
+/// A connection of the pool, either idle or checked out by one attempt.
 pub struct Pooled<L> {
-    // Before its slot: the descriptor is free by the time that its slot is.
+    // Declared before `slot` and so dropped first: the descriptor is free by the time that the slot is.
     pub link: L,
     pub slot: Slot,
     pub server: Name,
     pub generation: u64,
     pub last_used: Instant,
     pub use_count: u32,
-    /// How long it had idled when it was handed out, if it had been used before.
+    /// How long the connection had been idle at its checkout; None if it had not been used before.
     pub idle_time: Option<Duration>,
 }
 
 impl<L> Pooled<L> {
-    /// Closes it for this reason; left alone it counts as given up.
+    /// Closes the connection for this reason. A connection that is dropped without this call counts as given
+    /// up.
     pub fn close(mut self, cause: CloseReason) {
         self.slot.cause = cause;
     }
 }
 
-/// A connection for an attempt, or why there is none.
+/// The result of a checkout: a connection, or why there is none.
 pub type Checkout<L> = Result<Pooled<L>, Unavailable>;
--- a/crates/gateway/src/pool/feedback.rs
+++ b/crates/gateway/src/pool/feedback.rs
@@ -1,4 +1,4 @@
-//! What exchanges show about connections and servers.
+//! Feedback from exchanges about the state of connections and servers.
 
 use crate::pool::close_reason::CloseReason;
 use crate::pool::connection::{Open, Pooled};
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A server that has given a connection up resets a request on it at once: later breaks have other causes.
+/// A server that has already closed a connection resets a request on it immediately. A connection that breaks
+/// later than this has another cause.
 const STALE_RESET_WINDOW: Duration = Duration::from_millis(20);
 
 impl<O: Open> Pool<O> {
-    /// A server has begun an answer on a connection that was written to at `written`.
+    /// Records that a server began to answer on a connection whose request was written at `written`.
     pub fn record_answer(&self, p: &Pooled<O::Link>, written: Instant) {
         let now = Instant::now();
         if let Some(s) = self.servers.borrow_mut().get_mut(&p.server) {
@@ -21,7 +22,7 @@
         }
     }
 
-    /// The connection broke before an answer began.
+    /// Closes a connection that broke before an answer began.
     pub fn close_broken(&self, p: Pooled<O::Link>, written: Instant) {
         let now = Instant::now();
         if let Some(s) = self.servers.borrow_mut().get_mut(&p.server) {
@@ -31,7 +32,7 @@
         p.close(if stale { CloseReason::Stale } else { CloseReason::Broken });
     }
 
-    /// How a connection fared that had idled for so long, or was new.
+    /// Records whether a connection broke after it was idle, or when it was new.
     fn record_staleness(
         &self,
         s: &mut Server<O::Link>,
@@ -47,8 +48,9 @@
         }
     }
 
-    /// Nothing came for a request that was written at `written`. If nothing at all has come from this server
-    /// since, its machine may be cut off: what is idle there may be dead, and to connect anew tells.
+    /// Handles a timeout of a request that was written at `written`. If the server has sent nothing since on
+    /// any connection, its machine may be unreachable, so its idle connections may be dead and are closed:
+    /// opening a new one shows whether the server is reachable.
     pub fn handle_timeout(&self, name: &Name, written: Instant) {
         if let Some(s) = self.servers.borrow_mut().get_mut(name).filter(|s| s.last_answer < written) {
             close(s.idle.drain(..), CloseReason::Silent);
--- a/crates/gateway/src/pool/figures.rs
+++ b/crates/gateway/src/pool/figures.rs
@@ -1,25 +1,26 @@
-//! What staff see of the pool.
+//! Figures of the pool for operators.
 
 use crate::pool::close_reason::CloseReason;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What staff see.
+/// Figures of the pool for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct PoolFigures {
-    /// Connections that are up, idle ones among them.
+    /// Open connections, including idle ones.
     pub open: usize,
     pub idle: usize,
     pub opening: usize,
-    /// The most that were up or being opened at once.
+    /// The highest number of connections that were open or being opened at the same time.
     pub peak: usize,
-    /// Since the start: opened, not come up, used once more, and attempts that had to wait for one.
+    /// Counts since the start: connections opened, connections that failed to open, checkouts that reused a
+    /// connection, and checkouts that had to wait for one.
     pub opened: u64,
     pub failed: u64,
     pub reused: u64,
     pub waits: u64,
-    /// How long those that got one waited, in all.
+    /// Total time that checkouts waited before they got a connection.
     pub waited_us: u64,
     pub closed: BTreeMap<CloseReason, u64>,
 }
--- a/crates/gateway/src/pool/maintenance.rs
+++ b/crates/gateway/src/pool/maintenance.rs
@@ -1,4 +1,5 @@
-//! Upkeep: closes what has idled for too long, and opens for those who wait as slots become free.
+//! Maintenance of the pool: closes connections that have been idle for too long, and opens connections for
+//! waiting attempts as slots become free.
 
 use crate::pool::close_reason::CloseReason;
 use crate::pool::connection::{LinkState, Open, Reusable};
@@ -12,8 +13,8 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<O: Open> Pool<O> {
-    /// Closes what has idled for too long or was closed by the other side, and opens for those who wait as
-    /// places become free.
+    /// Runs forever: closes connections that reached the idle timeout or were closed by the server, and opens
+    /// connections for waiting attempts as slots become free.
     pub async fn maintain(self: Rc<Self>) {
         let mut every = interval(SWEEP_INTERVAL);
         loop {
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -1,4 +1,4 @@
-//! One roll server as the pool knows it.
+//! The pool's state of one roll server.
 
 use crate::pool::close_reason::CloseReason;
 use crate::pool::connection::{Checkout, Pooled};
@@ -10,29 +10,29 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Its entry in the list, its connections, and the attempts that wait for one.
+/// A server's entry in the list, its connections, and the attempts that wait for one.
 pub struct Server<L> {
     pub address: Option<SocketAddr>,
     pub boot_ms: u64,
     pub listed: bool,
     pub ready: bool,
     pub generation: u64,
-    /// The most connections, and how many there are: up or being opened, of all generations.
+    /// The maximum number of connections, and the current number: open or being opened, of all generations.
     pub max_connections: usize,
     pub connections: Rc<Cell<usize>>,
-    /// Those of them that are being opened in this generation.
+    /// Connections that are being opened in the current generation.
     pub opening: Rc<Cell<usize>>,
-    /// The one used last at the end.
+    /// Idle connections, the most recently used one last.
     pub idle: Vec<Pooled<L>>,
-    /// In the order they came.
+    /// Attempts that wait for a connection, in the order of their arrival.
     pub waiting: VecDeque<oneshot::Sender<Checkout<L>>>,
     pub staleness: Staleness,
-    /// When any answer last began.
+    /// When the server last began an answer on any connection.
     pub last_answer: Instant,
 }
 
 impl<L> Server<L> {
-    /// A server that the list has just named.
+    /// Creates the state of a server that has just been added to the list.
     pub fn new(address: Option<SocketAddr>, boot_ms: u64, now: Instant) -> Self {
         Server {
             address,
@@ -50,7 +50,8 @@
         }
     }
 
-    /// The list names it so. Whether a generation of its connections has ended by that.
+    /// Applies the server's entry in the list. Returns whether this ended the current generation of
+    /// connections.
     pub fn apply_listing(
         &mut self,
         address: Option<SocketAddr>,
@@ -74,14 +75,15 @@
         moved
     }
 
-    /// The list names it no more.
+    /// Handles the removal of the server from the list.
     pub fn mark_unlisted(&mut self) {
         self.end_generation();
         self.waiting.clear();
         (self.listed, self.ready) = (false, false);
     }
 
-    /// Nothing that is open, or waits, is of use any more.
+    /// Ends the current generation: idle connections are closed, and connections in use or being opened will
+    /// not be reused.
     pub fn end_generation(&mut self) {
         self.generation += 1;
         self.opening = Rc::default();
@@ -89,7 +91,7 @@
     }
 }
 
-/// Closes all of these for one reason.
+/// Closes all these connections for the same reason.
 pub fn close<L>(links: impl IntoIterator<Item = Pooled<L>>, cause: CloseReason) {
     links.into_iter().for_each(|p| p.close(cause));
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, `/ready`, `/api`, the drain at the end.
+//! The client side: connections, the paths `/ready` and `/api`, and the graceful drain at shutdown.
 
 mod accept;
 mod api;
@@ -17,34 +17,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The module that the log's events and levels name for all of the server, whichever file an event comes from.
+/// The log target of the whole server, whichever of its files logs a line.
 const LOG_TARGET: &str = "sprucehatch_gateway::server";
 
-/// SIGKILL is due so long after SIGTERM and the longest deadline, of which no more than `MAX_COUNTED_DEADLINE` counts.
+/// SIGKILL follows SIGTERM after the longest deadline of a class (counted up to `MAX_COUNTED_DEADLINE`) plus
+/// this.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The process is gone so long before that, unless it still owes an answer.
+/// How long before SIGKILL the process exits, unless an answer is still being sent.
 const EXIT_MARGIN: Duration = Duration::from_millis(100);
 
-/// All client connections of one gateway.
+/// The client side of one gateway, with all its client connections.
 pub struct Server {
     driver: Rc<Driver>,
     backends: Rc<Backends>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
     max_clients: usize,
     draining: Cell<bool>,
-    /// Since when operators have clients sent away.
+    /// When an operator started to drain clients; None while there is no such drain.
     client_drain_since: Cell<Option<Instant>>,
-    /// Whether a successor serves: new connections are its own.
+    /// Whether a successor process serves: it accepts the new connections.
     successor: Cell<bool>,
     successor_changed: Notify,
-    /// How long after SIGTERM the process may go on.
+    /// How long the process may continue after SIGTERM.
     max_drain: Duration,
     client_left: Notify,
 }
 
 impl Server {
-    /// A server that takes nothing yet; `max_clients` is the most connections at once.
+    /// Creates a server that does not accept connections yet, for at most `max_clients` connections at the
+    /// same time.
     pub fn new(driver: Rc<Driver>, backends: Rc<Backends>, max_clients: usize) -> Self {
         let (clients, draining, client_drain_since, client_left) = Default::default();
         let (successor, successor_changed) = Default::default();
@@ -64,33 +66,33 @@
         }
     }
 
-    /// A successor serves now, or is gone.
+    /// Records whether a successor process serves.
     pub fn set_successor(&self, on: bool) {
         if self.successor.replace(on) != on {
-            tracing::info!("{}", if on { "a successor serves" } else { "no successor serves any more" });
+            tracing::info!("{}", if on { "a successor serves" } else { "the successor no longer serves" });
             self.successor_changed.notify_one();
         }
     }
 
-    /// Whether operators have clients sent away.
+    /// Returns whether an operator drains clients.
     pub fn drains_clients(&self) -> bool {
         self.client_drain_since.get().is_some()
     }
 
-    /// Whether a successor serves.
+    /// Returns whether a successor process serves.
     pub fn has_successor(&self) -> bool {
         self.successor.get()
     }
 
-    /// Whether requests can be served here, be clients sent away or not.
+    /// Returns whether requests can be served here, regardless of an operator's drain.
     pub fn can_serve(&self) -> bool {
         !self.draining.get() && self.driver.can_serve()
     }
 
-    /// Begins or ends an operator's drain.
+    /// Starts or ends an operator's drain of clients.
     pub fn set_client_drain(&self, on: bool) {
         if on != self.client_drain_since.get().is_some() {
-            tracing::info!("{}", if on { "sending clients away" } else { "clients may come again" });
+            tracing::info!("{}", if on { "client drain started" } else { "client drain ended" });
             self.client_drain_since.set(on.then(Instant::now));
         }
     }
--- a/crates/gateway/src/server/accept.rs
+++ b/crates/gateway/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! Taking clients in, from the start until the drain at the end; and an operator's drain of clients meanwhile.
+//! Accepting clients, the graceful drain at shutdown, and an operator's drain of clients.
 
 use crate::server::{Server, LOG_TARGET};
 use std::convert::Infallible;
@@ -9,31 +9,36 @@
 use tokio::net::TcpListener;
 use tokio::time::{interval, sleep_until, timeout, Instant};
 
-/// How long after SIGTERM clients may still come, with a margin.
+/// How long clients may still connect after SIGTERM, with a margin.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(500);
 
-/// So long before the end of the process again every request has its answer, of whatever time is left to its client:
-/// time to write it, also for a loop that comes late.
+/// How long before the end of the process every request has been answered, whatever time its client has left.
+/// This leaves time to write the answers, even if the event loop is late.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
-/// What still comes then, as a large answer does, goes on until it is complete, or someone ends the process by force.
+/// How long answers that are still being sent at the end of the drain, such as large ones, may continue,
+/// unless the process is killed.
 const MAX_ANSWER_DRAIN: Duration = Duration::from_secs(60);
-/// Once a successor serves and the end is near, connections close that have idled for so long: the least
-/// likely to cross a request. The rest close at the last moment.
+/// While a successor serves and this process shuts down, connections are closed after this idle time: a
+/// request is least likely to arrive just as such a connection closes. The others are closed
+/// `HANDOVER_CLOSE_ALL` before the end.
 const HANDOVER_IDLE: Duration = Duration::from_secs(1);
 const HANDOVER_CLOSE_ALL: Duration = Duration::from_millis(400);
 
-/// While clients are sent away: how often idle connections are checked.
+/// How often idle connections are checked during a drain of clients.
 const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// For so long new connections still come, and clients find the answers' `Connection: close`.
+/// For this long after the start of an operator's drain, new connections may still arrive, and clients see
+/// the `Connection: close` of their answers.
 const CLIENT_DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// From then on only connections close that have idled for so long: the least likely to cross a request.
+/// After the grace period, only connections that have been idle for this long are closed: a request is least
+/// likely to arrive just as such a connection closes.
 const CLIENT_DRAIN_IDLE: Duration = Duration::from_millis(300);
-/// Then all idle ones close, well before the 2 s from which on no request may come in on one.
+/// From then on all idle connections are closed, well before the 2 s after which no request may arrive on
+/// one.
 const CLIENT_DRAIN_CLOSE_ALL: Duration = Duration::from_millis(1500);
 
 impl Server {
-    /// Closes connections of clients that read nothing, and idle ones while clients are sent away. Those in use close
-    /// with their next answer.
+    /// Runs forever: closes connections of clients that do not read their answer, and idle ones during an
+    /// operator's drain. Connections in use are closed with their next answer.
     pub async fn enforce_client_drain(self: Rc<Self>) -> Infallible {
         let mut every = interval(CLIENT_CHECK_INTERVAL);
         loop {
@@ -52,7 +57,7 @@
         }
     }
 
-    /// Serves until `stop`, then through the drain; returns when no request is pending.
+    /// Serves until `stop`, then drains; returns when no request is pending.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let mut next = 0;
         let mut stop = pin!(stop);
@@ -69,15 +74,15 @@
         let end = started + self.max_drain;
         self.driver.set_shutdown_deadline(end - ANSWER_MARGIN);
         if self.successor.get() {
-            tracing::info!(target: LOG_TARGET, "leaving to the successor");
+            tracing::info!(target: LOG_TARGET, "handing clients over to the successor");
             self.drain_to_successor(end).await;
             self.wait_until_answered().await;
             tracing::info!(target: LOG_TARGET, "left in {} ms", started.elapsed().as_millis());
             return;
         }
         tracing::info!(target: LOG_TARGET, "draining");
-        // At once, not at the end of the window: a request that crosses the close comes again on a new
-        // connection, and must find the listener open.
+        // Connections are closed now and not at the end of the window: a client whose request arrives just as
+        // its connection closes repeats it on a new connection, and must find the listener open.
         self.close_all();
         let mut window = pin!(sleep_until(started + ACCEPT_WINDOW));
         loop {
@@ -86,7 +91,7 @@
                 () = self.accept_one(&listener, &mut next) => {}
             }
         }
-        // What waits in the listener's queue would be reset with it.
+        // Closing the listener would reset the connections in its queue.
         while timeout(Duration::ZERO, self.accept_one(&listener, &mut next)).await.is_ok() {}
         drop(listener);
         self.close_all();
@@ -101,7 +106,7 @@
         tracing::info!(target: LOG_TARGET, "drained in {} ms", started.elapsed().as_millis());
     }
 
-    /// Waits for the end of what clients have been begun to be given.
+    /// Waits until all answers that have been started are sent.
     async fn wait_until_answered(&self) {
         let end = Instant::now() + MAX_ANSWER_DRAIN;
         let owes = || self.clients.borrow().values().any(|c| c.is_owed_answer());
@@ -113,8 +118,8 @@
         }
     }
 
-    /// Serves the connections that are open until clients are done with them, or the time is over. What waits
-    /// at the listener is the successor's.
+    /// Serves the open connections until their clients are done or the time is over. The successor accepts
+    /// the connections that wait at the listener.
     async fn drain_to_successor(&self, end: Instant) {
         let mut every = interval(CLIENT_CHECK_INTERVAL);
         while !self.clients.borrow().is_empty() {
--- a/crates/gateway/src/server/api.rs
+++ b/crates/gateway/src/server/api.rs
@@ -75,8 +75,8 @@
         let (head, body) = request.into_parts();
         let expects = head.headers.contains_key(EXPECT);
         let Some(mut incoming) = parse(&self.driver, head, body.is_end_stream()) else {
-            tracing::debug!(target: LOG_TARGET, "a request that is missing or misusing a header is turned away");
-            // To one that waits for `100 Continue`, the answer says not to go on.
+            tracing::debug!(target: LOG_TARGET, "a request with a missing or invalid header is turned away");
+            // For a client that waits for `100 Continue`, the answer itself says not to send the body.
             if !expects && !body.is_end_stream() {
                 spawn_local(bodies::discard(body));
             }
@@ -98,7 +98,7 @@
         Ok(incoming)
     }
 
-    /// The final answer to a request, which counts as outstanding once it is complete.
+    /// Waits for the final answer to a request, which counts as outstanding once its body is complete.
     async fn answer(
         &self,
         incoming: ClientRequest,
@@ -126,13 +126,14 @@
         if let Some(fault) = upload.fault() {
             return Err(status(fault));
         }
-        // Read on, so that the client gets to read its answer.
+        // Read the rest of the body, so that the client gets to read its answer.
         spawn_local(upload.clone().discard());
         Ok((answer, taken()))
     }
 }
 
-/// An answer as its client reads it. `outstanding` hears how the request ended, where that is known by now.
+/// Converts an answer to the HTTP response for the client. Sets the outcome of `outstanding` if it is known
+/// by now.
 fn to_reply(answer: Answer, outstanding: &mut OutstandingRequest) -> Reply {
     match answer {
         Answer::Served(served) => served_reply(served, outstanding),
@@ -140,7 +141,7 @@
             outstanding.set_outcome(End::Declined);
             let status = if tried { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
             let mut reply = plain(status, "");
-            // None means no advice, not to come back at once.
+            // None means that no delay is known, not that the client may retry immediately.
             let after = retry_after.map(|a| HeaderValue::try_from(format!("{:.3}", a.as_secs_f64())));
             if let Some(Ok(after)) = after {
                 reply.headers_mut().insert("retry-after", after);
--- a/crates/gateway/src/server/connections.rs
+++ b/crates/gateway/src/server/connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: their slots in the max_clients, the serving of each, and which close.
+//! Client connections: their slots, the serving of each, and when they are closed.
 
 use crate::client::{Client, ClientSocket};
 use crate::server::reply::RequestInProgress;
@@ -14,10 +14,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A peer that has not sent one complete head by then is let go: whoever connects is owed an answer or a close
-/// within 3 s, and an honest client may take 2 s for its head.
+/// A new connection without a complete request head after this time is closed: every peer must get an answer
+/// or a close within 3 s, and a well-behaved client may take 2 s for its head.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2600);
-/// A client that has sent one, and then nothing or half a request's head for this long, is let go.
+/// A client that has sent a request, and then nothing or an incomplete head for this long, is disconnected.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
 const MAX_HEAD_BYTES: usize = 16 << 10;
@@ -25,7 +25,7 @@
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 impl Server {
-    /// Closes connections that have had no request for so long.
+    /// Closes connections that have been idle for at least `least`.
     pub(super) fn close_idle(&self, now: Instant, least: Duration) {
         for client in self.clients.borrow().values() {
             if client.idle_since.get().is_some_and(|at| now.saturating_duration_since(at) >= least) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Closes connections of clients that leave their answer unread.
+    /// Closes connections of clients that do not read their answer.
     pub(super) fn close_unread(&self, now: Instant) {
         for client in self.clients.borrow().values() {
             if client.is_write_stalled(now) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Accepts one client within the descriptor max_clients.
+    /// Accepts one client, within the limit on connections.
     pub(super) async fn accept_one(self: &Rc<Self>, listener: &TcpListener, next: &mut u64) {
         if self.clients.borrow().len() >= self.max_clients {
             self.close_longest_idle();
@@ -60,8 +60,8 @@
                 let slot = ClientSlot { server: self.clone(), number: *next };
                 spawn_local(async move { slot.server.serve(client).await });
             }
-            // Out of descriptors, or a connection that was reset in the queue. Accepting at once again would
-            // spin; what can be spared is given back first.
+            // The process is out of descriptors, or the connection was reset in the queue. Accepting again
+            // immediately would spin, so idle connections are closed first.
             Err(_) => {
                 self.backends.pool.close_longest_idle();
                 self.close_longest_idle();
@@ -70,8 +70,9 @@
         }
     }
 
-    /// Has every client's connection close, once it has no request in hand. A new one is owed an answer to its first
-    /// request, which may be on its way; if none comes in its time, that ends it.
+    /// Closes all client connections; those with a request in progress close after its answer. A new
+    /// connection gets an answer to its first request, which may be on its way; if none arrives in time,
+    /// `FIRST_REQUEST_TIMEOUT` closes it.
     pub(super) fn close_all(&self) {
         for client in self.clients.borrow().values() {
             if client.answered_before.get() || client.idle_since.get().is_none() {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Frees a slot: that of a close that lingers, or else that of the connection that has idled longest.
+    /// Frees a slot: of a lingering close if there is one, otherwise of the connection that has been idle the
+    /// longest.
     fn close_longest_idle(&self) {
         let clients = self.clients.borrow();
         if let Some(client) = clients.values().find(|c| c.lingering.get()) {
@@ -104,7 +106,7 @@
             let in_progress = RequestInProgress(client.clone());
             async move {
                 let mut reply = self.reply(request, &in_progress.0).await;
-                // Until the answer is written: a long one keeps its connection busy.
+                // The connection is busy until the answer is written, which may take long.
                 reply.body_mut().in_progress = Some(in_progress);
                 Ok::<_, Infallible>(reply)
             }
@@ -118,9 +120,9 @@
         let mut first = pin!(sleep_until(client.connected + FIRST_REQUEST_TIMEOUT));
         loop {
             tokio::select! {
-                // First, so that a request which has arrived is read before a close.
+                // Polled first, so that a request that has arrived is read before the connection is closed.
                 biased;
-                // Errors are the client's: it left, or sent what is no HTTP.
+                // Errors are caused by the client: it disconnected, or sent something other than HTTP.
                 ended = connection.as_mut() => {
                     if ended.is_ok() && client.last_answered.get() && client.has_unread_input() {
                         client.linger().await;
@@ -133,10 +135,10 @@
                         CloseMode::Gracefully => connection.as_mut().graceful_shutdown(),
                         CloseMode::AfterNextAnswer => {}
                     }
-                    // A request is on its way or in flight: its answer says that it is the last.
+                    // A request is arriving or in progress: its answer announces that it is the last.
                     client.close_after_answer.set(true);
                 }
-                // With a request in hand, its body's time or its answer ends it.
+                // While a request is in progress, the timeout of its body or its answer ends the connection.
                 () = &mut first, if !first.is_elapsed() => {
                     if !client.answered_before.get() && client.idle_since.get().is_some() {
                         return;
@@ -147,7 +149,7 @@
     }
 }
 
-/// How a connection that is to close does so.
+/// How a connection is to be closed.
 enum CloseMode {
     AtOnce,
     /// After the answer that is being written.
@@ -167,13 +169,13 @@
         match (client.request_begun.get() || client.has_unread_input(), client.answered_before.get()) {
             (true, _) => CloseMode::AfterNextAnswer,
             (false, false) => CloseMode::AtOnce,
-            // The end of its last answer may still be on its way out.
+            // The end of the last answer may not have been written yet.
             (false, true) => CloseMode::Gracefully,
         }
     }
 }
 
-/// A client's slot in the max_clients.
+/// A client's slot in the limit on connections. Dropping it frees the slot.
 struct ClientSlot {
     server: Rc<Server>,
     number: u64,
--- a/crates/gateway/src/server/listener.rs
+++ b/crates/gateway/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! The socket on which clients, or operators, connect.
+//! Listening sockets for clients and operators.
 
 use quick_error::quick_error;
 use std::io;
@@ -24,16 +24,16 @@
     }
 }
 
-/// The socket that the platform opened for clients, if it did.
+/// Adopts the clients' listening socket that the platform opened.
 pub fn adopt(inherited: std::net::TcpListener) -> Result<TcpListener, ListenError> {
     TcpListener::from_std(inherited).map_err(ListenError::Inherited)
 }
 
-/// Opens one of our own.
+/// Opens a listening socket.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let open = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // A restart finds the old process's connections in their last throes.
+        // After a restart, connections of the old process may still be in TIME_WAIT.
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(LISTEN_BACKLOG)
--- a/crates/gateway/src/server/parse.rs
+++ b/crates/gateway/src/server/parse.rs
@@ -1,4 +1,4 @@
-//! What the headers of a client's request say.
+//! Parsing of the headers of a client's request.
 
 use crate::backends::outgoing::Outgoing;
 use crate::bodies::RequestBody;
@@ -12,10 +12,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Customers are numbered below this.
+/// Customer ids are below this.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 
-/// Reads a request's headers; None if one is missing or malformed, or the method does not fit the class.
+/// Parses a request's headers. Returns None if one is missing or malformed, or if the method does not match
+/// the class.
 pub fn parse(driver: &Driver, head: Parts, empty: bool) -> Option<ClientRequest> {
     let h = &head.headers;
     let class_name = text(h, "request-class")?;
@@ -52,36 +53,37 @@
             content_type: h.get(CONTENT_TYPE).cloned(),
             host: h.get(HOST)?.clone(),
             method: head.method,
-            // A roll server is no proxy: it gets path and query, also where the client named the host.
+            // A roll server is not a proxy: it gets only path and query, even if the client sent an absolute
+            // URI.
             uri: head.uri.into_parts().path_and_query?.into(),
-            // The body comes later.
+            // The body is read later.
             body: RequestBody::Buffered(Bytes::new()),
             wait: timeout,
         },
     })
 }
 
-/// The time that a client gives its request, in seconds.
+/// Parses the client's timeout, in seconds.
 fn client_timeout(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok().filter(|timeout| !timeout.is_zero())
 }
 
-/// What a client says of its quota.
+/// The quota information of a request.
 struct Quota {
     /// The cost of the request.
     units: f64,
-    /// Over how many gateways the client spreads its requests.
+    /// The number of gateways over which the client spreads its requests.
     spread: u32,
 }
 
-/// Reads `units=U, spread=S, first=F`; None if a part is missing, malformed or out of range.
+/// Parses `units=U, spread=S, first=F`. Returns None if a part is missing, malformed or out of range.
 fn quota(driver: &Driver, text: &str) -> Option<Quota> {
     let field = |key: &str| text.split(',').find_map(|f| f.trim().strip_prefix(key)?.strip_prefix('='));
     let units: f64 = field("units")?.parse().ok()?;
     let spread: u32 = field("spread")?.parse().ok()?;
     let first: u32 = field("first")?.parse().ok()?;
-    // Beyond what a client of ours can say, figures would mislead the module about everyone's requests.
+    // Values that no legitimate client sends would distort the engine's estimates for all requests.
     let most = if driver.max_units > 0.0 { driver.max_units } else { f64::MAX };
     let gateways = driver.gateways;
     let in_range = units > 0.0 && units <= most && (1..=gateways).contains(&spread) && first < gateways;
@@ -92,7 +94,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// 16 hex digits.
+/// Parses 16 hex digits.
 fn hex(text: &str) -> Option<u64> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     if digits {
--- a/crates/gateway/src/server/reply.rs
+++ b/crates/gateway/src/server/reply.rs
@@ -17,7 +17,7 @@
 /// An answer to a client.
 pub type Reply = Response<ReplyBody>;
 
-/// The body of an answer to a client. What ends with the request is dropped with it.
+/// The body of an answer to a client. It also holds what ends with the request and is dropped with it.
 #[derive(Default)]
 pub struct ReplyBody {
     pub content: ReplyContent,
@@ -25,7 +25,7 @@
     pub in_progress: Option<RequestInProgress>,
 }
 
-/// The bytes of a body: all of them, or those that come.
+/// The bytes of a body: buffered, or streamed from the backend.
 pub enum ReplyContent {
     Buffered(Bytes),
     Stream(Box<Download>),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Marks a client idle again, also when its request is dropped.
+/// Marks a client as idle when dropped, also if its request is cancelled.
 pub struct RequestInProgress(pub Rc<Client>);
 
 impl Drop for RequestInProgress {
@@ -84,7 +84,7 @@
     }
 }
 
-/// An answer with a text of our own.
+/// Builds an answer with a fixed text.
 pub fn plain(status: StatusCode, text: &'static str) -> Reply {
     let content = ReplyContent::Buffered(Bytes::from_static(text.as_bytes()));
     let mut reply = Response::new(ReplyBody { content, ..ReplyBody::default() });
@@ -92,7 +92,7 @@
     reply
 }
 
-/// How a client is answered whose body cannot be read.
+/// Returns the status for a client whose body cannot be read.
 pub fn status(fault: Fault) -> StatusCode {
     match fault {
         Fault::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -45,10 +45,10 @@
 
     // What either is told counts for both.
     assert_eq!(old.call("POST", "/-/drain").status(), 200);
-    new.logs("sending clients away");
+    new.logs("client drain started");
     assert_eq!(new.client().ask(READY).status(), 503);
     assert_eq!(new.call("POST", "/-/resume").status(), 200);
-    old.logs("clients may come again");
+    old.logs("client drain ended");
     assert_eq!(old.call("POST", "/-/roll-servers/s-2/disable").status(), 200);
     let started = Instant::now();
     while new.figure("/ejected") != 2 {
@@ -100,7 +100,7 @@
     let _new = start(&discovery, &held, &folder);
     old.logs("a successor serves");
     old.signal("-TERM");
-    old.logs("leaving");
+    old.logs("handing clients over");
     go.send(()).expect("the backend waits");
     assert_eq!(busy.answer().status(), 200);
     assert!(old.child.wait().expect("it ends").success());
