--- a/crates/gateway/src/backends/tests.rs
+++ b/crates/gateway/src/backends/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts at scripted backends on loopback.
+//! Tests of attempts at scripted backends on loopback.
 
 use crate::backends::outcome::{outcome, ServedBody};
 use crate::backends::outgoing::Outgoing;
@@ -51,10 +51,10 @@
     (b.attempt(&"s-1".into(), request, limit, &progress).await.ending, progress)
 }
 
-/// What `size` says is what reaches the backend, to the byte: too much would call a request unwritten
-/// that has run.
+/// `size` returns exactly the number of bytes that reach the backend: with a larger value, a request that has
+/// run would count as unwritten.
 #[tokio::test(flavor = "local")]
-async fn the_size_of_a_request_is_what_is_written() {
+async fn size_equals_bytes_written() {
     for body in [0, 5, SMALL_BODY_BYTES] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (b, request) = (backends(&listener), outgoing(body));
@@ -77,11 +77,11 @@
     }
 }
 
-/// A connection that breaks with part of the request written: it never ran.
+/// The connection breaks when only part of the request has been written: it cannot have run.
 #[tokio::test(flavor = "local")]
-async fn a_request_broken_before_its_last_byte_never_ran() {
+async fn request_broken_before_its_last_byte_counts_as_not_run() {
     let socket = TcpSocket::new_v4().unwrap();
-    // Small buffers, so that the rest of the body can't be written.
+    // Small buffers, so that the rest of the body cannot be written.
     socket.set_recv_buffer_size(2048).unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(8).unwrap();
@@ -96,10 +96,10 @@
     assert!(progress.written.get() > 0 && !progress.may_have_run());
 }
 
-/// A backend that gives idle connections up long before the settings' time, and says so only once a
-/// request is written to one: after a few resets such connections are closed unused.
+/// A backend drops idle connections long before the configured time, and signals this only when a request is
+/// written. After a few resets such connections are closed before they are used.
 #[tokio::test(flavor = "local")]
-async fn connections_that_go_stale_early_are_not_written_to() {
+async fn stops_writing_to_connections_that_go_stale_early() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (b, request) = (backends(&listener), outgoing(0));
     let accepts = async {
@@ -109,7 +109,7 @@
                 let mut buffer = [0; 4096];
                 let _ = stream.read(&mut buffer).await;
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
-                // The next request finds nobody.
+                // The next request on this connection is reset.
                 let _ = stream.read(&mut buffer).await;
             });
         }
@@ -123,15 +123,15 @@
         cut
     };
     tokio::select! {
-        () = accepts => unreachable!("it goes on"),
+        () = accepts => unreachable!("the backend never stops"),
         cut = asks => assert!((1..=3).contains(&cut), "{cut} of 20 requests met a stale connection"),
     }
 }
 
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Answers requests without a body, in the order they come over all connections; after the last answer of
-/// the script it says nothing any more.
+/// Answers requests without a body from the script, in the order of their arrival on all connections; after
+/// the last answer of the script, requests get none.
 fn answers(listener: TcpListener, script: &[&str]) -> Rc<Cell<usize>> {
     let accepted = Rc::new(Cell::new(0));
     let count = accepted.clone();
@@ -165,9 +165,9 @@
     b.pool.figures().closed.get(&cause).copied().unwrap_or(0)
 }
 
-/// What an answer does to its connection: the next request comes on it, or on a new one.
+/// Whether the next request uses the connection of an answer, or a new one.
 #[tokio::test(flavor = "local")]
-async fn a_connection_whose_answer_was_not_plainly_whole_is_not_used_again() {
+async fn does_not_reuse_connection_after_irregular_answer() {
     let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\nContent-Length: 0\r\n\r\n", "x".repeat(20_000));
     let cases: [(&str, Ending, Option<CloseReason>); 8] = [
         (GOOD, Ending::Pass, None),
@@ -200,9 +200,9 @@
     }
 }
 
-/// The close has come in, and the event loop has not run since: the socket itself tells.
+/// The close has arrived, but the event loop has not run since: only peeking at the socket shows it.
 #[tokio::test(flavor = "local")]
-async fn a_close_that_nobody_has_heard_of_yet_is_seen_before_a_request_is_written() {
+async fn sees_close_before_event_loop_reports_it() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (b, request) = (backends(&listener), outgoing(0));
     let serve = async || {
@@ -213,16 +213,16 @@
     };
     let ((ending, _), stream) = tokio::join!(attempt(&b, &request), serve());
     assert_eq!(ending, Ending::Pass);
-    // Closed on the spot, with no turn of the event loop before the next attempt looks.
+    // Closed immediately, without a turn of the event loop before the next attempt checks the connection.
     stream.into_std().unwrap().shutdown(std::net::Shutdown::Both).unwrap();
     let anew = async { tokio::join!(attempt(&b, &request), serve()) };
     let anew = timeout(Duration::from_secs(5), anew).await;
-    let ((ending, _), _stream) = anew.expect("it comes on a new connection");
+    let ((ending, _), _stream) = anew.expect("the request uses a new connection");
     assert_eq!((ending, closed(&b, CloseReason::Closed)), (Ending::Pass, 1));
 }
 
 #[tokio::test(flavor = "local")]
-async fn a_connection_that_is_given_up_in_the_middle_of_an_answer_is_not_used_again() {
+async fn does_not_reuse_connection_given_up_during_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (b, request) = (backends(&listener), outgoing(0));
     let accepted = answers(listener, &["HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", GOOD]);
@@ -233,9 +233,9 @@
     assert_eq!((accepted.get(), closed(&b, CloseReason::GivenUp)), (2, 1));
 }
 
-/// A machine that is cut off, or accepts and says nothing: its idle connections are not to be trusted.
+/// A server that does not respond any more: its idle connections are closed.
 #[tokio::test(flavor = "local")]
-async fn a_server_that_says_nothing_any_more_is_connected_to_anew() {
+async fn reconnects_to_unresponsive_server() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (b, request) = (backends(&listener), outgoing(0));
     let accepted = answers(listener, &[GOOD, GOOD]);
@@ -247,9 +247,9 @@
     assert_eq!((accepted.get(), closed(&b, CloseReason::Silent)), (2, 1));
 }
 
-/// The header is the simulator's figure less 1, in percent; units are the true ones.
+/// The header holds the simulator's value less 1, in percent; units are the actual ones.
 #[test]
-fn the_meter_and_the_bill_reach_the_module_in_its_units() {
+fn usage_and_billed_units_are_converted_for_engine() {
     let answer = |status: u16| {
         let answer = Response::builder().status(status).header("usage-percent", "85");
         let (head, ()) = answer.header("billed-units", "3").body(()).unwrap().into_parts();
--- a/crates/gateway/src/bodies/tests.rs
+++ b/crates/gateway/src/bodies/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn grants_are_bounded_over_all_requests_and_given_back() {
+fn grants_are_bounded_by_budget_and_returned() {
     let budget = Budget::new(SMALL_BODY_BYTES * 5);
     let mut first = budget.grant(SMALL_BODY_BYTES * 2).unwrap();
     assert!(budget.grant(SMALL_BODY_BYTES * 4).is_none());
@@ -12,7 +12,7 @@
     assert!(budget.grant(SMALL_BODY_BYTES * 5).is_some());
 }
 
-/// Sends a byte now and then, or nothing.
+/// A body that sends 16 kB at each interval.
 struct Drip(Duration, Pin<Box<Sleep>>);
 
 impl Body for Drip {
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn honest_clients_have_the_time_that_their_pace_takes_and_others_do_not() {
+async fn body_timeout_allows_minimum_pace_and_rejects_slower_clients() {
     let mut honest = Paced::new(drip(64_000), Duration::from_secs(2));
     for _ in 0..400 {
         assert!(honest.next().await.unwrap().is_ok());
@@ -46,7 +46,7 @@
         while slow.next().await.unwrap().is_ok() {}
         assert!(start.elapsed().as_secs_f64() < most, "{pace} bytes a second");
     }
-    // What is left unread here is not the client's doing.
+    // Time in which the gateway does not read does not count against the client.
     let mut late = Paced::new(drip(64_000), Duration::ZERO);
     late.waited = None;
     for _ in 0..10 {
--- a/crates/gateway/src/discovery/tests.rs
+++ b/crates/gateway/src/discovery/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn the_next_address_takes_its_turn_and_the_first_is_tried_ever_more_seldom() {
+async fn fails_over_to_next_address_and_retries_primary_with_backoff() {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let mut sources = Sources::new((1..=3).map(address).collect());
     sources.answered(false);
-    assert!(!sources.is_primary_due(), "it is the first that answers");
+    assert!(!sources.is_primary_due(), "the primary is in use");
     sources.failed(false, 0.5);
     assert_eq!(sources.current, 1);
     sources.failed(false, 0.5);
@@ -18,7 +18,7 @@
         tokio::time::advance(Duration::from_millis(10)).await;
         assert!(sources.is_primary_due());
         sources.failed(true, 0.5);
-        assert_eq!(sources.current, 2, "who answers stays");
+        assert_eq!(sources.current, 2, "the fallback that answers stays in use");
     }
     tokio::time::advance(MAX_PRIMARY_RETRY * 2).await;
     sources.answered(true);
--- a/crates/gateway/src/driver/tests.rs
+++ b/crates/gateway/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! The driver with a decision module that keeps silent or says too much.
+//! Tests of the driver with a decision engine that decides too little or too much.
 
 use crate::backends::outgoing::Outgoing;
 use crate::backends::Backends;
@@ -65,42 +65,45 @@
     }
 }
 
-/// The module ignores a class that it does not know and says nothing: the answer comes all the same.
+/// The engine ignores an unknown class and decides nothing: the driver answers the request by its deadline.
 #[tokio::test]
-async fn a_request_on_which_the_module_keeps_silent_is_answered_in_time() {
+async fn answers_request_in_time_without_engine_decision() {
     let driver = driver();
     let (r, silent) = (incoming(0), incoming(99));
     let pending = driver.submit(silent).unwrap();
     let limit = driver.state.borrow().requests[&1].deadline;
-    assert!(limit < Instant::now() + Duration::from_millis(300), "the way back takes its time");
-    assert!(driver.submit(r).is_none(), "its id is held");
+    assert!(
+        limit < Instant::now() + Duration::from_millis(300),
+        "the deadline leaves time to send the answer"
+    );
+    assert!(driver.submit(r).is_none(), "the id is still pending");
     let answer = tokio::select! {
         never = driver.run() => match never {},
         answer = pending => answer,
     };
-    assert!(matches!(answer, Answer::Refused { tried: false, .. }), "nothing was sent for it");
-    assert!(Instant::now() >= limit, "until then the module has the word");
+    assert!(matches!(answer, Answer::Refused { tried: false, .. }), "no attempt was sent");
+    assert!(Instant::now() >= limit, "the engine may decide until the deadline");
     assert!(driver.state.borrow().requests.is_empty());
 }
 
-/// Whatever the module says of it: once an attempt may have run, a request is not refused.
+/// Once an attempt may have run, the request is not refused, even if the engine rejects it.
 #[tokio::test]
-async fn a_request_that_may_have_run_is_never_refused() {
+async fn never_refuses_request_that_may_have_run() {
     let driver = driver();
     let pending = driver.submit(incoming(0)).unwrap();
     {
         let mut state = driver.state.borrow_mut();
         state.requests.get_mut(&1).unwrap().may_have_run = true;
         driver.finish(&mut state, 1, true, 0);
-        // A second final answer has nobody to go to.
+        // A second final answer is discarded.
         driver.finish(&mut state, 1, false, 0);
     }
     assert!(matches!(pending.await, Answer::Failed { timed_out: false }));
 }
 
-/// A backend's start is told in Unix milliseconds, and the module compares it with its own clock.
+/// Discovery gives a backend's start in Unix milliseconds, and the engine compares it with its own clock.
 #[test]
-fn the_clock_is_unix_time() {
+fn clock_is_unix_time() {
     let clock = Clock::new();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as Time;
     let now = Instant::now();
--- a/crates/gateway/src/figures/tests.rs
+++ b/crates/gateway/src/figures/tests.rs
@@ -4,7 +4,7 @@
 use crate::pool::close_reason::CloseReason;
 
 #[test]
-fn each_request_is_counted_once_and_outstanding_until_then() {
+fn counts_each_request_once_and_as_outstanding_until_its_end() {
     let figures = Figures::new(["look", "watch"].into_iter());
     let mut connections = PoolFigures { open: 4, idle: 1, opening: 2, peak: 6, ..PoolFigures::default() };
     connections.closed.insert(CloseReason::GivenUp, 3);
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_time_of_a_request_is_told_by_class_and_outcome() {
+async fn reports_durations_by_class_and_outcome() {
     let figures = Figures::new(["look", "watch"].into_iter());
     for ms in 1..=100 {
         let mut taken = figures.start_request(1);
@@ -55,13 +55,13 @@
     assert!(near(times[1].2.quantile(0.5), 45.0) && near(times[2].2.quantile(1.0), 100.0), "{times:?}");
     assert!(
         near(times[0].2.quantile(1.0), MAX_RECORDED_TIME.as_millis() as f64),
-        "the longest that is told apart"
+        "longer times count as the maximum"
     );
-    // Ends that lie among the times, so that one is near several of them.
+    // Bounds that lie between the recorded times, so that one bound is close to several of them.
     for ms in 1..=100 {
         let bounds = [Duration::from_millis(ms), Duration::from_micros(ms * 1000 + 300)];
         let counts = times[1].2.buckets(&bounds);
-        assert_eq!(counts.iter().sum::<u64>(), 90, "each once: {counts:?} at {ms} ms");
+        assert_eq!(counts.iter().sum::<u64>(), 90, "each request counts once: {counts:?} at {ms} ms");
     }
     let counts = times[1].2.buckets(&[Duration::from_millis(20)]);
     assert!((19..=21).contains(&counts[0]), "{counts:?}");
--- a/crates/gateway/src/inherited.rs
+++ b/crates/gateway/src/inherited.rs
@@ -57,7 +57,7 @@
 
 #[allow(unsafe_code)]
 fn adopt(fd: RawFd) -> OwnedFd {
-    // SAFETY: the descriptor is open, as the caller has checked, and was inherited for this process to own: it is
-    // adopted once, at the start, when no other part of the program holds a descriptor above 2.
+    // SAFETY: the descriptor is open, as the caller has checked, and was inherited for this process to own: it
+    // is adopted once, at the start, when no other part of the program holds a descriptor above 2.
     unsafe { OwnedFd::from_raw_fd(fd) }
 }
--- a/crates/gateway/src/openmetrics/tests.rs
+++ b/crates/gateway/src/openmetrics/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::figures::Figures;
 
-/// By the format's own rules: each sample under its family, counters end in `_total`, histograms add up, labels are
-/// escaped, and the text ends with its mark.
+/// Checks the rules of the format: each sample follows its family, counters end in `_total`, histograms add
+/// up, labels are escaped, and the text ends with its end mark.
 #[tokio::test(start_paused = true)]
-async fn the_text_is_well_formed_and_its_histograms_add_up() {
+async fn text_is_well_formed_and_histograms_add_up() {
     let odd = "a \"quoted\"\\ name\nof two lines";
     let figures = Figures::new(["look", odd].into_iter());
     for (class, ms) in [(0, 3), (0, 30), (0, 30_000), (1, 700)] {
--- a/crates/gateway/src/peer_message/tests.rs
+++ b/crates/gateway/src/peer_message/tests.rs
@@ -1,13 +1,14 @@
-//! Golden test: every message that two processes of a gateway send is read, and written byte for byte as it was.
+//! Golden test: every message between two processes of a gateway is parsed, and serialized to the same bytes.
 //!
-//! `tests/golden/peer_messages.jsonl` holds one message of each kind, with every field. The other process may be of
-//! another version, so the file must not change; a new kind gets a new line.
+//! `tests/golden/peer_messages.jsonl` holds one message of each kind, with every field. The other process may
+//! be of another version, so the file must not change; a new kind gets a new line.
 
 use super::*;
 
 const GOLDEN: &str = include_str!("../../tests/golden/peer_messages.jsonl");
 
-/// The name of a message's kind as it stands on the wire. Each kind is listed, so that a new one comes here.
+/// Returns the name of a message's kind on the wire. All kinds are listed, so that a new kind must be added
+/// here.
 fn kind(message: &PeerMessage) -> &'static str {
     match message {
         PeerMessage::Hello => "Hello",
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn every_peer_message_is_read_and_written_as_it_always_was() {
+fn peer_messages_keep_their_encoding() {
     let mut kinds = Vec::new();
     for line in GOLDEN.lines() {
         let message: PeerMessage = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
@@ -32,9 +33,9 @@
     assert_eq!(kinds, ["Hello", "State", "Ready", "Share", "Disable", "Enable", "Away"]);
 }
 
-/// A message is a line: a predecessor of any version finds its end.
+/// A message is one line, so that a process of any version finds its end.
 #[test]
-fn no_message_holds_the_end_of_a_line() {
+fn messages_contain_no_line_breaks() {
     let server: Name = "a\nb".into();
     let line = serde_json::to_string(&PeerMessage::Disable { server }).unwrap();
     assert_eq!(line, r#"{"Disable":{"server":"a\nb"}}"#);
--- a/crates/gateway/src/pool/tests.rs
+++ b/crates/gateway/src/pool/tests.rs
@@ -1,4 +1,4 @@
-//! The pool with connections that are what the test says they are, on a clock that stands still.
+//! Tests of the pool with fake connections, on a paused clock.
 
 use crate::pool::close_reason::CloseReason;
 use crate::pool::connection::{Checkout, LinkState, Open, Pooled, Reusable, Unavailable};
@@ -33,58 +33,58 @@
 }
 
 impl<O: Open> Pool<O> {
-    /// All idle connections have idled for so much longer.
+    /// Makes all idle connections appear idle for `by` longer.
     pub fn age(&self, by: Duration) {
         let mut servers = self.servers.borrow_mut();
         servers.values_mut().flat_map(|s| &mut s.idle).for_each(|p| p.last_used -= by);
     }
 }
 
-/// A connection that is what the test says it is.
+/// A fake connection whose state the test sets.
 struct Fake {
     number: usize,
     address: SocketAddr,
-    /// Which handshake it came from.
+    /// The number of the handshake that opened it.
     handshake: usize,
-    world: Rc<World>,
+    network: Rc<FakeNetwork>,
 }
 
 impl Reusable for Fake {
     fn link_state(&mut self) -> LinkState {
-        self.world.link_state.borrow()[self.number]
+        self.network.link_state.borrow()[self.number]
     }
 }
 
 impl Drop for Fake {
     fn drop(&mut self) {
-        self.world.open.borrow_mut().remove(&self.number);
+        self.network.open.borrow_mut().remove(&self.number);
     }
 }
 
 type Handshake = (SocketAddr, oneshot::Sender<io::Result<()>>);
 
 #[derive(Default)]
-struct World {
-    /// By number, of all connections that ever came up.
+struct FakeNetwork {
+    /// The state of every connection that ever opened, by number.
     link_state: RefCell<Vec<LinkState>>,
     open: RefCell<HashSet<usize>>,
     handshakes: RefCell<VecDeque<Handshake>>,
     begun: Cell<usize>,
 }
 
-impl World {
-    /// The oldest handshake under way ends.
+impl FakeNetwork {
+    /// Completes the oldest pending handshake.
     fn answers(&self, how: io::Result<()>) {
-        let (_, end) = self.handshakes.borrow_mut().pop_front().expect("one is under way");
-        end.send(how).expect("it is waited for");
+        let (_, end) = self.handshakes.borrow_mut().pop_front().expect("a handshake is pending");
+        end.send(how).expect("the handshake is awaited");
     }
 
-    fn under_way(&self) -> Vec<SocketAddr> {
+    fn pending_handshakes(&self) -> Vec<SocketAddr> {
         self.handshakes.borrow().iter().map(|h| h.0).collect()
     }
 }
 
-struct Opener(Rc<World>);
+struct Opener(Rc<FakeNetwork>);
 
 impl Open for Opener {
     type Link = Fake;
@@ -93,13 +93,13 @@
         let (end, ended) = oneshot::channel();
         let handshake = self.0.begun.replace(self.0.begun.get() + 1);
         self.0.handshakes.borrow_mut().push_back((address, end));
-        // One that nobody ever ends stays under way.
+        // A handshake that the test never completes stays pending.
         ended.await.map_err(io::Error::other)??;
         let mut link_state = self.0.link_state.borrow_mut();
         link_state.push(LinkState::Ready);
         let number = link_state.len() - 1;
         self.0.open.borrow_mut().insert(number);
-        Ok(Fake { number, address, handshake, world: self.0.clone() })
+        Ok(Fake { number, address, handshake, network: self.0.clone() })
     }
 }
 
@@ -114,20 +114,20 @@
     target(uid, address(port), boot_ms, State::Ready)
 }
 
-/// A pool of its own on a clock that stands still.
-fn with_pool<F: Future<Output = ()>>(test: impl FnOnce(Rc<Pool<Opener>>, Rc<World>) -> F) {
+/// Runs a test with a new pool on a paused clock.
+fn with_pool<F: Future<Output = ()>>(test: impl FnOnce(Rc<Pool<Opener>>, Rc<FakeNetwork>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build_local(Default::default())
         .expect("a runtime");
     runtime.block_on(async {
-        let world = Rc::new(World::default());
-        let pool = Pool::new(Opener(world.clone()), 100, CONNECT, IDLE);
-        let keeper = spawn_local(pool.clone().maintain());
+        let network = Rc::new(FakeNetwork::default());
+        let pool = Pool::new(Opener(network.clone()), 100, CONNECT, IDLE);
+        let maintenance = spawn_local(pool.clone().maintain());
         pool.update(Scope::Full, &[up("s", 1, 0), up("t", 2, 0)]);
-        test(pool, world).await;
-        keeper.abort();
+        test(pool, network).await;
+        maintenance.abort();
     });
 }
 
@@ -139,7 +139,7 @@
 
 type Take = JoinHandle<Checkout<Fake>>;
 
-/// Asks for a connection, as far as that gets by itself.
+/// Starts a checkout and lets it progress as far as it can.
 async fn ask(pool: &Rc<Pool<Opener>>, name: &str) -> Take {
     let (pool, name) = (pool.clone(), name.into());
     let task = spawn_local(async move { pool.checkout(&name).await });
@@ -147,10 +147,10 @@
     task
 }
 
-async fn opened(pool: &Rc<Pool<Opener>>, world: &World, name: &str) -> Pooled<Fake> {
+async fn opened(pool: &Rc<Pool<Opener>>, network: &FakeNetwork, name: &str) -> Pooled<Fake> {
     let task = ask(pool, name).await;
-    world.answers(Ok(()));
-    task.await.expect("no panic").expect("it comes up")
+    network.answers(Ok(()));
+    task.await.expect("no panic").expect("the connection opens")
 }
 
 fn closed(pool: &Rc<Pool<Opener>>, cause: CloseReason) -> u64 {
@@ -164,9 +164,9 @@
 // ---- Reuse ----
 
 #[test]
-fn the_connection_used_last_goes_first_and_the_others_age_out() {
-    with_pool(|pool, world| async move {
-        let (a, b) = (opened(&pool, &world, "s").await, opened(&pool, &world, "s").await);
+fn checkout_takes_most_recently_used_connection_and_others_expire() {
+    with_pool(|pool, network| async move {
+        let (a, b) = (opened(&pool, &network, "s").await, opened(&pool, &network, "s").await);
         let (first, second) = (a.link.number, b.link.number);
         pool.give_back(a);
         advance(Duration::from_millis(5)).await;
@@ -178,7 +178,7 @@
             assert_eq!((p.link.number, p.idle_time), (second, Some(Duration::from_secs(1))));
             pool.give_back(p);
         }
-        assert!(!world.open.borrow().contains(&first), "nobody asked for it in its time");
+        assert!(!network.open.borrow().contains(&first), "it was not used before its idle timeout");
         let f = pool.figures();
         assert_eq!((f.open, f.idle, f.opened, f.reused, f.waits), (1, 1, 2, 8, 2));
         assert_eq!(closed(&pool, CloseReason::Expired), 1);
@@ -186,61 +186,61 @@
 }
 
 #[test]
-fn what_comes_free_first_is_taken_and_the_handshake_in_vain_is_kept() {
-    with_pool(|pool, world| async move {
-        let busy = opened(&pool, &world, "s").await;
+fn checkout_takes_first_free_connection_and_keeps_unneeded_handshake() {
+    with_pool(|pool, network| async move {
+        let busy = opened(&pool, &network, "s").await;
         let waits = ask(&pool, "s").await;
-        assert_eq!(world.under_way().len(), 1);
+        assert_eq!(network.pending_handshakes().len(), 1);
         advance(Duration::from_millis(30)).await;
         let number = busy.link.number;
         pool.give_back(busy);
         let got = waits.await.unwrap().unwrap();
         assert_eq!((got.link.number, got.idle_time), (number, Some(Duration::ZERO)));
         assert!((30_000..33_000).contains(&pool.figures().waited_us), "{}", pool.figures());
-        world.answers(Ok(()));
+        network.answers(Ok(()));
         settle().await;
-        assert_eq!(pool.figures().idle, 1, "for the next");
+        assert_eq!(pool.figures().idle, 1, "the new connection is kept idle");
         let next = ask(&pool, "s").await.await.unwrap().unwrap();
-        assert_eq!((next.link.number, next.idle_time), (1, None), "nothing was ever written to it");
+        assert_eq!((next.link.number, next.idle_time), (1, None), "the connection has not been used before");
     });
 }
 
 #[test]
-fn a_handshake_in_vain_is_closed_where_there_is_no_room() {
-    with_pool(|pool, world| async move {
-        let busy = opened(&pool, &world, "s").await;
+fn closes_unneeded_new_connection_over_server_limit() {
+    with_pool(|pool, network| async move {
+        let busy = opened(&pool, &network, "s").await;
         let waits = ask(&pool, "s").await;
         pool.set_server_limit(&"s".into(), 1);
         pool.give_back(busy);
         let _got = waits.await.unwrap().unwrap();
-        world.answers(Ok(()));
+        network.answers(Ok(()));
         settle().await;
         assert_eq!((pool.figures().open, closed(&pool, CloseReason::Room)), (1, 1));
     });
 }
 
 #[test]
-fn when_the_client_leaves_its_handshake_serves_the_next() {
-    with_pool(|pool, world| async move {
+fn handshake_of_cancelled_checkout_serves_next_one() {
+    with_pool(|pool, network| async move {
         let left = ask(&pool, "s").await;
         left.abort();
         settle().await;
         let next = ask(&pool, "s").await;
-        assert_eq!(world.under_way().len(), 1, "one is under way, and one is enough");
-        world.answers(Ok(()));
+        assert_eq!(network.pending_handshakes().len(), 1, "no second handshake is started");
+        network.answers(Ok(()));
         assert_eq!(next.await.unwrap().unwrap().link.number, 0);
         assert_eq!(pool.figures().opened, 1);
     });
 }
 
-/// One who leaves with a connection already given to it does not take it along.
+/// An attempt is cancelled after a connection has been assigned to it: the connection returns to the pool.
 #[test]
-fn a_connection_given_to_one_who_has_left_goes_back() {
-    with_pool(|pool, world| async move {
-        let busy = opened(&pool, &world, "s").await;
+fn connection_assigned_to_cancelled_checkout_returns_to_pool() {
+    with_pool(|pool, network| async move {
+        let busy = opened(&pool, &network, "s").await;
         let waits = ask(&pool, "s").await;
         pool.give_back(busy);
-        // Before it could run.
+        // Aborted before the task could run.
         waits.abort();
         settle().await;
         assert_eq!((pool.figures().open, pool.figures().idle), (1, 1));
@@ -250,14 +250,14 @@
 // ---- Stale links ----
 
 #[test]
-fn what_the_server_closed_or_spoke_on_unasked_is_not_handed_out() {
-    with_pool(|pool, world| async move {
+fn does_not_hand_out_closed_or_broken_connections() {
+    with_pool(|pool, network| async move {
         for found in [LinkState::Closed, LinkState::Broken] {
-            let p = opened(&pool, &world, "s").await;
+            let p = opened(&pool, &network, "s").await;
             let number = p.link.number;
             pool.give_back(p);
-            world.link_state.borrow_mut()[number] = found;
-            let next = opened(&pool, &world, "s").await;
+            network.link_state.borrow_mut()[number] = found;
+            let next = opened(&pool, &network, "s").await;
             assert_ne!(next.link.number, number);
         }
         assert_eq!(closed(&pool, CloseReason::Closed), 2);
@@ -265,47 +265,47 @@
 }
 
 #[test]
-fn an_answer_that_was_the_last_ends_its_connection() {
-    with_pool(|pool, world| async move {
-        let p = opened(&pool, &world, "s").await;
-        world.link_state.borrow_mut()[p.link.number] = LinkState::Closed;
+fn closes_connection_after_last_answer() {
+    with_pool(|pool, network| async move {
+        let p = opened(&pool, &network, "s").await;
+        network.link_state.borrow_mut()[p.link.number] = LinkState::Closed;
         pool.give_back(p);
         assert_eq!((pool.figures().open, closed(&pool, CloseReason::Ended)), (0, 1));
     });
 }
 
 #[test]
-fn closes_in_time_teach_the_idle_limit_of_their_server() {
-    with_pool(|pool, world| async move {
-        // Some time passes, a close is found, a new one is opened.
+fn learns_idle_limit_from_closes_by_server() {
+    with_pool(|pool, network| async move {
+        // Twice: a connection is found closed after it was idle, and a new one is opened.
         for _ in 0..2 {
-            let p = opened(&pool, &world, "s").await;
+            let p = opened(&pool, &network, "s").await;
             let number = p.link.number;
             pool.give_back(p);
             advance(Duration::from_millis(300)).await;
-            world.link_state.borrow_mut()[number] = LinkState::Closed;
-            let p = opened(&pool, &world, "s").await;
+            network.link_state.borrow_mut()[number] = LinkState::Closed;
+            let p = opened(&pool, &network, "s").await;
             p.close(CloseReason::GivenUp);
         }
-        let p = opened(&pool, &world, "s").await;
+        let p = opened(&pool, &network, "s").await;
         pool.give_back(p);
         advance(Duration::from_millis(280)).await;
         let waits = ask(&pool, "s").await;
-        assert_eq!(closed(&pool, CloseReason::Expired), 1, "it is about to be closed");
+        assert_eq!(closed(&pool, CloseReason::Expired), 1, "the server is about to close the connection");
         waits.abort();
     });
 }
 
 #[test]
-fn a_server_that_says_nothing_loses_its_idle_connections_unless_it_spoke_elsewhere() {
-    with_pool(|pool, world| async move {
-        let (a, b) = (opened(&pool, &world, "s").await, opened(&pool, &world, "s").await);
+fn unresponsive_server_loses_idle_connections_unless_it_answered_elsewhere() {
+    with_pool(|pool, network| async move {
+        let (a, b) = (opened(&pool, &network, "s").await, opened(&pool, &network, "s").await);
         let written = Instant::now();
         advance(Duration::from_millis(50)).await;
         pool.record_answer(&a, written);
         pool.give_back(a);
         pool.handle_timeout(&"s".into(), written);
-        assert_eq!(pool.figures().idle, 1, "it answers others");
+        assert_eq!(pool.figures().idle, 1, "the server answered on another connection");
         pool.handle_timeout(&"s".into(), Instant::now() + Duration::from_millis(1));
         assert_eq!((pool.figures().idle, closed(&pool, CloseReason::Silent)), (0, 1));
         drop(b);
@@ -315,12 +315,12 @@
 // ---- The list and operators ----
 
 #[test]
-fn after_a_restart_nothing_of_the_old_process_is_handed_out_or_kept() {
+fn connections_to_old_process_are_dropped_after_restart_or_move() {
     for again in [up("s", 1, 7), up("s", 9, 0)] {
-        with_pool(|pool, world| async move {
-            let (idle, busy) = (opened(&pool, &world, "s").await, opened(&pool, &world, "s").await);
+        with_pool(|pool, network| async move {
+            let (idle, busy) = (opened(&pool, &network, "s").await, opened(&pool, &network, "s").await);
             pool.give_back(idle);
-            // A third attempt finds the idle one, a fourth is on its way to the old process.
+            // A third attempt gets the idle connection, a fourth waits for a handshake with the old process.
             let third = ask(&pool, "s").await.await.unwrap().unwrap();
             let fourth = ask(&pool, "s").await;
             pool.give_back(third);
@@ -328,19 +328,23 @@
             pool.update(Scope::Changes, std::slice::from_ref(&again));
             settle().await;
             pool.give_back(busy);
-            world.answers(Ok(()));
+            network.answers(Ok(()));
             settle().await;
             let end: SocketAddr = again.endpoint.parse().unwrap();
-            assert!(world.under_way().iter().all(|a| *a == end), "{:?}", world.under_way());
-            while !world.under_way().is_empty() {
-                world.answers(Ok(()));
+            assert!(
+                network.pending_handshakes().iter().all(|a| *a == end),
+                "{:?}",
+                network.pending_handshakes()
+            );
+            while !network.pending_handshakes().is_empty() {
+                network.answers(Ok(()));
                 settle().await;
             }
             let got = [fourth.await.unwrap().unwrap(), fifth.await.unwrap().unwrap()];
             assert!(got.iter().filter(|p| p.idle_time.is_none()).all(|p| p.link.address == end));
             assert!(
                 got.iter().any(|p| p.idle_time.is_none()),
-                "the one who waited goes on to the new process"
+                "waiting checkouts continue with the new process"
             );
             assert!(closed(&pool, CloseReason::Listed) >= 2);
             assert_eq!(pool.figures().idle, 0);
@@ -349,31 +353,31 @@
 }
 
 #[test]
-fn a_drain_or_a_ban_in_the_middle_of_a_handshake_ends_the_wait_at_once() {
+fn drain_or_disable_during_handshake_ends_wait_immediately() {
     let calls: [fn(&Rc<Pool<Opener>>); 3] = [
         |pool| pool.update(Scope::Changes, &[target("s", address(1), 0, State::Terminating)]),
         |pool| pool.update(Scope::Full, &[up("t", 2, 0)]),
         |pool| pool.disable(&"s".into()),
     ];
     for call in calls {
-        with_pool(|pool, world| async move {
+        with_pool(|pool, network| async move {
             let waits = ask(&pool, "s").await;
             call(&pool);
             assert_eq!(missing(waits.await), Unavailable::NotAccepting);
-            world.answers(Ok(()));
+            network.answers(Ok(()));
             settle().await;
             assert_eq!((pool.figures().open, closed(&pool, CloseReason::Listed)), (0, 1));
             assert_eq!(missing(ask(&pool, "s").await.await), Unavailable::NotAccepting);
-            assert!(world.under_way().is_empty());
+            assert!(network.pending_handshakes().is_empty());
         });
     }
 }
 
-/// The list speaks between the handing over and the taking.
+/// The list changes after a connection was assigned to an attempt and before the attempt takes it.
 #[test]
-fn what_was_handed_over_before_a_drain_is_not_used_after_it() {
-    with_pool(|pool, world| async move {
-        let busy = opened(&pool, &world, "s").await;
+fn connection_assigned_before_drain_is_not_used_after_it() {
+    with_pool(|pool, network| async move {
+        let busy = opened(&pool, &network, "s").await;
         let waits = ask(&pool, "s").await;
         pool.give_back(busy);
         pool.update(Scope::Changes, &[target("s", address(1), 0, State::Terminating)]);
@@ -385,37 +389,37 @@
 // ---- Limits ----
 
 #[test]
-fn at_a_servers_limit_the_next_waits_for_what_comes_free() {
-    with_pool(|pool, world| async move {
+fn checkout_at_server_limit_waits_for_free_slot() {
+    with_pool(|pool, network| async move {
         pool.set_server_limit(&"s".into(), 1);
-        let busy = opened(&pool, &world, "s").await;
+        let busy = opened(&pool, &network, "s").await;
         let (second, third) = (ask(&pool, "s").await, ask(&pool, "s").await);
-        assert!(world.under_way().is_empty());
-        let other = opened(&pool, &world, "t").await;
+        assert!(network.pending_handshakes().is_empty());
+        let other = opened(&pool, &network, "t").await;
         pool.give_back(busy);
         let busy = second.await.unwrap().unwrap();
-        assert_eq!(busy.link.number, 0, "in turn");
-        // Its place is free, not the connection.
+        assert_eq!(busy.link.number, 0, "checkouts are served in order");
+        // Only its slot becomes free: the connection itself is closed.
         busy.close(CloseReason::Broken);
         settle().await;
-        world.answers(Ok(()));
+        network.answers(Ok(()));
         assert_eq!(third.await.unwrap().unwrap().link.number, 2);
         drop(other);
     });
 }
 
 #[test]
-fn a_wait_at_the_limits_ends_in_the_time_of_a_handshake_and_is_not_the_servers_fault() {
-    with_pool(|pool, world| async move {
+fn wait_at_limits_times_out_and_is_not_blamed_on_server() {
+    with_pool(|pool, network| async move {
         pool.set_server_limit(&"s".into(), 1);
-        let busy = opened(&pool, &world, "s").await;
+        let busy = opened(&pool, &network, "s").await;
         let start = Instant::now();
         assert_eq!(missing(ask(&pool, "s").await.await), Unavailable::AtCapacity);
         assert!(start.elapsed() <= CONNECT + Duration::from_millis(2), "{:?}", start.elapsed());
         drop(busy);
         settle().await;
         let silent = ask(&pool, "s").await;
-        assert_eq!(missing(silent.await), Unavailable::ConnectTimeout, "it never came up");
+        assert_eq!(missing(silent.await), Unavailable::ConnectTimeout, "the connection was not established");
         advance(CONNECT).await;
         settle().await;
         assert_eq!((pool.figures().opening, pool.connections_to(&"s".into())), (0, 0));
@@ -423,54 +427,54 @@
 }
 
 #[test]
-fn the_longest_idle_makes_room_under_the_limit_over_all_servers() {
-    with_pool(|pool, world| async move {
+fn evicts_longest_idle_connection_at_total_limit() {
+    with_pool(|pool, network| async move {
         pool.set_limit(2);
-        let (a, b) = (opened(&pool, &world, "s").await, opened(&pool, &world, "t").await);
+        let (a, b) = (opened(&pool, &network, "s").await, opened(&pool, &network, "t").await);
         let (first, second) = (a.link.number, b.link.number);
         pool.give_back(a);
         advance(Duration::from_millis(5)).await;
         pool.give_back(b);
-        // "t" needs a second one.
+        // "t" needs a second connection.
         let one = ask(&pool, "t").await.await.unwrap().unwrap();
-        let two = opened(&pool, &world, "t").await;
+        let two = opened(&pool, &network, "t").await;
         assert_eq!(one.link.number, second);
-        assert!(!world.open.borrow().contains(&first));
+        assert!(!network.open.borrow().contains(&first));
         assert_eq!(closed(&pool, CloseReason::Room), 1);
         pool.give_back(two);
         pool.set_limit(1);
-        assert_eq!(pool.figures().open, 1, "what is idle goes, what is in use stays");
+        assert_eq!(pool.figures().open, 1, "idle connections are closed, those in use stay");
         drop(one);
     });
 }
 
 #[test]
-fn a_refused_handshake_ends_the_longest_wait_and_leaves_the_others_theirs() {
-    with_pool(|pool, world| async move {
+fn refused_handshake_fails_only_longest_waiting_checkout() {
+    with_pool(|pool, network| async move {
         let (first, second) = (ask(&pool, "s").await, ask(&pool, "s").await);
-        world.answers(Err(io::ErrorKind::ConnectionRefused.into()));
+        network.answers(Err(io::ErrorKind::ConnectionRefused.into()));
         assert_eq!(missing(first.await), Unavailable::Refused);
-        world.answers(Ok(()));
+        network.answers(Ok(()));
         assert!(second.await.unwrap().is_ok());
         assert_eq!(pool.figures().failed, 1);
     });
 }
 
 #[test]
-fn out_of_descriptors_idle_connections_make_room_and_nothing_leaks() {
-    with_pool(|pool, world| async move {
-        let spare = opened(&pool, &world, "t").await;
+fn evicts_idle_connections_when_out_of_descriptors_without_leaks() {
+    with_pool(|pool, network| async move {
+        let spare = opened(&pool, &network, "t").await;
         pool.give_back(spare);
         let out = || io::Error::from_raw_os_error(24);
         let waits = ask(&pool, "s").await;
-        world.answers(Err(out()));
+        network.answers(Err(out()));
         settle().await;
         assert_eq!(closed(&pool, CloseReason::Room), 1);
-        world.answers(Ok(()));
+        network.answers(Ok(()));
         let got = waits.await.unwrap().unwrap();
         let waits = ask(&pool, "t").await;
-        world.answers(Err(out()));
-        assert_eq!(missing(waits.await), Unavailable::OutOfDescriptors, "nothing is idle any more");
+        network.answers(Err(out()));
+        assert_eq!(missing(waits.await), Unavailable::OutOfDescriptors, "no idle connection is left");
         drop(got);
         let f = pool.figures();
         assert_eq!((f.open, f.opening, pool.counts.total.get()), (0, 0, 0));
@@ -482,19 +486,19 @@
 #[derive(Clone, Debug)]
 enum Step {
     Ask(usize),
-    /// One who waits leaves.
-    Leave(usize),
+    /// A waiting attempt is cancelled.
+    Cancel(usize),
     Handshake(usize, u8),
-    /// An attempt ends: its connection goes back, or not.
+    /// An attempt ends: its connection is returned or broken.
     End(usize, bool),
-    /// A server closes a connection, or speaks unasked.
+    /// A server closes a connection, or sends unexpected data.
     Server(usize, bool),
-    Pass(u64),
-    MostAt(usize, usize),
-    Most(usize),
-    /// What the list says: ready, draining, gone, moved or restarted.
+    Advance(u64),
+    ServerLimit(usize, usize),
+    TotalLimit(usize),
+    /// An update of the list: ready, draining, gone, moved or restarted.
     List(usize, u8),
-    Ban(usize, bool),
+    Disable(usize, bool),
 }
 
 const SERVERS: [&str; 3] = ["s", "t", "u"];
@@ -503,33 +507,33 @@
     let (one, some) = (0..SERVERS.len(), 0..8usize);
     prop_oneof![
         6 => one.clone().prop_map(Step::Ask),
-        1 => some.clone().prop_map(Step::Leave),
+        1 => some.clone().prop_map(Step::Cancel),
         5 => (some.clone(), 0..6u8).prop_map(|(n, how)| Step::Handshake(n, how)),
         5 => (some.clone(), any::<bool>()).prop_map(|(n, back)| Step::End(n, back)),
         1 => (some.clone(), any::<bool>()).prop_map(|(n, closes)| Step::Server(n, closes)),
-        2 => (0..2500u64).prop_map(Step::Pass),
-        1 => (one.clone(), 1..4usize).prop_map(|(s, n)| Step::MostAt(s, n)),
-        1 => (1..7usize).prop_map(Step::Most),
+        2 => (0..2500u64).prop_map(Step::Advance),
+        1 => (one.clone(), 1..4usize).prop_map(|(s, n)| Step::ServerLimit(s, n)),
+        1 => (1..7usize).prop_map(Step::TotalLimit),
         2 => (one.clone(), 0..5u8).prop_map(|(s, what)| Step::List(s, what)),
-        1 => (one, any::<bool>()).prop_map(|(s, on)| Step::Ban(s, on)),
+        1 => (one, any::<bool>()).prop_map(|(s, on)| Step::Disable(s, on)),
     ]
 }
 
-/// What the test knows of a server.
+/// The expected state of a server.
 #[derive(Clone)]
-struct Known {
+struct ExpectedServer {
     address: SocketAddr,
     boot_ms: u64,
     ready: bool,
     disabled: bool,
     most: usize,
-    /// Handshakes that had begun by its last change.
+    /// The number of handshakes that had begun at its last change.
     since: usize,
 }
 
-async fn play(steps: Vec<Step>, pool: Rc<Pool<Opener>>, world: Rc<World>) {
-    let mut known: Vec<Known> = (0..SERVERS.len())
-        .map(|n| Known {
+async fn play(steps: Vec<Step>, pool: Rc<Pool<Opener>>, network: Rc<FakeNetwork>) {
+    let mut known: Vec<ExpectedServer> = (0..SERVERS.len())
+        .map(|n| ExpectedServer {
             address: address(n as u16 + 1),
             boot_ms: 0,
             ready: true,
@@ -538,7 +542,7 @@
             since: 0,
         })
         .collect();
-    let list = |n: usize, k: &Known, state| target(SERVERS[n], k.address, k.boot_ms, state);
+    let list = |n: usize, k: &ExpectedServer, state| target(SERVERS[n], k.address, k.boot_ms, state);
     let all: Vec<Target> = known.iter().enumerate().map(|(n, k)| list(n, k, State::Ready)).collect();
     pool.update(Scope::Full, &all);
     let (mut most, mut port) = (100, 100);
@@ -552,7 +556,7 @@
                 let task = ask(&pool, SERVERS[*s]).await;
                 waiting.push((*s, task));
             }
-            Step::Leave(n) if *n < waiting.len() => {
+            Step::Cancel(n) if *n < waiting.len() => {
                 let (_, task) = waiting.remove(*n);
                 if !task.is_finished() {
                     task.abort();
@@ -560,8 +564,8 @@
                     held.push(p);
                 }
             }
-            Step::Handshake(n, how) if *n < world.under_way().len() => {
-                let (_, end) = world.handshakes.borrow_mut().remove(*n).expect("seen");
+            Step::Handshake(n, how) if *n < network.pending_handshakes().len() => {
+                let (_, end) = network.handshakes.borrow_mut().remove(*n).expect("seen");
                 let _ = end.send(match how {
                     0 => Err(io::ErrorKind::ConnectionRefused.into()),
                     1 => Err(io::Error::from_raw_os_error(24)),
@@ -578,16 +582,16 @@
             }
             Step::Server(n, closes) => {
                 let found = if *closes { LinkState::Closed } else { LinkState::Broken };
-                if let Some(f) = world.link_state.borrow_mut().get_mut(*n) {
+                if let Some(f) = network.link_state.borrow_mut().get_mut(*n) {
                     *f = found;
                 }
             }
-            Step::Pass(ms) => advance(Duration::from_millis(*ms)).await,
-            Step::MostAt(s, n) => {
+            Step::Advance(ms) => advance(Duration::from_millis(*ms)).await,
+            Step::ServerLimit(s, n) => {
                 known[*s].most = *n;
                 pool.set_server_limit(&SERVERS[*s].into(), *n);
             }
-            Step::Most(n) => {
+            Step::TotalLimit(n) => {
                 most = *n;
                 pool.set_limit(*n);
             }
@@ -601,24 +605,24 @@
                     _ => {}
                 }
                 if *what != 0 {
-                    k.since = world.begun.get();
+                    k.since = network.begun.get();
                 }
                 let state = [State::Ready, State::Terminating, State::Gone, State::Ready, State::Ready];
                 pool.update(Scope::Changes, &[list(*s, k, state[*what as usize])]);
             }
-            Step::Ban(s, on) => {
+            Step::Disable(s, on) => {
                 known[*s].disabled = *on;
                 if *on {
-                    known[*s].since = world.begun.get();
+                    known[*s].since = network.begun.get();
                     pool.disable(&SERVERS[*s].into());
                 } else {
                     pool.enable(&SERVERS[*s].into());
                 }
             }
-            Step::Leave(_) | Step::Handshake(..) | Step::End(..) => {}
+            Step::Cancel(_) | Step::Handshake(..) | Step::End(..) => {}
         }
         settle().await;
-        // What attempts got: fit, of the server as it is now, and nobody else's.
+        // Each attempt got a ready connection to the current server, which no other attempt holds.
         let (done, open): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(_, t)| t.is_finished());
         waiting = open;
         for (s, task) in done {
@@ -626,20 +630,20 @@
                 let k = &known[s];
                 assert!(k.ready && !k.disabled && p.link.address == k.address, "after {step:?}");
                 assert!(p.link.handshake >= k.since, "after {step:?}");
-                assert_eq!(world.link_state.borrow()[p.link.number], LinkState::Ready, "after {step:?}");
+                assert_eq!(network.link_state.borrow()[p.link.number], LinkState::Ready, "after {step:?}");
                 assert!(p.idle_time.is_none_or(|idle| idle < IDLE), "after {step:?}");
                 assert!(held.iter().all(|h| h.link.number != p.link.number), "after {step:?}");
                 held.push(p);
             }
         }
-        // The counts are what is there.
+        // The counts match the connections.
         let f = pool.figures();
-        assert_eq!(f.open, world.open.borrow().len(), "after {step:?}");
+        assert_eq!(f.open, network.open.borrow().len(), "after {step:?}");
         assert_eq!(f.open, f.idle + held.len(), "after {step:?}");
         let closed: u64 = f.closed.values().sum();
         assert_eq!(f.opened, f.open as u64 + closed, "after {step:?}");
         assert_eq!(pool.counts.total.get(), f.open + f.opening, "after {step:?}");
-        // No limit is passed, and one that has been lowered is neared.
+        // No limit is exceeded, and the number of connections does not grow above a limit that was lowered.
         assert!(pool.counts.total.get() <= most.max(all_before), "after {step:?}");
         for (n, name) in SERVERS.iter().enumerate() {
             let now = pool.connections_to(&(*name).into());
@@ -647,7 +651,8 @@
             let (opening, line, usable) = {
                 let servers = pool.servers.borrow();
                 let Some(s) = servers.get(*name) else {
-                    // Forgotten with its limit: whoever names it again tells that again.
+                    // The pool forgot this server and its limit; the engine sets the limit again when the
+                    // server is listed again.
                     known[n].most = usize::MAX;
                     continue;
                 };
@@ -655,9 +660,13 @@
                 let line = s.waiting.iter().filter(|w| !w.is_closed()).count();
                 (s.opening.get(), line, pool.usable(&(*name).into(), s))
             };
-            // Nobody waits where a connection could be opened, or for a server that wants nothing.
+            // No attempt waits while a connection could be opened for it, or for a server that accepts no
+            // requests.
             let full = now >= known[n].most || pool.counts.total.get() >= most && f.idle == 0;
-            assert!(line <= opening || usable && full, "{name} after {step:?}: {line} wait, {opening}");
+            assert!(
+                line <= opening || usable && full,
+                "{name} after {step:?}: {line} waiting, {opening} being opened"
+            );
         }
     }
     held.clear();
@@ -665,11 +674,11 @@
 }
 
 #[test]
-fn no_sequence_breaks_counts_limits_or_the_state_of_what_is_handed_out() {
+fn random_sequences_keep_counts_limits_and_connection_states() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let run = runner.run(&vec(step(), 1..80), |steps| {
-        with_pool(|pool, world| play(steps, pool, world));
+        with_pool(|pool, network| play(steps, pool, network));
         Ok(())
     });
     run.unwrap_or_else(|e| panic!("{e}"));
--- a/crates/gateway/src/staleness/tests.rs
+++ b/crates/gateway/src/staleness/tests.rs
@@ -6,9 +6,9 @@
     Duration::from_millis(ms)
 }
 
-/// Chance breaks, shorter idling and what was learnt long ago leave connections in use.
+/// Occasional breaks, shorter idle times and old observations do not limit the reuse of connections.
 #[test]
-fn only_what_breaks_often_and_of_late_counts_as_stale() {
+fn limits_idle_time_only_after_frequent_recent_breaks() {
     let start = Instant::now();
     let (mut own, mut fleet) = (Staleness::new(start), Staleness::new(start));
     for n in 0..20 {
@@ -21,27 +21,27 @@
     }
     assert_eq!(own.limit(&mut fleet, start), ms(64));
     let later = start + Duration::from_secs(600);
-    assert_eq!(own.limit(&mut fleet, later), Duration::MAX, "it is tried again");
+    assert_eq!(own.limit(&mut fleet, later), Duration::MAX, "idle connections are tried again");
 }
 
-/// Resets under requests hit new connections as often as old ones: idling is not to blame.
+/// Resets during requests affect new connections as often as old ones, so idling is not the cause.
 #[test]
-fn what_breaks_on_new_connections_as_well_teaches_no_limit() {
+fn ignores_breaks_that_new_connections_have_too() {
     let start = Instant::now();
     let (mut own, mut fleet) = (Staleness::new(start), Staleness::new(start));
     for n in 0..30 {
         own.record(ms(100), n % 3 == 0, start);
     }
-    assert_eq!(own.limit(&mut fleet, start), ms(64), "nothing is known of new ones");
+    assert_eq!(own.limit(&mut fleet, start), ms(64), "there are no observations of new connections");
     for n in 0..30 {
         own.record(ms(0), n % 3 == 1, start);
     }
     assert_eq!(own.limit(&mut fleet, start), Duration::MAX);
 }
 
-/// One server's habit is its own; a server seldom seen starts from what the others taught.
+/// Each server has its own limit; a server with few observations starts from those of the others.
 #[test]
-fn each_server_has_a_limit_of_its_own_and_the_fleets_to_begin_with() {
+fn each_server_has_its_own_limit_and_starts_from_the_others() {
     let start = Instant::now();
     let (mut quick, mut slow, mut seldom) =
         (Staleness::new(start), Staleness::new(start), Staleness::new(start));
@@ -53,10 +53,10 @@
         }
     }
     assert_eq!(quick.limit(&mut fleet, start), ms(256));
-    assert_eq!(slow.limit(&mut fleet, start), Duration::MAX, "it never broke one");
-    assert_eq!(seldom.limit(&mut fleet, start), Duration::MAX, "half of four may be chance");
+    assert_eq!(slow.limit(&mut fleet, start), Duration::MAX, "this server broke no connection");
+    assert_eq!(seldom.limit(&mut fleet, start), Duration::MAX, "two breaks of four may be chance");
     for _ in 0..30 {
         fleet.record(ms(300), true, start);
     }
-    assert_eq!(seldom.limit(&mut fleet, start), ms(256), "most of the others' do");
+    assert_eq!(seldom.limit(&mut fleet, start), ms(256), "most connections of the others break");
 }
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Large bodies, slow ones, and every framing that HTTP/1.1 has.
+//! Large bodies, slow bodies, and every framing of HTTP/1.1.
 
 use gateway_test_support::{ask, list, ok, say, Backend, Discovery, Gateway, Setup};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,7 +16,7 @@
     gateway
 }
 
-/// Bytes of which no part is like another.
+/// Returns bytes without repeated parts.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n ^ (n >> 8) ^ (n >> 16)) as u8).collect()
 }
@@ -25,22 +25,22 @@
     ask(class).text().replace("Content-Length: 5\r\n\r\nhello", &format!("{framing}\r\n\r\n"))
 }
 
-/// Reads from a client's side up to the end of the connection.
-fn to_the_end(client: &mut gateway_test_support::Client) -> Vec<u8> {
+/// Reads a client's connection to its end.
+fn read_to_end_of_connection(client: &mut gateway_test_support::Client) -> Vec<u8> {
     let mut all = Vec::new();
     let _ = client.stream.read_to_end(&mut all);
     all
 }
 
 #[test]
-fn a_large_answer_goes_on_as_it_comes() {
+fn streams_large_answer() {
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |_, s| {
         let body = pattern(LARGE);
         say(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n"));
         let first = s.write_all(&body[..LARGE / 2]).is_ok();
-        // The rest only comes once the client has read the first half.
+        // The rest is sent only after the client has read the first half.
         first && wait.lock().expect("kept").recv().is_ok() && s.write_all(&body[LARGE / 2..]).is_ok()
     });
     let gateway = start(&backend);
@@ -55,7 +55,7 @@
         }
         let mut got = vec![0; LARGE / 2];
         reader.read_exact(&mut got).expect("the first half");
-        assert_eq!(gateway.figure("/outstanding"), 1, "it has not ended");
+        assert_eq!(gateway.figure("/outstanding"), 1, "the request has not ended");
         go.send(()).expect("the backend waits");
         let mut rest = vec![0; LARGE - LARGE / 2];
         reader.read_exact(&mut rest).expect("the rest");
@@ -63,12 +63,12 @@
         assert!(got == pattern(LARGE), "unchanged");
         while gateway.figure("/outstanding") > 0 {}
         assert_eq!((gateway.figure("/succeeded/quote"), gateway.figure("/aborted/quote")), (n, 0));
-        assert_eq!(backend.next().connection, 0, "the connection is used again");
+        assert_eq!(backend.next().connection, 0, "the connection is reused");
     }
 }
 
 #[test]
-fn a_large_answer_that_breaks_off_is_seen_to_be_broken() {
+fn truncated_large_answer_is_truncated_for_the_client() {
     for framing in [format!("Content-Length: {LARGE}"), "Transfer-Encoding: chunked".to_string()] {
         let head = format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n");
         let chunked = framing.contains("chunked");
@@ -82,17 +82,21 @@
         let gateway = start(&backend);
         let mut client = gateway.client();
         client.send(&ask("quote").text());
-        let got = to_the_end(&mut client);
+        let got = read_to_end_of_connection(&mut client);
         assert!(got.starts_with(b"HTTP/1.1 200") && got.len() < LARGE / 8, "{}", got.len());
-        assert!(!got.ends_with(b"0\r\n\r\n"), "no end is made up");
+        assert!(!got.ends_with(b"0\r\n\r\n"), "the answer does not look complete");
         while gateway.figure("/outstanding") > 0 {}
         assert_eq!((gateway.figure("/succeeded/quote"), gateway.figure("/aborted/quote")), (0, 1));
-        assert_eq!(backend.requests.try_iter().count(), 1, "what has gone on is not asked for again");
+        assert_eq!(
+            backend.requests.try_iter().count(),
+            1,
+            "an answer that was passed on is not requested again"
+        );
     }
 }
 
 #[test]
-fn answers_in_every_form_come_back_unchanged() {
+fn relays_answers_in_every_framing() {
     let forms = [
         "HTTP/1.1 200 OK\r\n\r\nabcde",
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabcde",
@@ -104,7 +108,7 @@
     let next = AtomicUsize::new(0);
     let backend = Backend::new(move |_, s| {
         let form = forms[next.fetch_add(1, Ordering::SeqCst)];
-        // In pieces cut anywhere.
+        // Sent in small pieces that ignore the structure of the answer.
         form.as_bytes().chunks(7).all(|piece| s.write_all(piece).is_ok()) && !form.contains("\r\n\r\nabcde")
             || form.contains("Content-Length")
     });
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_large_body_is_relayed_unchanged() {
+fn relays_large_body_unchanged() {
     let backend = Backend::good();
     let gateway = start(&backend);
     let mut client = gateway.client();
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn a_chunked_body_with_trailers_is_sent_on_whole() {
+fn forwards_chunked_body_with_trailers() {
     let backend = Backend::good();
     let gateway = start(&backend);
     let mut client = gateway.client();
@@ -145,8 +149,8 @@
 }
 
 #[test]
-fn a_body_that_is_held_may_go_out_again_and_a_relayed_one_may_not() {
-    // First attempts earn what further ones cost.
+fn retries_buffered_body_but_not_relayed_one() {
+    // First attempts add to the retry budget that further attempts use.
     let breaks = std::sync::Arc::new(AtomicBool::new(false));
     let once = breaks.clone();
     let backend = Backend::new(move |_, s| !once.swap(false, Ordering::SeqCst) && ok(s, "x"));
@@ -169,7 +173,7 @@
 const SMALL: usize = 200_000;
 
 #[test]
-fn one_that_waits_to_be_told_to_go_on_is_told_unless_its_head_is_bad() {
+fn answers_100_continue_unless_head_is_invalid() {
     let backend = Backend::good();
     let gateway = start(&backend);
     let head = with_body("book-slot", "Expect: 100-continue\r\nContent-Length: 5");
@@ -181,7 +185,7 @@
 }
 
 #[test]
-fn a_body_over_32_mb_is_turned_away_before_it_comes() {
+fn rejects_body_over_32_mb_before_it_is_sent() {
     let backend = Backend::good();
     let gateway = start(&backend);
     let mut client = gateway.client();
@@ -191,7 +195,7 @@
 }
 
 #[test]
-fn a_client_that_breaks_off_its_large_body_leaves_no_request_behind() {
+fn aborted_large_body_ends_the_attempt() {
     let (seen, gone) = channel();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -211,13 +215,13 @@
     client.write_all(head.as_bytes()).expect("the gateway reads");
     client.write_all(&pattern(LARGE / 2)).expect("the gateway reads");
     drop(client);
-    let got = gone.recv_timeout(gateway_test_support::LIMIT).expect("the attempt ends with it");
+    let got = gone.recv_timeout(gateway_test_support::LIMIT).expect("the attempt ends with the client");
     assert!(got < LARGE, "{got} bytes");
-    assert_eq!(gateway.figure("/forwards"), 0, "it was never whole");
+    assert_eq!(gateway.figure("/forwards"), 0, "the request was never written completely");
 }
 
 #[test]
-fn a_request_in_absolute_form_goes_on_in_origin_form() {
+fn forwards_absolute_form_request_in_origin_form() {
     let backend = Backend::good();
     let gateway = start(&backend);
     let text = ask("quote").text().replace("GET /api", "GET http://origin.svc/api");
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Whatever TOML passes the check starts a gateway; whatever does not changes nothing at one that runs.
+//! Random TOML files: a gateway starts with every file that passes the check, and a running gateway ignores
+//! every file that does not.
 
 use gateway_test_support::{ask, file, list, Backend, Discovery, Gateway, Setup};
 use proptest::prelude::*;
@@ -8,7 +9,8 @@
 use std::fs;
 use std::time::Duration;
 
-/// Values of a key: some within its range, some at its ends, some beyond or of another kind.
+/// Values of a key: mostly valid ones, including the bounds, and some that are out of range or of another
+/// type.
 fn value(good: &'static [&'static str], bad: &'static [&'static str]) -> impl Strategy<Value = &'static str> {
     prop_oneof![24 => prop::sample::select(good), 1 => prop::sample::select(bad)]
 }
@@ -18,7 +20,7 @@
 const RATE: &[&str] = &["0", "0.01", "1000", "1e9"];
 const NO_RATE: &[&str] = &["-0.1", "inf", "nan", "true", "1e10"];
 
-/// A file, of lines for each of its tables.
+/// A random configuration file.
 fn files() -> impl Strategy<Value = String> {
     let head = (
         value(&["\"127.0.0.1:0\""], &["\"nowhere\"", "5", "\"127.0.0.1\""]),
@@ -64,7 +66,7 @@
 }
 
 fn run(cases: u32, test: impl Fn(String)) {
-    // A case that fails waits for a line of the log: to look for smaller ones would take too long.
+    // A failing case waits for a log line, so shrinking would take too long.
     let config = Cases { cases, max_shrink_iters: 0, failure_persistence: None, ..Cases::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let result = runner.run(&files(), |text| {
@@ -77,46 +79,46 @@
 fn load(text: &str) -> Result<Config, String> {
     let path = file("toml", &text.replace("DISCOVERY", "127.0.0.1:1"));
     let config = config::load(&path, |_| None).map_err(|wrong| wrong.to_string());
-    fs::remove_file(path).expect("it is there");
+    fs::remove_file(path).expect("the file exists");
     config
 }
 
-/// Starts, takes a connection and ends.
-async fn live(config: Config) {
-    let host = Host::start(config, None).await.expect("what was checked starts");
+/// Starts a gateway, accepts a connection and ends.
+async fn run_briefly(config: Config) {
+    let host = Host::start(config, None).await.expect("a valid configuration starts");
     let address = host.clients().expect("an address");
     let asks = async move {
-        let stream = tokio::net::TcpStream::connect(address).await.expect("it accepts");
-        stream.writable().await.expect("it is up");
+        let stream = tokio::net::TcpStream::connect(address).await.expect("the gateway accepts");
+        stream.writable().await.expect("the connection is open");
         tokio::time::sleep(Duration::from_millis(5)).await;
     };
-    host.serve(asks).await.expect("it ends as it should");
+    host.serve(asks).await.expect("the gateway ends without error");
 }
 
 #[test]
-fn what_passes_the_check_starts_a_gateway() {
+fn valid_configuration_starts_a_gateway() {
     let (good, bad) = (Cell::new(0), Cell::new(0));
     run(400, |text| match load(&text) {
         Err(_) => bad.set(bad.get() + 1),
         Ok(config) => {
             good.set(good.get() + 1);
-            // The drain takes its half second: a few live whole, the others begin.
+            // The drain takes half a second: only a few gateways run completely, the others only start.
             let whole = good.get() % 20 == 0;
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
             runtime.expect("an event loop").block_on(async {
                 match whole {
-                    true => live(config).await,
-                    false => drop(Host::start(config, None).await.expect("what was checked starts")),
+                    true => run_briefly(config).await,
+                    false => drop(Host::start(config, None).await.expect("a valid configuration starts")),
                 }
             });
         }
     });
-    assert!(good.get() > 50 && bad.get() > 50, "{good:?} started, {bad:?} refused");
+    assert!(good.get() > 50 && bad.get() > 50, "{good:?} started, {bad:?} rejected");
 }
 
 #[test]
-fn what_fails_the_check_changes_nothing_at_a_hangup() {
+fn reload_ignores_invalid_configuration() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup::default());
@@ -124,7 +126,8 @@
     let whole = gateway.configuration();
     let (good, bad) = (Cell::new(0), Cell::new(0));
     let mut client = gateway.client();
-    // The gateway's file is the platform's, of which the same checks tell bad values; its name ends in .json.
+    // The gateway's file has the platform's JSON form, for which the same checks report invalid values; its
+    // name ends in .json.
     let at = format!("\"{}\"", discovery.address);
     for (from, to) in [
         ("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"x\""),
@@ -149,7 +152,7 @@
         toml.reconfigure(&text.replace("DISCOVERY", &discovery.address.to_string()));
         toml.logs(if passes { "configuration read again" } else { "the old one stands" });
     });
-    assert!(good.get() > 5 && bad.get() > 5, "{good:?} taken, {bad:?} refused");
+    assert!(good.get() > 5 && bad.get() > 5, "{good:?} applied, {bad:?} rejected");
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     assert_eq!(toml.client().ask(&ask("quote").text()).status(), 200);
 }
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -1,4 +1,5 @@
-//! What is still owed when something ends: real connections, and the bad order every time.
+//! What clients still get when something ends: tests on real connections that force the unfavourable order of
+//! events.
 
 use gateway_test_support::{ask, crowded, list, ok, say, Ask, Backend, Discovery, Gateway, Setup, LIMIT};
 use std::io::{Read, Write};
@@ -8,48 +9,49 @@
 use std::time::{Duration, Instant};
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
-/// What may pass after a client's time before a request without an end counts as lost.
-const LOST: Duration = Duration::from_millis(500);
-/// After SIGTERM the process goes on for so long at least: the longest deadline, of which 3 s count, and some room.
-const EXIT: Duration = Duration::from_millis(3600);
+/// The time after a client's timeout from which a request without an end counts as lost.
+const LOST_MARGIN: Duration = Duration::from_millis(500);
+/// The least time that the process continues after SIGTERM: the longest deadline, counted up to 3 s, and a
+/// margin.
+const MIN_EXIT_TIME: Duration = Duration::from_millis(3600);
 
-fn one(backend: &Backend) -> Discovery {
+fn discovery_with(backend: &Backend) -> Discovery {
     Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]))
 }
 
-/// The class `book-slot` has a deadline of 10 s.
-fn patient() -> Setup {
+/// A setup in which the class `book-slot` has a deadline of 10 s.
+fn with_long_deadline() -> Setup {
     let long = r#""name":"book-slot","on_time":750000000,"deadline":10000000000"#;
     let changed = vec![(r#""name":"book-slot","on_time":750000000,"deadline":2500000000"#, long)];
     Setup { changed, ..Setup::default() }
 }
 
-fn lasting(class: &'static str, timeout: &'static str) -> Ask {
+fn with_timeout(class: &'static str, timeout: &'static str) -> Ask {
     Ask { timeout, ..ask(class) }
 }
 
-/// Takes requests and says nothing until the test ends.
-fn hanging() -> Backend {
+/// A backend that accepts requests and does not answer until the test ends.
+fn unresponsive_backend() -> Backend {
     Backend::new(|_, _| {
         std::thread::sleep(LIMIT);
         false
     })
 }
 
-/// All that comes until the connection ends, and when it does.
-fn to_the_end(stream: &mut TcpStream) -> (Vec<u8>, Instant) {
+/// Returns everything that arrives until the connection ends, and the time of its end.
+fn read_to_end_of_connection(stream: &mut TcpStream) -> (Vec<u8>, Instant) {
     let (mut all, mut part, begun) = (Vec::new(), [0; 4096], Instant::now());
     loop {
         assert!(begun.elapsed() < LIMIT, "the connection ends");
         match stream.read(&mut part) {
             Ok(n @ 1..) => all.extend_from_slice(&part[..n]),
             Ok(0) => return (all, Instant::now()),
-            Err(e) => panic!("the connection ends in order: {e}, after {} bytes", all.len()),
+            Err(e) => panic!("the connection did not end in order: {e}, after {} bytes", all.len()),
         }
     }
 }
 
-/// Waits until nobody listens there any more.
+/// Waits until the listener is closed.
 fn until_closed(gateway: &Gateway) {
     let begun = Instant::now();
     while TcpStream::connect(gateway.address).is_ok() {
@@ -60,19 +62,20 @@
 
 // ---- SIGTERM and the exit ----
 
-/// The server hangs, and the client's time outlasts the process: the answer comes before the exit, not never.
+/// The backend does not answer, and the client's timeout is longer than the process will run: the client gets
+/// an answer before the exit.
 #[test]
-fn a_request_with_more_time_than_the_process_has_is_answered_before_the_exit() {
-    let backend = hanging();
-    let discovery = one(&backend);
-    let mut gateway = Gateway::with(&discovery, patient());
+fn answers_request_with_long_timeout_before_exit() {
+    let backend = unresponsive_backend();
+    let discovery = discovery_with(&backend);
+    let mut gateway = Gateway::with(&discovery, with_long_deadline());
     discovery.called(2);
     let (mut before, mut after) = (gateway.client(), gateway.client());
     assert_eq!(after.ask(READY).status(), 200);
-    before.send(&lasting("book-slot", "9.0").text());
+    before.send(&with_timeout("book-slot", "9.0").text());
     backend.next();
-    // Begun before, whole after: the connection stays open for it.
-    let late = lasting("book-slot", "9.0").text();
+    // A request that begins to arrive before the signal and is complete after it: its connection stays open.
+    let late = with_timeout("book-slot", "9.0").text();
     after.send(&late[..40]);
     assert_eq!(gateway.client().ask(READY).status(), 200);
     gateway.signal("-TERM");
@@ -81,17 +84,21 @@
     after.send(&late[40..]);
     for client in [&mut before, &mut after] {
         let answer = client.answer();
-        assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")), "it may have run");
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (504, Some("close")),
+            "the request may have run"
+        );
     }
-    assert!(told.elapsed() < EXIT, "{:?}", told.elapsed());
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(told.elapsed() < MIN_EXIT_TIME, "{:?}", told.elapsed());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
-/// A body that comes too slowly to be whole by the exit.
+/// The body arrives too slowly to be complete by the exit.
 #[test]
-fn a_body_that_is_not_whole_by_the_exit_is_answered_before_it() {
+fn answers_request_with_incomplete_body_before_exit() {
     let backend = Backend::good();
-    let mut gateway = Gateway::start(&one(&backend));
+    let mut gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     let head =
         ask("book-slot").text().replace("Content-Length: 5\r\n\r\nhello", "Content-Length: 900000\r\n\r\n");
@@ -101,7 +108,7 @@
     gateway.signal("-TERM");
     gateway.logs("draining");
     let mut writer = client.stream.try_clone().expect("a second handle");
-    // At the pace of an honest client, until it reads its answer.
+    // Sends at the pace of a well-behaved client, until the client has its answer.
     let slow = std::thread::spawn(move || {
         while writer.write_all(&[b'x'; 6400]).is_ok() {
             std::thread::sleep(Duration::from_millis(100));
@@ -109,14 +116,14 @@
     });
     let answer = client.answer();
     assert!(matches!(answer.status(), 429 | 503 | 504), "{answer:?}");
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
     drop(client);
     let _ = slow.join();
 }
 
-/// What a server still gives is not cut off by the exit: whoever ends the process by force does.
+/// The exit does not cut off an answer that the backend is still sending; only killing the process does.
 #[test]
-fn a_large_answer_that_outlasts_the_drain_comes_whole() {
+fn large_answer_that_outlasts_the_drain_is_complete() {
     const HALF: usize = 100_000;
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
@@ -125,28 +132,29 @@
         let half = [b'x'; HALF];
         s.write_all(&half).is_ok() && wait.lock().expect("kept").recv().is_ok() && s.write_all(&half).is_ok()
     });
-    let mut gateway = Gateway::start(&one(&backend));
+    let mut gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     client.send(&ask("quote").text());
     let mut first = vec![0; HALF];
     client.stream.read_exact(&mut first).expect("the first half");
     gateway.signal("-TERM");
     gateway.logs("draining");
-    std::thread::sleep(EXIT + Duration::from_millis(200));
+    std::thread::sleep(MIN_EXIT_TIME + Duration::from_millis(200));
     go.send(()).expect("the backend waits");
-    let (rest, _) = to_the_end(&mut client.stream);
+    let (rest, _) = read_to_end_of_connection(&mut client.stream);
     let all = [first, rest].concat();
     assert!(all.starts_with(b"HTTP/1.1 200") && all.len() > 2 * HALF, "{} bytes", all.len());
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
-/// New connections whose first request crosses what ends: the signal, and the end of the listener.
+/// New connections whose first request arrives during the shutdown: after the signal, and after the listener
+/// has closed.
 #[test]
-fn a_new_connection_gets_its_answer_whenever_its_request_comes() {
+fn new_connection_gets_an_answer_during_shutdown() {
     let backend = Backend::good();
-    let mut gateway = Gateway::start(&one(&backend));
+    let mut gateway = Gateway::start(&discovery_with(&backend));
     let mut early = gateway.client();
-    // Taken in before this one is answered.
+    // `early` has been accepted once this later connection is answered.
     assert_eq!(gateway.client().ask(READY).status(), 200);
     gateway.signal("-TERM");
     gateway.logs("draining");
@@ -156,31 +164,31 @@
         (answer.status(), answer.header("connection").map(str::to_owned))
     };
     let last = (200, Some("close".to_string()));
-    assert_eq!(ended(early.ask(&ask("quote").text())), last, "the signal came between");
+    assert_eq!(ended(early.ask(&ask("quote").text())), last, "the signal came before the request");
     until_closed(&gateway);
     assert_eq!(ended(late.ask(&ask("quote").text())), last, "the listener is closed");
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
-/// SIGTERM while a process still looks for a predecessor: the drain counts from the signal.
+/// SIGTERM before the first list has arrived: the drain counts from the signal.
 #[test]
-fn a_signal_before_the_first_list_ends_the_process_in_order() {
+fn sigterm_before_first_list_ends_process_in_order() {
     let silent = Discovery::silent();
     let mut gateway = Gateway::with(&silent, Setup::default());
     let mut client = gateway.client();
-    client.send(&lasting("book-slot", "2.0").text());
+    client.send(&with_timeout("book-slot", "2.0").text());
     gateway.signal("-TERM");
     gateway.signal("-TERM");
     gateway.signal("-HUP");
     let answer = client.answer();
     assert!(matches!(answer.status(), 429 | 503), "{answer:?}");
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
-/// A connection whose last answer is still in the send buffer, while bytes that nobody will read lie in the receive buffer:
-/// a close would reset it and throw the rest of the answer away.
+/// The last answer is still in the send buffer, while the receive buffer holds bytes that will not be read:
+/// closing the socket would reset the connection and discard the rest of the answer.
 #[test]
-fn a_last_answer_comes_whole_where_bytes_lie_behind_its_request() {
+fn last_answer_is_complete_when_unread_bytes_follow_its_request() {
     const LENGTH: usize = 1_500_000;
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
@@ -189,32 +197,33 @@
         say(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"));
         whole && s.write_all(&[b'x'; LENGTH]).is_ok()
     });
-    let mut gateway = Gateway::start(&one(&backend));
+    let mut gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     client.send(&ask("quote").text());
     backend.next();
     gateway.signal("-TERM");
     gateway.logs("draining");
-    // More than is read ahead of a request in hand.
+    // More than the gateway reads ahead of a request in progress.
     client.send(&"x".repeat(60_000));
     go.send(()).expect("the backend waits");
-    // All of the answer is out of the program's hands once the server has been heard to its end: nothing is read till then.
+    // The client reads nothing until the gateway has received the whole answer and handed it to the socket.
     std::thread::sleep(Duration::from_millis(500));
     let mut all = Vec::new();
     let read = client.stream.read_to_end(&mut all);
     assert!(all.starts_with(b"HTTP/1.1 200"));
     assert!(all.len() > LENGTH, "{} bytes, then {read:?}", all.len());
     drop(client);
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
-/// A close that lingers is no reason to keep a new client waiting: with all places taken, it ends at once.
+/// A lingering close does not delay a new client: if all slots are taken, it ends immediately.
 #[test]
-fn a_lingering_close_gives_its_place_to_a_new_client() {
+fn lingering_close_frees_its_slot_for_new_client() {
     const CLIENTS: usize = 100;
     let backend = Backend::good();
-    let gateway = Gateway::with(&one(&backend), Setup { sockets: 100, ..Setup::default() });
-    // Each is refused a body that it goes on to send, and does not close: bytes lie behind its last answer.
+    let gateway = Gateway::with(&discovery_with(&backend), Setup { sockets: 100, ..Setup::default() });
+    // Each client gets a refusal for its body, continues to send and does not close: unread bytes follow its
+    // last answer.
     let refused = ask("book-slot")
         .text()
         .replace("Content-Length: 5\r\n\r\nhello", "Content-Length: 999999999\r\n\r\n");
@@ -225,21 +234,25 @@
         client.send(&format!("{refused}{}", "x".repeat(60_000)));
         let answer = client.answer();
         assert_eq!((answer.status(), answer.header("connection")), (413, Some("close")));
-        assert!(begun.elapsed() < Duration::from_millis(500), "a new client waited {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_millis(500),
+            "a new client waited {:?} for its answer",
+            begun.elapsed()
+        );
         clients.push(client);
     }
 }
 
-/// Answers that the program has taken whole and cannot write yet, since their client reads late.
+/// Answers that the gateway has received completely and cannot write yet, because their client reads late.
 #[test]
-fn answers_that_are_not_written_yet_outlast_the_drain() {
+fn unwritten_answers_are_sent_after_the_drain() {
     const LENGTH: usize = 60_000;
     let body = "x".repeat(LENGTH);
     let backend = Backend::new(move |_, s| ok(s, &body));
-    let mut gateway = Gateway::with(&one(&backend), Setup { ops: true, ..Setup::default() });
+    let mut gateway = Gateway::with(&discovery_with(&backend), Setup { ops: true, ..Setup::default() });
     while gateway.client().ask(READY).status() != 200 {}
     let served = |gateway: &Gateway| gateway.figure("/succeeded/quote");
-    // How many answers the system takes off the program's hands, and one more, which it takes in part.
+    // Counts how many answers fit into the socket buffers; one more is written in part.
     let fill = |most: usize| {
         let (mut client, before) = (gateway.client(), served(&gateway));
         let mut sent = 0;
@@ -261,20 +274,20 @@
     let clients: Vec<_> = (most - 1..=most).map(fill).collect();
     gateway.signal("-TERM");
     gateway.logs("draining");
-    std::thread::sleep(EXIT + Duration::from_millis(200));
+    std::thread::sleep(MIN_EXIT_TIME + Duration::from_millis(200));
     for (mut client, sent) in clients {
         for n in 1..=sent {
             assert_eq!(client.answer().body.len(), LENGTH, "answer {n} of {sent}");
         }
     }
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
 // ---- Clients that leave ----
 
-/// More bytes lie behind the request, so that its end is not the next thing to be read.
+/// More bytes follow the request, so that reading the socket does not show the client's disconnection next.
 #[test]
-fn a_client_that_left_bytes_behind_is_not_sent_on() {
+fn does_not_forward_request_of_disconnected_client_with_unread_bytes() {
     for behind in ["\r\n", "GET /api", &ask("quote").text(), &"x".repeat(100_000)] {
         let backend = Backend::good();
         let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
@@ -289,19 +302,19 @@
         discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
         assert_eq!(stays.answer().body, format!("for {}", here.id).into_bytes());
         assert_eq!(backend.next().header("request-id"), Some(here.id.as_str()));
-        assert!(backend.untouched(), "sent on after its client left {:?} behind", &behind[..2]);
+        assert!(backend.untouched(), "forwarded after its client disconnected, unread: {:?}", &behind[..2]);
     }
 }
 
-/// The end of a connection comes as a reset, while the request waits for its server.
+/// The connection ends with a reset while the request waits for a server.
 #[test]
-fn a_client_that_resets_its_connection_is_not_sent_on() {
+fn does_not_forward_request_after_client_reset() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
     let gateway = Gateway::start(&discovery);
     let (mut leaves, mut stays) = (gateway.client(), gateway.client());
     let here = ask("book-slot");
-    // An answer that is left unread makes the close a reset.
+    // Closing a socket with an unread answer sends a reset.
     leaves.send(READY);
     leaves.stream.peek(&mut [0]).expect("an answer");
     leaves.send(&ask("quote").text());
@@ -315,10 +328,10 @@
     assert!(backend.untouched());
 }
 
-/// A body too large to be held goes on as it comes: nobody reads it while the request waits for a server. Its rest, and
-/// behind it the end of the connection, lie in the socket when its client has left.
+/// A body that is too large to be buffered is relayed, and not read while the request waits for a server.
+/// When its client has left, the rest of the body and then the end of the connection are still in the socket.
 #[test]
-fn a_client_that_left_with_its_body_on_the_way_is_not_sent_on() {
+fn does_not_forward_request_of_client_that_disconnected_during_its_body() {
     const LENGTH: usize = 100_000;
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
@@ -339,21 +352,22 @@
     discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
     assert_eq!(stays.answer().body, format!("for {}", here.id).into_bytes());
     assert_eq!(backend.next().header("request-id"), Some(here.id.as_str()));
-    // A long body takes its time: many a short request is through before it would be whole.
+    // A long body takes time: many short requests finish before it would be complete.
     for _ in 0..50 {
         let next = ask("book-slot");
         assert_eq!(stays.ask(&next.text()).status(), 200);
         assert_eq!(
             backend.next().header("request-id"),
             Some(next.id.as_str()),
-            "sent on after its client left"
+            "forwarded after its client disconnected"
         );
     }
 }
 
-/// Its attempt waits for a handshake when the client leaves, also where settings forbid to call off what runs.
+/// The attempt waits for a handshake when the client disconnects; the result must be the same if the settings
+/// do not allow running attempts to be cancelled.
 #[test]
-fn a_client_that_left_during_a_handshake_is_not_sent_on() {
+fn does_not_forward_request_of_client_that_disconnected_during_handshake() {
     for (from, to) in
         [(r#""cancelling":true"#, r#""cancelling":true"#), (r#""cancelling":true"#, r#""cancelling":false"#)]
     {
@@ -369,14 +383,14 @@
         let gateway = Gateway::with(&discovery, setup);
         discovery.called(2);
         let mut leaves = gateway.client();
-        leaves.send(&lasting("book-slot", "9.0").text());
+        leaves.send(&with_timeout("book-slot", "9.0").text());
         gateway.logs("attempt");
         drop(leaves);
         std::thread::sleep(Duration::from_millis(250));
         drop(fill);
-        // Whoever comes later waits in the same line, and shows that connections come up again.
+        // A later request waits in the same queue, and shows that connections can be opened again.
         let mut stays = gateway.client();
-        let here = lasting("book-slot", "9.0");
+        let here = with_timeout("book-slot", "9.0");
         stays.send(&here.text());
         let (got, seen) = channel();
         std::thread::spawn(move || {
@@ -403,9 +417,9 @@
 
 // ---- Time ----
 
-/// A server begins an answer of unknown length, in each framing, and goes on in drops or falls silent.
+/// A backend begins an answer of unknown length, in each framing, and then continues slowly or stops sending.
 #[test]
-fn an_answer_that_does_not_end_is_ended_with_its_clients_time() {
+fn endless_answer_ends_at_client_timeout() {
     let heads = ["HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"];
     for (head, drops) in heads.into_iter().flat_map(|head| [(head, true), (head, false)]) {
         let backend = Backend::new(move |_, s| {
@@ -416,28 +430,32 @@
             }
             false
         });
-        let gateway = Gateway::start(&one(&backend));
-        // On a slow machine the answer may not even begin in time; then it is another one's turn.
+        let gateway = Gateway::start(&discovery_with(&backend));
+        // On a slow machine the answer may not begin in time; then the next request is tried.
         let (mut client, sent) = (0..20)
             .find_map(|_| {
                 let (mut client, sent) = (gateway.client(), Instant::now());
-                client.send(&lasting("quote", "0.8").text());
+                client.send(&with_timeout("quote", "0.8").text());
                 let mut begin = [0; 12];
                 client.stream.peek(&mut begin).expect("an answer");
                 (&begin == b"HTTP/1.1 200").then_some((client, sent))
             })
             .expect("an answer begins");
-        let (got, ended) = to_the_end(&mut client.stream);
+        let (got, ended) = read_to_end_of_connection(&mut client.stream);
         let took = ended - sent;
-        assert!(took < Duration::from_millis(800) + LOST, "{head:?}, drops {drops}: {took:?}");
-        assert!(got.starts_with(b"HTTP/1.1 ") && !got.ends_with(b"0\r\n\r\n"), "no end is made up");
+        assert!(took < Duration::from_millis(800) + LOST_MARGIN, "{head:?}, drops {drops}: {took:?}");
+        assert!(
+            got.starts_with(b"HTTP/1.1 ") && !got.ends_with(b"0\r\n\r\n"),
+            "the answer does not look complete"
+        );
     }
 }
 
 // ---- The list ----
 
-/// Answers one call for the whole list and no watch; tells when each call came, and its path.
-fn falls_silent(first: String) -> (std::net::SocketAddr, Receiver<(Instant, String)>) {
+/// A discovery service that answers one call for the full list and no watch; reports when each call arrived,
+/// and its path.
+fn discovery_without_watch(first: String) -> (std::net::SocketAddr, Receiver<(Instant, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, (seen, calls)) = (listener.local_addr().expect("an address"), channel());
     std::thread::spawn(move || {
@@ -468,11 +486,12 @@
     (address, calls)
 }
 
-/// What a silent watch misses counts as told 2 s after its wait is over, and 0.5 s later nothing may go to a server that
-/// drains. By then it has to be opened anew and answered, on a new connection, with a loop that comes late.
-fn opened_anew(subscribe: bool) {
+/// A change that an unanswered watch misses counts as known 2 s after the end of the watch's wait, and 0.5 s
+/// later no request may go to a draining server. By then the watch must have been opened again and answered,
+/// on a new connection, even with a delayed event loop.
+fn assert_watch_is_reopened(subscribe: bool) {
     let backend = Backend::good();
-    let (address, calls) = falls_silent(list(1, true, &[("s-1", backend.address, "Ready")]));
+    let (address, calls) = discovery_without_watch(list(1, true, &[("s-1", backend.address, "Ready")]));
     let _gateway = Gateway::at(address, Setup { subscribe, ..Setup::default() });
     let next = || calls.recv_timeout(LIMIT * 3).expect("a call");
     let (mut watch, mut path) = next();
@@ -486,11 +505,11 @@
 }
 
 #[test]
-fn a_silent_watch_on_an_agent_is_opened_anew_well_before_its_news_count_as_told() {
-    opened_anew(false);
+fn unanswered_agent_watch_is_reopened_before_its_changes_count_as_known() {
+    assert_watch_is_reopened(false);
 }
 
 #[test]
-fn a_silent_watch_on_a_list_that_is_asked_is_opened_anew_well_before_its_news_count_as_told() {
-    opened_anew(true);
+fn unanswered_subscribed_watch_is_reopened_before_its_changes_count_as_known() {
+    assert_watch_is_reopened(true);
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway on loopback sockets: what its clients, backends and discovery see of it.
+//! The gateway on loopback sockets, as its clients, backends and discovery see it.
 
 use gateway_test_support::{
     ask, config_file, crowded, list, ok, say, Backend, Discovery, Gateway, Setup, LIMIT,
@@ -11,17 +11,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn one(backend: &Backend) -> Discovery {
+fn discovery_with(backend: &Backend) -> Discovery {
     Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]))
 }
 
-/// Says something and closes the connection.
-fn last_words(to: &mut TcpStream, text: &str) -> bool {
+/// Sends a text and closes the connection.
+fn say_and_close(to: &mut TcpStream, text: &str) -> bool {
     say(to, text);
     false
 }
 
-/// A refusal: 429 or 503, with advice.
+/// Returns whether the answer is a refusal: 429 or 503 with a `Retry-After`.
 fn refused(answer: &gateway_test_support::Message) -> bool {
     let advice = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
     matches!(answer.status(), 429 | 503) && advice.is_some_and(|a| a > 0.0 && a <= 2.0)
@@ -30,9 +30,9 @@
 // ---- The ordinary path ----
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_whole() {
+fn forwards_request_unchanged_and_returns_complete_answer() {
     let backend = Backend::good();
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     for class in ["quote", "confirm", "book-slot"] {
         let a = ask(class);
@@ -45,27 +45,27 @@
         assert_eq!(m.header("idempotency-key"), (class == "confirm").then_some("k-1"));
         assert_eq!(m.body, if class == "quote" { b"".to_vec() } else { b"hello".to_vec() });
         let wait: f64 = m.header("request-timeout").expect("told").parse().expect("seconds");
-        assert!(wait > 0.0 && wait < 2.0, "{wait}: what is left of the client's 2 s");
-        assert_eq!(m.connection, 0, "a warm connection is used again");
+        assert!(wait > 0.0 && wait < 2.0, "{wait} is not within the client's 2 s");
+        assert_eq!(m.connection, 0, "the connection is reused");
     }
 }
 
 #[test]
-fn a_chunked_answer_is_served_whole() {
+fn returns_complete_chunked_answer() {
     let backend = Backend::new(|_, s| {
         say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
     });
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let answer = gateway.client().ask(&ask("book-slot").text());
     assert_eq!((answer.status(), answer.body), (200, b"abcde".to_vec()));
 }
 
 #[test]
-fn beyond_the_quota_a_request_is_refused_at_once_with_advice() {
+fn refuses_requests_beyond_quota_immediately_with_retry_after() {
     let backend = Backend::good();
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
-    // The store holds one unit and fills in 100 s.
+    // The token bucket holds one unit and refills in 100 s.
     let (mut served, mut turned) = (0, 0);
     for _ in 0..40 {
         let mut a = ask("quote");
@@ -85,9 +85,9 @@
 // ---- Bad input ----
 
 #[test]
-fn bad_requests_are_turned_away_and_the_connection_goes_on() {
+fn rejects_invalid_requests_and_keeps_the_connection() {
     let backend = Backend::good();
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     let good = ask("book-slot").text();
     let without = |name: &str| {
@@ -127,14 +127,14 @@
     }
     let unknown = good.replace("/api?x=1", "/else");
     assert_eq!(client.ask(&unknown).status(), 404);
-    assert!(backend.untouched(), "nothing was sent on");
+    assert!(backend.untouched(), "nothing was forwarded");
     assert_eq!(client.ask(&good).status(), 200, "the connection still serves");
 }
 
 #[test]
-fn half_a_request_and_noise_harm_nobody_else() {
+fn incomplete_and_malformed_requests_do_not_affect_other_clients() {
     let backend = Backend::good();
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let text = ask("book-slot").text();
     let mut half = gateway.client();
     half.send(&text[..text.len() / 2]);
@@ -146,15 +146,15 @@
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     backend.next();
     drop(half);
-    assert_eq!(body.answer().status(), 408, "the rest of a body is not awaited for ever");
+    assert_eq!(body.answer().status(), 408, "waiting for the rest of a body times out");
     assert!(backend.untouched());
 }
 
-/// Whoever connects is owed an answer or a close within 3 s; a client that has been served may pause for longer.
+/// Every peer gets an answer or a close within 3 s; a client that has been served may pause for longer.
 #[test]
-fn a_peer_that_sends_no_whole_request_is_let_go_in_time() {
+fn disconnects_peer_without_complete_request_in_time() {
     let backend = Backend::good();
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let text = ask("book-slot").text();
     let head = text.find("\r\n\r\n").expect("a head") + 4;
     let mut served = gateway.client();
@@ -170,11 +170,11 @@
 }
 
 #[test]
-fn an_id_that_is_still_held_is_not_sent_on_a_second_time() {
+fn rejects_request_with_pending_id() {
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |_, s| wait.lock().expect("kept").recv().is_ok() && ok(s, "once"));
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let a = ask("book-slot").text();
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.send(&a);
@@ -188,21 +188,21 @@
 // ---- Outcomes: may it have run? ----
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_goes_out_once() {
+fn unsafe_request_that_may_have_run_fails_without_retry() {
     let scripts: [fn(&mut TcpStream) -> bool; 7] = [
         |_| false,
         |s| say(s, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"),
         |s| say(s, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-        // Only with 503 or 504 does it prove anything.
+        // `Not-Started` counts only with status 503 or 504.
         |s| say(s, "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
-        // Cut off in the body, in the head, in a chunk.
-        |s| last_words(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
-        |s| last_words(s, "HTTP/1.1 200 OK\r\nContent-Len"),
-        |s| last_words(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
+        // Cut off in the body, in the head and in a chunk.
+        |s| say_and_close(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+        |s| say_and_close(s, "HTTP/1.1 200 OK\r\nContent-Len"),
+        |s| say_and_close(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf"),
     ];
     for (n, script) in scripts.into_iter().enumerate() {
         let backend = Backend::new(move |_, s| script(s));
-        let gateway = Gateway::start(&one(&backend));
+        let gateway = Gateway::start(&discovery_with(&backend));
         let answer = gateway.client().ask(&ask("book-slot").text());
         assert_eq!((answer.status(), answer.body.len()), (502, 0), "script {n}");
         backend.next();
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn an_unsafe_request_turned_away_unseen_goes_out_again() {
+fn retries_unsafe_request_that_was_not_started() {
     let first = AtomicBool::new(true);
     let backend = Backend::new(move |_, s| {
         if first.swap(false, Ordering::SeqCst) {
@@ -219,7 +219,7 @@
         }
         ok(s, "x")
     });
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     assert_eq!(gateway.client().ask(&ask("book-slot").text()).status(), 200);
     let ids: Vec<_> =
         backend.requests.try_iter().map(|m| m.header("request-id").map(str::to_owned)).collect();
@@ -227,13 +227,13 @@
 }
 
 #[test]
-fn a_request_that_never_ran_anywhere_is_refused() {
+fn refuses_request_that_never_ran() {
     let full =
         Backend::new(|_, s| say(s, "HTTP/1.1 504 Over\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
-    let gateway = Gateway::start(&one(&full));
+    let gateway = Gateway::start(&discovery_with(&full));
     let answer = gateway.client().ask(&ask("book-slot").text());
     assert!(refused(&answer), "{answer:?}");
-    assert!(full.requests.try_iter().count() <= 3, "no more attempts than the settings allow");
+    assert!(full.requests.try_iter().count() <= 3, "more attempts than the settings allow");
 
     let closed = gateway_test_support::reserved_address();
     let gateway = Gateway::start(&Discovery::new(list(1, true, &[("s-1", closed, "Ready")])));
@@ -242,11 +242,12 @@
 }
 
 #[test]
-fn a_safe_request_goes_out_again_after_a_reset() {
-    // First attempts earn what further ones cost, so the reset comes once some have.
+fn retries_safe_request_after_reset() {
+    // First attempts add to the retry budget that further attempts use, so the reset comes after some of
+    // them.
     let count = AtomicUsize::new(0);
     let backend = Backend::new(move |_, s| count.fetch_add(1, Ordering::SeqCst) != 10 && ok(s, "x"));
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     for n in 0..12 {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200, "request {n}");
@@ -257,7 +258,7 @@
 // ---- Time ----
 
 #[test]
-fn a_silent_backend_means_an_answer_in_time_and_its_late_answer_reaches_nobody() {
+fn unresponsive_backend_times_out_and_its_late_answer_is_dropped() {
     let first = AtomicBool::new(true);
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
@@ -268,13 +269,13 @@
         }
         ok(s, m.header("request-id").unwrap_or(""))
     });
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     let mut a = ask("book-slot");
     a.timeout = "0.6";
     let answer = client.ask(&a.text());
-    assert_eq!(answer.status(), 504, "it may have run");
-    // The limit that the gateway set itself leaves room for the way back.
+    assert_eq!(answer.status(), 504, "the request may have run");
+    // The gateway's own deadline leaves time to send the answer.
     let m = backend.next();
     let wait: f64 = m.header("request-timeout").expect("told").parse().expect("seconds");
     assert!(wait <= 0.581 && m.connection == 0, "{m:?}");
@@ -284,11 +285,11 @@
         assert_eq!(client.ask(&next.text()).body, next.id.as_bytes());
     }
     let connections: Vec<usize> = backend.requests.try_iter().map(|m| m.connection).collect();
-    assert_eq!(connections, [1, 1, 1], "the given-up attempt's connection is not used again");
+    assert_eq!(connections, [1, 1, 1], "the connection of the timed-out attempt is not reused");
 }
 
 #[test]
-fn with_no_backend_to_go_to_a_request_is_refused_in_time() {
+fn refuses_request_in_time_without_ready_backend() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
     let gateway = Gateway::start(&discovery);
@@ -305,11 +306,11 @@
 }
 
 #[test]
-fn when_the_client_leaves_its_attempt_is_given_up() {
+fn cancels_attempt_when_client_disconnects() {
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |_, s| wait.lock().expect("kept").recv().is_ok() && ok(s, "x"));
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     client.send(&ask("book-slot").text());
     backend.next();
@@ -322,14 +323,14 @@
 // ---- Connections to backends ----
 
 #[test]
-fn a_connection_that_the_backend_closed_is_not_used_again() {
+fn does_not_reuse_connection_closed_by_backend() {
     let (close, closed) = channel();
     let backend = Backend::new(move |_, s| {
         ok(s, "x");
         let _ = s.shutdown(Shutdown::Both);
         close.send(()).is_err()
     });
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     for n in 0..5 {
         assert_eq!(client.ask(&ask("book-slot").text()).status(), 200, "request {n}");
@@ -339,19 +340,19 @@
 }
 
 #[test]
-fn an_idle_connection_is_dropped_before_the_backend_would() {
+fn closes_idle_connection_before_the_backend_does() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { keepalive_ms: 2_000, ..Setup::default() });
     discovery.called(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
-    assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes it"), 0);
+    assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes the connection"), 0);
 }
 
 #[test]
-fn staff_see_what_became_of_connections() {
+fn figures_report_connections() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
     discovery.called(2);
     let mut client = gateway.client();
@@ -368,9 +369,9 @@
 }
 
 #[test]
-fn a_new_endpoint_is_used_from_then_on() {
+fn uses_new_endpoint_after_list_update() {
     let (old, new) = (Backend::good(), Backend::good());
-    let discovery = one(&old);
+    let discovery = discovery_with(&old);
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -383,7 +384,7 @@
 // ---- Discovery ----
 
 #[test]
-fn a_drained_backend_gets_nothing_new() {
+fn sends_no_requests_to_drained_backend() {
     let (going, staying) = (Backend::good(), Backend::good());
     let both = [("s-1", going.address, "Ready"), ("s-2", staying.address, "Ready")];
     for state in ["Terminating", "Gone"] {
@@ -401,7 +402,7 @@
 }
 
 #[test]
-fn a_send_that_is_still_connecting_does_not_go_out_after_a_drain() {
+fn does_not_send_connecting_attempt_after_drain() {
     let (listener, fill) = crowded();
     let address = listener.local_addr().expect("an address");
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
@@ -411,7 +412,7 @@
     let mut a = ask("book-slot");
     a.timeout = "2.5";
     client.send(&a.text());
-    // The send is on its way by the time that this later request is answered.
+    // The attempt has started once this later request is answered.
     assert_eq!(gateway.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     discovery.tell(2, list(2, false, &[("s-1", address, "Terminating")]));
     discovery.called(3);
@@ -433,16 +434,16 @@
     let answer = client.answer();
     assert!(refused(&answer), "{answer:?}");
     drop(gateway);
-    let mut last = TcpStream::connect(address).expect("the queue is free again");
-    last.write_all(b"end").expect("the last word");
+    let mut last = TcpStream::connect(address).expect("the listener's queue has space again");
+    last.write_all(b"end").expect("the end mark is written");
     drop(last);
     assert_eq!(reader.join().expect("no panic"), b"end", "nothing was written to the drained backend");
 }
 
 #[test]
-fn garbage_from_discovery_leaves_the_old_list() {
+fn keeps_old_list_after_invalid_answer_from_discovery() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
     let twice =
@@ -461,18 +462,18 @@
     let started = Instant::now();
     while other.untouched() {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
-        assert!(started.elapsed() < LIMIT, "the new list is never taken in");
+        assert!(started.elapsed() < LIMIT, "the new list is never applied");
     }
 }
 
 #[test]
-fn when_the_first_list_address_fails_the_next_serves_but_no_older_list_than_the_one_held() {
+fn fails_over_to_next_list_address_and_rejects_older_list() {
     let (old, now) = (Backend::good(), Backend::good());
-    let first = one(&now);
+    let first = discovery_with(&now);
     first.untell();
     first.tell(5, list(5, true, &[("s-2", now.address, "Ready")]));
-    // It lags: its list names a server that is gone.
-    let (lagging, third) = (one(&old), one(&old));
+    // This service lags behind: its list names a server that is gone.
+    let (lagging, third) = (discovery_with(&old), discovery_with(&old));
     lagging.tell(6, list(3, true, &[("s-1", old.address, "Ready")]));
     third.tell(6, list(6, true, &[("s-3", now.address, "Ready")]));
     let fallbacks = vec![lagging.address, third.address];
@@ -480,7 +481,7 @@
     let gateway = Gateway::with(&first, Setup { ops: true, fallbacks, known, ..Setup::default() });
     first.called(2);
     assert_eq!(gateway.figure("/list/version"), 5);
-    // An answer that is no list: the call has failed.
+    // An answer that is not a list counts as a failed call.
     first.tell(7, "{".to_string());
     lagging.called(1);
     third.called(2);
@@ -488,14 +489,15 @@
     for _ in 0..20 {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     }
-    assert!(old.untouched(), "the older list counts for nothing");
+    assert!(old.untouched(), "the older list is rejected");
     assert_eq!((gateway.figure("/list/version"), gateway.figure("/discovered")), (6, 1));
 }
 
 #[test]
-fn a_start_with_several_list_addresses_takes_no_list_older_than_the_one_it_is_given() {
+fn start_with_fallbacks_rejects_list_older_than_cached_one() {
     let (old, now) = (Backend::good(), Backend::good());
-    let (lagging, second) = (one(&old), Discovery::new(list(6, true, &[("s-3", now.address, "Ready")])));
+    let (lagging, second) =
+        (discovery_with(&old), Discovery::new(list(6, true, &[("s-3", now.address, "Ready")])));
     let known = Some(list(4, true, &[("s-2", now.address, "Ready")]));
     let fallbacks = vec![second.address];
     let gateway = Gateway::with(&lagging, Setup { ops: true, fallbacks, known, ..Setup::default() });
@@ -505,9 +507,9 @@
 }
 
 #[test]
-fn an_empty_list_after_a_full_one_is_meant_and_what_comes_back_serves_again() {
+fn applies_empty_list_and_serves_again_when_backend_returns() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -524,9 +526,9 @@
 }
 
 #[test]
-fn where_discovery_must_be_asked_a_start_with_a_known_list_asks_for_the_changes_alone() {
+fn start_with_cached_list_requests_only_changes_from_shared_discovery() {
     let (known, new) = (Backend::good(), Backend::good());
-    // This discovery has no whole list to tell.
+    // This discovery service has no full list.
     let discovery = Discovery::new(String::new());
     discovery.untell();
     discovery.tell(2, list(2, false, &[("s-1", known.address, "Gone"), ("s-2", new.address, "Ready")]));
@@ -544,14 +546,14 @@
 // ---- Start and end ----
 
 #[test]
-fn a_missing_or_invalid_configuration_is_told_in_plain_lines() {
+fn reports_missing_or_invalid_configuration() {
     let run = |path: Option<&std::path::Path>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-gateway"));
         command.env_remove("LB_CONFIG").env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
         if let Some(path) = path {
             command.env("LB_CONFIG", path);
         }
-        let out = command.output().expect("it runs");
+        let out = command.output().expect("the program runs");
         let text = String::from_utf8(out.stderr).expect("text");
         assert!(!out.status.success(), "{text}");
         assert!(!text.is_empty() && text.lines().all(|l| l.starts_with("sprucehatch-gateway: ")), "{text}");
@@ -566,16 +568,17 @@
 }
 
 #[test]
-fn an_option_out_of_range_ends_the_start_with_its_key_and_range() {
+fn option_out_of_range_fails_start_with_key_and_range() {
     let backend = Backend::good();
-    let gateway = Gateway::start(&one(&backend));
+    let gateway = Gateway::start(&discovery_with(&backend));
     let text = gateway.configuration();
     let run = |pool: &str| {
         let bare = r#""discovery_fallbacks":[],"pool":{}"#;
         assert!(text.contains(bare));
         let path = config_file(&text.replace(bare, &format!(r#""pool":{pool}"#)));
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-gateway"));
-        let out = command.env("LB_CONFIG", &path).env("LB_LISTEN", "nowhere").output().expect("it runs");
+        let out =
+            command.env("LB_CONFIG", &path).env("LB_LISTEN", "nowhere").output().expect("the program runs");
         let _ = std::fs::remove_file(path);
         assert!(!out.status.success());
         String::from_utf8(out.stderr).expect("text")
@@ -587,7 +590,7 @@
         (r#"{"idle":5}"#, "pool.idle is no key here: idle_ms, per_server are"),
         ("[5]", "pool is [5]: a table is wanted"),
         (r#"{},"discovery_fallbacks":["there"]"#, "discovery_fallbacks[0] is \"there\": an address"),
-        // Good ones: the start ends for the address only.
+        // Valid options: the start fails only because of the address.
         (r#"{"per_server":3,"idle_ms":500}"#, "LB_LISTEN is \"nowhere\""),
     ] {
         let text = run(pool);
@@ -596,21 +599,21 @@
 }
 
 #[test]
-fn the_options_of_the_pool_bound_what_is_kept() {
+fn pool_options_limit_idle_connections() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let pool = Some(r#"{"per_server":1,"idle_ms":100}"#);
     let gateway = Gateway::with(&discovery, Setup { ops: true, pool, ..Setup::default() });
     discovery.called(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
-    assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes it"), 0);
+    assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes the connection"), 0);
     assert_eq!(gateway.figure("/connections/closed/expired"), 1);
 }
 
 #[test]
-fn a_hangup_takes_discovery_from_the_new_file_and_a_bad_file_changes_nothing() {
+fn reload_applies_new_discovery_address_and_ignores_invalid_file() {
     let (old, new) = (Backend::good(), Backend::good());
-    let (first, second) = (one(&old), one(&new));
+    let (first, second) = (discovery_with(&old), discovery_with(&new));
     let gateway = Gateway::start(&first);
     let mut client = gateway.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -625,13 +628,13 @@
     }
     gateway.reconfigure(&moved);
     second.called(2);
-    assert_eq!(client.ask(&ask("quote").text()).status(), 200, "the same connection goes on");
+    assert_eq!(client.ask(&ask("quote").text()).status(), 200, "the same connection continues to serve");
     new.next();
-    assert!(old.untouched(), "the new list counts");
+    assert!(old.untouched(), "the new list is in use");
 }
 
 #[test]
-fn killed_and_started_again_it_serves_from_the_old_list_while_discovery_is_silent() {
+fn restart_after_kill_serves_from_cached_list_without_discovery() {
     let backend = Backend::good();
     let known = Some(list(1, true, &[("s-1", backend.address, "Ready")]));
     let silent = Discovery::silent();
@@ -640,7 +643,7 @@
     let mut client = first.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     drop(first);
-    // Under the same address at once, though connections of the killed process linger.
+    // Started immediately on the same address, while connections of the killed process remain in the kernel.
     let again = Gateway::with(&silent, Setup { known, listen: Some(address), ..Setup::default() });
     assert_eq!(again.address, address);
     assert_eq!(again.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
@@ -648,7 +651,7 @@
 }
 
 #[test]
-fn after_sigterm_it_answers_through_the_window_and_exits_cleanly() {
+fn answers_during_accept_window_after_sigterm_and_exits_cleanly() {
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let held = Arc::new(AtomicBool::new(true));
@@ -659,13 +662,14 @@
         }
         ok(s, "x")
     });
-    let mut gateway = Gateway::start(&one(&backend));
+    let mut gateway = Gateway::start(&discovery_with(&backend));
     let (mut busy, mut idle) = (gateway.client(), gateway.client());
     busy.send(&ask("book-slot").text());
     backend.next();
     assert_eq!(idle.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     gateway.signal("-TERM");
-    // While the listener is open: a request that crosses the close finds its way on a new connection.
+    // The listener is still open: a client whose request arrives just as its connection closes can use a new
+    // connection.
     assert!(idle.closed());
     assert_eq!(gateway.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
     let mut new = gateway.client();
@@ -674,15 +678,15 @@
     go.send(()).expect("the backend waits");
     let answer = busy.answer();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
 }
 
 // ---- Descriptors ----
 
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn closes_idle_clients_for_new_ones() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { sockets: 100, ..Setup::default() });
     discovery.called(2);
     let mut kept = Vec::new();
@@ -691,18 +695,18 @@
         assert_eq!(client.ask(&ask("quote").text()).status(), 200, "client {n}");
         kept.push(client);
     }
-    assert!(kept[0].closed(), "the one idle longest made room");
+    assert!(kept[0].closed(), "the connection idle for longest is closed");
     assert_eq!(kept[149].ask(&ask("quote").text()).status(), 200);
 }
 
 #[test]
-fn it_survives_running_out_of_descriptors() {
+fn survives_running_out_of_descriptors() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { ulimit: Some(40), ..Setup::default() });
     discovery.called(2);
     let mut clients: Vec<_> = (0..100).map(|_| gateway.client()).collect();
-    // All are connected, few are accepted; each of these gets its turn.
+    // All are connected, but few are accepted; each of these gets its turn.
     for client in &mut clients[60..] {
         client.send(&ask("quote").text());
     }
@@ -724,10 +728,10 @@
 }
 
 #[test]
-fn operators_get_their_answers_beside_half_calls_and_plain_no_to_what_is_none() {
+fn answers_operators_despite_incomplete_calls_and_rejects_unknown_calls() {
     let backend = Backend::good();
-    let gateway = with_ops(&one(&backend));
-    // More half calls than are kept, and silent ones: none delays another.
+    let gateway = with_ops(&discovery_with(&backend));
+    // More incomplete calls than the limit, and connections without any data: none delays another call.
     let mut halves: Vec<_> = (0..20).map(|_| gateway.operator()).collect();
     halves.iter_mut().skip(5).for_each(|h| h.send("GET /-/rea"));
     let started = Instant::now();
@@ -738,24 +742,24 @@
     assert_eq!(gateway.call("POST", "/-/roll-servers//enable").status(), 404);
     assert_eq!(gateway.call("GET", "/-/drain").status(), 405);
     assert_eq!(gateway.call("POST", "/-/metrics").header("allow"), Some("GET"));
-    assert!(started.elapsed() < Duration::from_secs(2), "half calls hold it up");
+    assert!(started.elapsed() < Duration::from_secs(2), "incomplete calls delay other calls");
     for half in &mut halves {
-        assert!(half.closed(), "half a call is let go");
+        assert!(half.closed(), "incomplete calls are ended");
     }
     assert_eq!(gateway.client().ask("GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n").status(), 404);
 }
 
 #[test]
-fn a_bad_operators_address_ends_the_start_with_a_message() {
+fn invalid_operators_address_fails_start_with_message() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::start(&discovery);
     let taken = gateway.address.to_string();
     for bad in ["nowhere", "", &taken] {
         let path = config_file(&gateway.configuration());
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-gateway"));
         command.env_remove("LB_LISTEN").env("LB_CONFIG", &path).env("LB_OPS", bad);
-        let out = command.output().expect("it runs");
+        let out = command.output().expect("the program runs");
         let _ = std::fs::remove_file(path);
         let text = String::from_utf8(out.stderr).expect("text");
         let told = if bad == taken { "ops: " } else { "LB_OPS is " };
@@ -764,7 +768,7 @@
 }
 
 #[test]
-fn the_figures_count_every_end_once() {
+fn figures_count_every_outcome_once() {
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |m, s| {
@@ -774,7 +778,7 @@
         }
         ok(s, "x")
     });
-    let gateway = with_ops(&one(&backend));
+    let gateway = with_ops(&discovery_with(&backend));
     assert_eq!((gateway.figure("/succeeded/confirm"), gateway.figure("/discovered")), (0, 1));
     let mut client = gateway.client();
     for _ in 0..3 {
@@ -787,7 +791,11 @@
     client.send(&ask("book-slot").text());
     while backend.next().start.starts_with("GET") {}
     assert_eq!(gateway.figure("/outstanding"), 1);
-    assert_eq!(gateway.figure("/forwards"), 3 + (3 - refusals) + 1, "it is written, not answered");
+    assert_eq!(
+        gateway.figure("/forwards"),
+        3 + (3 - refusals) + 1,
+        "the request is written but not answered"
+    );
     go.send(()).expect("the backend waits");
     assert_eq!(client.answer().status(), 502);
     let figures =
@@ -796,13 +804,13 @@
 }
 
 #[test]
-fn a_server_out_by_hand_gets_nothing_whatever_discovery_says_until_it_is_put_back() {
+fn disabled_server_gets_no_requests_until_enabled() {
     let (out, other) = (Backend::good(), Backend::good());
     let both = [("s-1", out.address, "Ready"), ("s-2", other.address, "Ready")];
     let discovery = Discovery::new(list(1, true, &both));
     let gateway = with_ops(&discovery);
     let mut client = gateway.client();
-    // Two calls out take one call back.
+    // Disabling twice is undone by enabling once.
     for _ in 0..2 {
         assert_eq!(gateway.call("POST", "/-/roll-servers/s-1/disable").status(), 200);
     }
@@ -811,8 +819,12 @@
     for (rev, l) in (2..).zip(&lists) {
         discovery.tell(rev, list(rev, true, l));
         discovery.called(1 + rev as usize);
-        assert_eq!(gateway.call("POST", "/-/roll-servers/s-1/disable").status(), 200, "a name it knows");
-        assert_eq!(gateway.figure("/ejected"), rev - 2, "listed servers count");
+        assert_eq!(
+            gateway.call("POST", "/-/roll-servers/s-1/disable").status(),
+            200,
+            "the server's name is known"
+        );
+        assert_eq!(gateway.figure("/ejected"), rev - 2, "only listed servers count");
         let _ = out.requests.try_iter().count();
         for _ in 0..20 {
             assert_eq!(client.ask(&ask("book-slot").text()).status(), 200);
@@ -827,28 +839,32 @@
     while out.untouched() {
         assert_eq!(client.ask(&ask("book-slot").text()).status(), 200);
         asked += 1;
-        assert!(asked < 500, "cold as it is, it gets some");
+        assert!(asked < 500, "the enabled server never gets a request");
     }
 }
 
 #[test]
-fn a_drain_sends_clients_away_and_a_resume_takes_it_all_back() {
+fn drain_closes_client_connections_and_resume_reverts_it() {
     let backend = Backend::good();
-    let gateway = with_ops(&one(&backend));
+    let gateway = with_ops(&discovery_with(&backend));
     let (mut used, mut idle, mut half) = (gateway.client(), gateway.client(), gateway.client());
     for client in [&mut used, &mut idle, &mut half] {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     }
     let text = ask("quote").text();
     assert_eq!(gateway.call("POST", "/-/drain").status(), 200);
-    assert_eq!(gateway.client().ask(READY).status(), 503, "at once");
+    assert_eq!(gateway.client().ask(READY).status(), 503, "readiness fails immediately");
     half.send(&text[..40]);
     let answer = used.ask(&ask("quote").text());
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(used.closed() && idle.closed(), "one with its answer, one because it idles");
+    assert!(used.closed() && idle.closed(), "one closes with its answer, one because it is idle");
     half.send(&text[40..]);
     let answer = half.answer();
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")), "a request on its way");
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close")),
+        "a request that was arriving"
+    );
     assert_eq!(gateway.call("POST", "/-/resume").status(), 200);
     let mut client = gateway.client();
     assert_eq!(client.ask(READY).status(), 200);
--- a/crates/gateway/tests/golden_texts.rs
+++ b/crates/gateway/tests/golden_texts.rs
@@ -1,4 +1,4 @@
-//! Names that others rely on stay as they were: keys of the settings, metrics, fields of the status, the command line.
+//! Golden tests of names that others rely on: setting keys, metrics, status fields and the command line.
 
 use gateway_test_support::golden::{assert_golden, keys, schema_rules};
 use gateway_test_support::{ask, list, Backend, Discovery, Gateway, Setup};
@@ -9,41 +9,41 @@
     assert_golden(env!("CARGO_MANIFEST_DIR"), name, text);
 }
 
-/// What the program prints.
+/// Returns the program's standard output.
 fn printed(arguments: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-gateway"));
     for variable in ["LB_CONFIG", "LB_LISTEN", "LB_DISCOVERY", "LB_OPS", "LB_NAME", "LB_INHERITED_FD"] {
         command.env_remove(variable);
     }
-    let output = command.args(arguments).output().expect("it runs");
+    let output = command.args(arguments).output().expect("the program runs");
     assert!(output.status.success(), "{arguments:?}");
     String::from_utf8(output.stdout).expect("text")
 }
 
 #[test]
-fn settings_have_the_keys_and_bounds_that_they_had() {
+fn settings_keep_their_keys_and_bounds() {
     let schema = serde_json::from_str(&printed(&["print-schema"])).expect("JSON");
     golden("settings_schema.json", &schema_rules(&schema));
 }
 
 #[test]
-fn defaults_of_the_settings_are_as_they_were() {
+fn settings_keep_their_defaults() {
     golden("defaults.toml", &printed(&["print-defaults"]));
 }
 
 #[test]
-fn the_command_line_is_described_as_it_was() {
+fn command_line_help_is_unchanged() {
     golden("help.txt", &printed(&["--help"]));
 }
 
-/// A gateway that has served a request.
-fn served() -> (Gateway, Backend, Discovery) {
+/// Starts a gateway that has served a request.
+fn gateway_after_request() -> (Gateway, Backend, Discovery) {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
     discovery.called(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
-    // The end of a request is counted when its answer is out.
+    // The end of a request is counted when its answer has been sent.
     while gateway.figure("/outstanding") > 0 {
         std::thread::yield_now();
     }
@@ -56,7 +56,7 @@
     String::from_utf8(answer.body).expect("text")
 }
 
-/// Families with their kinds, and samples with the names of their labels; no values.
+/// Returns metric families with their types, and samples with their label names, without values.
 fn names(text: &str) -> String {
     let mut names = BTreeSet::new();
     for line in text.lines().filter(|line| !line.starts_with("# HELP")) {
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn figures_and_status_have_the_names_that_they_had() {
-    let (gateway, _backend, _discovery) = served();
+fn metrics_and_status_keep_their_names() {
+    let (gateway, _backend, _discovery) = gateway_after_request();
     golden("metrics_openmetrics.txt", &names(&body(&gateway, "/-/metrics?format=openmetrics")));
     for (path, name) in
         [("/-/metrics", "metrics_json.txt"), ("/-/status", "status.txt"), ("/-/log", "log.txt")]
--- a/crates/gateway/tests/shell.rs
+++ b/crates/gateway/tests/shell.rs
@@ -1,4 +1,4 @@
-//! Command line, configuration files, log and figures of the gateway as staff meet them.
+//! Command line, configuration files, log and figures of the gateway, as operators use them.
 
 use gateway_test_support::{ask, file, list, program, Backend, Discovery, Gateway, Setup, LIMIT};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The least that a TOML file has to say.
+/// A minimal TOML configuration.
 const TOML: &str = r#"
 listen = "127.0.0.1:0"
 discovery = "DISCOVERY"
@@ -40,24 +40,24 @@
     if let Some(path) = configuration {
         command.env("LB_CONFIG", path);
     }
-    command.args(arguments).output().expect("it runs")
+    command.args(arguments).output().expect("the program runs")
 }
 
 fn check(text: &str) -> (Option<i32>, String) {
     let path = file("toml", &text.replace("DISCOVERY", "127.0.0.1:1"));
     let out = run(&["check-config", "--config", path.to_str().expect("text")], None);
-    fs::remove_file(path).expect("it is there");
+    fs::remove_file(path).expect("the file exists");
     (out.status.code(), String::from_utf8([out.stdout, out.stderr].concat()).expect("text"))
 }
 
-fn one(backend: &Backend) -> Discovery {
+fn discovery_with(backend: &Backend) -> Discovery {
     Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]))
 }
 
 // ---- Command line ----
 
 #[test]
-fn each_command_says_what_it_does_and_ends_with_its_code() {
+fn commands_print_help_and_return_exit_codes() {
     let text =
         |out: &Output| String::from_utf8([out.stdout.clone(), out.stderr.clone()].concat()).expect("text");
     let help = run(&["--help"], None);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn two_configurations_are_one_too_many_unless_they_are_the_same() {
+fn rejects_two_different_configurations() {
     let (a, b) = (file("toml", TOML), file("toml", TOML));
     let a_text = a.to_str().expect("text");
     let out = run(&["--config", a_text], Some(&b));
@@ -89,14 +89,14 @@
     assert!(out.status.code() == Some(1) && text.contains("two configurations are given"), "{text}");
     let same = run(&["check-config", "--config", a_text], Some(&a));
     let text = String::from_utf8(same.stderr).expect("text");
-    assert!(text.contains("discovery is \"DISCOVERY\""), "it is read: {text}");
-    [a, b].iter().for_each(|path| fs::remove_file(path).expect("it is there"));
+    assert!(text.contains("discovery is \"DISCOVERY\""), "the file is read: {text}");
+    [a, b].iter().for_each(|path| fs::remove_file(path).expect("the file exists"));
 }
 
 // ---- Configuration ----
 
 #[test]
-fn all_that_is_wrong_with_a_file_is_told_at_once_and_nothing_starts() {
+fn reports_all_configuration_errors_and_does_not_start() {
     assert_eq!(check(TOML).0, Some(0), "{}", check(TOML).1);
     let bad = TOML
         .replace("format = \"json\"", "format = \"xml\"\nlevel = 5\ncolour = true")
@@ -130,19 +130,20 @@
     }
 }
 
-/// The printed defaults are a configuration but for plans and classes, which stand in them as examples.
+/// The printed defaults form a valid configuration once the commented-out examples of plans and classes are
+/// included.
 #[test]
-fn the_printed_defaults_are_those_that_are_used_and_the_schema_names_every_key() {
+fn printed_defaults_are_valid_and_schema_has_every_key() {
     let printed = |command: &str| String::from_utf8(run(&[command], None).stdout).expect("text");
     let defaults = printed("print-defaults");
     let examples: String =
         defaults.lines().map(|l| format!("{}\n", l.strip_prefix("# ").unwrap_or(l))).collect();
     let examples =
         examples.split_once("What a gateway").map(|(_, rest)| format!("# {rest}")).expect("a head");
-    let first = examples.find("`settings.plans`").expect("the head goes on");
+    let first = examples.find("`settings.plans`").expect("the head has an examples section");
     let body = examples[first..].split_once('\n').expect("lines").1;
     let (code, text) = check(body);
-    assert_eq!(code, Some(0), "the examples hold too: {text}");
+    assert_eq!(code, Some(0), "the examples are valid: {text}");
     let schema: serde_json::Value = serde_json::from_str(&printed("print-schema")).expect("JSON");
     for key in ["listen", "discovery", "ops", "limits", "pool", "log", "settings", "known", "seed"] {
         assert!(schema["properties"][key].is_object(), "{key}");
@@ -152,9 +153,9 @@
 }
 
 #[test]
-fn a_gateway_of_a_toml_file_serves() {
+fn serves_with_toml_configuration() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let setup = Setup { toml: Some(TOML.to_string()), ops: true, ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
     discovery.called(2);
@@ -162,9 +163,9 @@
 }
 
 #[test]
-fn a_hangup_tells_which_keys_changed_were_taken_or_wait_for_a_restart() {
+fn reload_logs_applied_keys_and_keys_that_need_a_restart() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let setup = Setup { toml: Some(TOML.to_string()), ops: true, ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
     let text = gateway.configuration();
@@ -180,7 +181,7 @@
     assert_eq!(told(&all), (none.clone(), none.clone(), again.clone()));
     let level = |t: &str| t.replace("[log]", "[pool]\nidle_ms = 9\n[log]\nlevel = \"debug\"");
     assert_eq!(told(&level), ("log.level".to_string(), "pool.idle_ms".to_string(), again.clone()));
-    // What the file says next is compared with what it said last, and a bad one is not what it said.
+    // Changes are compared with the last valid file; an invalid one does not count.
     let (_, _, message) = told(&|t| t.replace("points = 3", "points = \"many\""));
     assert!(message.contains("not taken") && message.contains("points is \"many\""), "{message}");
     let quiet = told(&all);
@@ -188,11 +189,11 @@
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
 }
 
-/// A file that is written in place, piece by piece, while it is read again and again.
+/// The file is truncated at various lengths and reloaded each time.
 #[test]
-fn a_file_that_is_replaced_while_it_is_read_is_taken_whole_or_not_at_all() {
+fn reload_applies_truncated_file_completely_or_not_at_all() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let setup = Setup { toml: Some(TOML.to_string()), ops: true, ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
     discovery.called(2);
@@ -217,9 +218,9 @@
 }
 
 #[test]
-fn a_requests_id_runs_through_its_lines_and_the_level_changes_at_the_operators_address() {
+fn log_lines_carry_request_id_and_operators_change_the_level() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, json_lines("info"));
     discovery.called(2);
     let mut client = gateway.client();
@@ -235,7 +236,7 @@
     while !seen.contains_key("answered") {
         let line = gateway.logs("\"request\"");
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
-        assert_eq!(line["request"], told.id.as_str(), "of the one before nothing was written: {}", quiet.id);
+        assert_eq!(line["request"], told.id.as_str(), "the request before logged nothing: {}", quiet.id);
         seen.insert(line["message"].as_str().expect("a message").to_string(), line);
     }
     let names: Vec<&str> = seen.keys().map(String::as_str).collect();
@@ -250,11 +251,11 @@
     assert_eq!(gateway.call("POST", "/-/log?level=info").status(), 200);
 }
 
-/// Nobody reads: the pipe fills, then the queue, and requests go on.
+/// The log is not read: the pipe fills, then the queue, and requests are still served.
 #[test]
-fn a_reader_of_the_log_that_is_stuck_or_gone_holds_up_nobody_and_lost_lines_are_counted() {
+fn blocked_or_closed_log_reader_delays_no_request_and_lost_lines_are_counted() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let setup = Setup { unread: true, ..json_lines("debug") };
     let mut gateway = Gateway::with(&discovery, setup);
     discovery.called(2);
@@ -269,47 +270,47 @@
         for _ in 0..100 {
             let asked = Instant::now();
             assert_eq!(client.ask(&ask("quote").text()).status(), 200);
-            assert!(asked.elapsed() < Duration::from_secs(2), "the log holds it up");
+            assert!(asked.elapsed() < Duration::from_secs(2), "the log delays the request");
         }
-        assert!(started.elapsed() < 3 * LIMIT, "the queue has an end");
+        assert!(started.elapsed() < 3 * LIMIT, "the log queue never fills");
     }
     let before = lost(&gateway);
     gateway.close_log();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     let started = Instant::now();
     while lost(&gateway) < before + 1000 {
-        assert!(started.elapsed() < LIMIT, "what waited for the reader is lost with it");
+        assert!(started.elapsed() < LIMIT, "lines that waited for the reader are never counted as lost");
     }
     gateway.signal("-TERM");
     let ended = Instant::now();
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process ends").success());
     assert!(ended.elapsed() < Duration::from_secs(10));
 }
 
 #[test]
-fn a_closed_standard_error_ends_nothing() {
+fn runs_with_closed_standard_error() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let port = gateway_test_support::reserved_address();
     let text = TOML.replace("listen = \"127.0.0.1:0\"", &format!("listen = \"{port}\""));
     let path = file("toml", &text.replace("DISCOVERY", &discovery.address.to_string()));
     let mut command = Command::new("/bin/sh");
     command.args(["-c", "exec \"$0\" --config \"$1\" 2>&-"]).arg(program("sprucehatch-gateway")).arg(&path);
-    let mut child = command.env_remove("LB_CONFIG").stdin(Stdio::null()).spawn().expect("it starts");
+    let mut child = command.env_remove("LB_CONFIG").stdin(Stdio::null()).spawn().expect("the program starts");
     discovery.called(2);
     let answer = gateway_test_support::Client::to(port).ask(&ask("quote").text());
     assert_eq!(answer.status(), 200);
     assert!(child.try_wait().expect("a child").is_none());
-    child.kill().and_then(|()| child.wait()).expect("it ends");
-    fs::remove_file(path).expect("it is there");
+    child.kill().and_then(|()| child.wait()).expect("the process ends");
+    fs::remove_file(path).expect("the file exists");
 }
 
 // ---- Figures ----
 
 #[test]
-fn the_figures_come_as_openmetrics_and_the_status_tells_latencies() {
+fn reports_openmetrics_and_latencies() {
     let backend = Backend::good();
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, json_lines("info"));
     discovery.called(2);
     let mut client = gateway.client();
@@ -331,14 +332,14 @@
     assert!(latency["p99_ms"].as_f64() >= latency["p50_ms"].as_f64(), "{latency}");
 }
 
-/// Whatever the load, staff have their answers within a second.
+/// Operators' calls are answered within a second under any load.
 #[test]
-fn figures_are_told_within_a_second_under_full_load() {
+fn answers_operators_within_a_second_under_load() {
     let backend = Backend::new(|_, s| {
         std::thread::sleep(Duration::from_millis(1));
         gateway_test_support::ok(s, "x")
     });
-    let discovery = one(&backend);
+    let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, json_lines("info"));
     discovery.called(2);
     let done = Arc::new(AtomicBool::new(false));
@@ -363,18 +364,18 @@
     }
     done.store(true, Ordering::Relaxed);
     let asked: u64 = clients.into_iter().map(|c| c.join().expect("a client")).sum();
-    assert!(asked > 100, "there was a load: {asked}");
+    assert!(asked > 100, "too little load: {asked}");
 }
 
-/// A file that grows while its reader reads it is the writer's whole file or none: appending ends in errors that name it.
+/// A file with an incomplete entry at its end is rejected, and the errors name that entry.
 #[test]
-fn a_configuration_that_is_still_being_written_is_not_half_taken() {
+fn rejects_partially_written_configuration() {
     let path = file("toml", TOML);
-    let mut growing = OpenOptions::new().append(true).open(&path).expect("it is there");
+    let mut growing = OpenOptions::new().append(true).open(&path).expect("the file exists");
     growing.write_all(b"[[settings.services]]\nname = \"late\"\n").expect("written");
     let out = run(&["check-config", "--config", path.to_str().expect("text")], None);
     let text = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1));
     assert_eq!(text.matches("settings.services[1].").count(), 4, "{text}");
-    fs::remove_file(path).expect("it is there");
+    fs::remove_file(path).expect("the file exists");
 }
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version under load: two processes of one gateway, on the clients' socket that the platform holds.
+//! Graceful restarts: two processes of one gateway, on the clients' socket that the platform holds.
 
 use gateway_test_support::{ask, config_file, folder, list, Backend, Discovery, Gateway, Setup};
 use std::net::TcpListener;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_bans_and_drains_and_no_request_is_lost() {
+fn successor_takes_over_disabled_servers_and_drains_without_losing_requests() {
     let (out, backend) = (Backend::good(), Backend::good());
     let both = [("s-1", out.address, "Ready"), ("s-2", backend.address, "Ready")];
     let discovery = Discovery::new(list(1, true, &both));
@@ -34,7 +34,7 @@
     let new = start(&discovery, &held, &folder);
     old.logs("a successor serves");
     assert_eq!((new.call("GET", "/-/ready").status(), new.figure("/ejected")), (200, 1));
-    // The open connection is served to its end, new ones are the successor's.
+    // The open connection is served until it closes; new connections go to the successor.
     let answer = client.ask(&ask("quote").text());
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.closed());
@@ -43,7 +43,7 @@
     }
     assert_eq!((new.figure("/succeeded/quote"), old.figure("/succeeded/quote")), (5, 2));
 
-    // What either is told counts for both.
+    // Operators' calls to either process apply to both.
     assert_eq!(old.call("POST", "/-/drain").status(), 200);
     new.logs("client drain started");
     assert_eq!(new.client().ask(READY).status(), 503);
@@ -52,17 +52,20 @@
     assert_eq!(old.call("POST", "/-/roll-servers/s-2/disable").status(), 200);
     let started = Instant::now();
     while new.figure("/ejected") != 2 {
-        assert!(started.elapsed() < gateway_test_support::LIMIT, "the successor never hears of the ban");
+        assert!(
+            started.elapsed() < gateway_test_support::LIMIT,
+            "the successor is not told that the server is disabled"
+        );
     }
     assert_eq!(new.call("POST", "/-/roll-servers/s-2/enable").status(), 200);
 
     old.signal("-TERM");
-    assert!(old.child.wait().expect("it ends").success());
+    assert!(old.child.wait().expect("the process ends").success());
     assert_eq!(new.client().ask(&ask("quote").text()).status(), 200);
-    assert_eq!(new.figure("/ejected"), 1, "the ban outlives the process that it was told to");
+    assert_eq!(new.figure("/ejected"), 1, "the server stays disabled after the old process ends");
     assert!(out.untouched());
 
-    // The next one takes over from the successor.
+    // A third process takes over from the successor.
     let next = start(&discovery, &held, &folder);
     new.logs("a successor serves");
     assert_eq!(next.figure("/ejected"), 1);
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn when_the_successor_dies_the_old_process_lets_clients_in_again() {
+fn old_process_accepts_clients_again_after_successor_dies() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let (held, folder) = (socket(), folder());
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn a_request_in_hand_is_answered_by_the_old_process_after_sigterm() {
+fn old_process_answers_request_in_progress_after_sigterm() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
     let backend = Backend::new(move |_, s| {
@@ -103,12 +106,12 @@
     old.logs("handing clients over");
     go.send(()).expect("the backend waits");
     assert_eq!(busy.answer().status(), 200);
-    assert!(old.child.wait().expect("it ends").success());
+    assert!(old.child.wait().expect("the process ends").success());
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_stale_socket_and_a_silent_peer_barely_delay_the_start() {
+fn stale_socket_or_unresponsive_peer_barely_delays_start() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     for silent in [false, true] {
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn a_long_folder_serves_as_well() {
+fn handover_works_with_long_folder_path() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let (held, top) = (socket(), folder());
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn a_bad_descriptor_ends_the_start_with_a_message() {
+fn invalid_descriptor_fails_start_with_message() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::start(&discovery);
@@ -157,16 +160,17 @@
         let mut command = Command::new("/bin/sh");
         command.args(["-c", "exec \"$0\" 4<&0 </dev/null", env!("CARGO_BIN_EXE_sprucehatch-gateway")]);
         command.env("LB_CONFIG", &path).env("LB_INHERITED_FD", bad).stdin(stdin);
-        let out = command.output().expect("it runs");
+        let out = command.output().expect("the program runs");
         let _ = std::fs::remove_file(path);
         let text = String::from_utf8(out.stderr).expect("text");
         assert!(!out.status.success() && text.contains("LB_INHERITED_FD"), "{bad:?}: {text}");
     }
 }
 
-/// The configuration changes while two processes are one gateway: each reads its own file, and neither is hurt.
+/// The configuration changes while two processes of one gateway run: each reads its own file, and no request
+/// is lost.
 #[test]
-fn a_hangup_during_an_upgrade_is_taken_by_both_and_loses_no_request() {
+fn reload_during_handover_reaches_both_processes_and_loses_no_request() {
     let (first, second) = (Backend::good(), Backend::good());
     let (a, b) = (
         Discovery::new(list(1, true, &[("s-1", first.address, "Ready")])),
@@ -188,14 +192,14 @@
         process.reconfigure(&good);
         process.logs("configuration read again");
     }
-    // Both call the other discovery: the whole list, and then for what is newer.
+    // Both call the new discovery address: for the full list, and then for changes.
     b.called(4);
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     assert_eq!(new.client().ask(&ask("quote").text()).status(), 200);
     second.next();
     second.next();
     old.signal("-TERM");
-    assert!(old.child.wait().expect("it ends").success());
+    assert!(old.child.wait().expect("the process ends").success());
     assert_eq!(new.client().ask(&ask("quote").text()).status(), 200);
     let _ = std::fs::remove_dir_all(folder);
 }
