--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -13,7 +13,7 @@
 use crate::config::Config;
 use crate::link::{Dialer, Link, Progress};
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::Pooled;
+use crate::pool::connection::PooledConnection;
 use crate::pool::Pool;
 use bytes::Bytes;
 use gateway_decisions::{Ending, Name, Via};
@@ -48,7 +48,7 @@
         &self.memory
     }
 
-    /// Returns the number of attempts that have been written completely since the start.
+    /// Returns the number of attempts that have been written completely last_progress the start.
     pub fn forwards(&self) -> u64 {
         self.pool.opener().forwards.get()
     }
@@ -132,7 +132,7 @@
     /// None if the answer breaks off.
     async fn read_unserved(
         &self,
-        mut connection: Pooled<Link>,
+        mut connection: PooledConnection<Link>,
         body: Incoming,
     ) -> Option<Option<ServedBody>> {
         let body = Limited::new(body, SMALL_BODY_BYTES).collect();
@@ -154,7 +154,7 @@
     /// the client. Returns None if the answer breaks off.
     async fn read_served(
         &self,
-        mut connection: Pooled<Link>,
+        mut connection: PooledConnection<Link>,
         head: &Parts,
         mut body: Incoming,
     ) -> Option<Option<ServedBody>> {
@@ -163,13 +163,13 @@
         let length = body.size_hint().exact();
         let wanted = length.map_or(SMALL_BODY_BYTES, |l| usize::try_from(l).unwrap_or(usize::MAX));
         let mut grant = Some(wanted).filter(|w| *w <= SMALL_BODY_BYTES).and_then(|w| self.memory.grant(w));
-        let hold = Instant::now() + BUFFER_TIMEOUT;
+        let buffer_deadline = Instant::now() + BUFFER_TIMEOUT;
         let (mut first, mut buffered) = (VecDeque::new(), 0);
         while grant.is_some() {
             let next = connection.link.drive(body.frame());
             let next = match length {
                 Some(_) => next.await,
-                None => match timeout_at(hold, next).await {
+                None => match timeout_at(buffer_deadline, next).await {
                     Ok(next) => next,
                     Err(_) => break,
                 },
@@ -202,12 +202,12 @@
 
 /// Completes once a backend has read nothing of a relayed body for [`STALL_TIMEOUT`].
 async fn stalled(progress: &Progress, upload: &Upload) {
-    let (mut every, mut before, mut since) = (interval(STALL_TIMEOUT / 10), 0, Instant::now());
-    while since.elapsed() < STALL_TIMEOUT {
-        let now = every.tick().await;
+    let (mut ticks, mut last_written, mut last_progress) = (interval(STALL_TIMEOUT / 10), 0, Instant::now());
+    while last_progress.elapsed() < STALL_TIMEOUT {
+        let now = ticks.tick().await;
         let written = progress.written.get();
-        if written != before || upload.waits_for_client() || upload.ended().is_some() {
-            (before, since) = (written, now);
+        if written != last_written || upload.waits_for_client() || upload.ended().is_some() {
+            (last_written, last_progress) = (written, now);
         }
     }
 }
--- a/crates/gateway/src/backends/download.rs
+++ b/crates/gateway/src/backends/download.rs
@@ -3,7 +3,7 @@
 use crate::bodies::{Grant, SMALL_BODY_BYTES};
 use crate::link::{Dialer, Link};
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::Pooled;
+use crate::pool::connection::PooledConnection;
 use crate::pool::Pool;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -22,7 +22,7 @@
 
 /// Returns the connection of a complete answer to the pool. Without framing the answer ends with the
 /// connection, which is then closed.
-pub fn release(pool: &Pool<Dialer>, connection: Pooled<Link>, framed: bool) {
+pub fn release(pool: &Pool<Dialer>, connection: PooledConnection<Link>, framed: bool) {
     if framed {
         pool.give_back(connection);
     } else {
@@ -32,19 +32,19 @@
 
 /// An answer that is streamed from a backend to a client at the client's pace. Dropping it ends the attempt.
 pub struct Download {
-    connection: Option<Pooled<Link>>,
+    connection: Option<PooledConnection<Link>>,
     body: Incoming,
     /// Data that was received before the answer was found to need streaming.
     first: VecDeque<Bytes>,
     grant: Option<Grant>,
     length: Option<u64>,
     framed: bool,
-    stall: Pin<Box<Sleep>>,
+    stall_timer: Pin<Box<Sleep>>,
     waiting: bool,
     /// The number of bytes that have been passed on to the client.
     bytes_passed_on: usize,
     /// When the client's time is over.
-    limit: Option<Pin<Box<Sleep>>>,
+    deadline: Option<Pin<Box<Sleep>>>,
     pool: Rc<Pool<Dialer>>,
 }
 
@@ -53,7 +53,7 @@
     /// `grant` is the memory that it counts against.
     pub fn new(
         pool: &Rc<Pool<Dialer>>,
-        connection: Pooled<Link>,
+        connection: PooledConnection<Link>,
         body: Incoming,
         first: VecDeque<Bytes>,
         grant: Option<Grant>,
@@ -67,10 +67,10 @@
             grant,
             length,
             framed,
-            stall: Box::pin(sleep(Duration::ZERO)),
+            stall_timer: Box::pin(sleep(Duration::ZERO)),
             waiting: false,
             bytes_passed_on: 0,
-            limit: None,
+            deadline: None,
             pool: pool.clone(),
         }
     }
@@ -82,17 +82,17 @@
 
     /// Sets the client's deadline. A small answer must be complete by then. A large one must only have begun:
     /// the rest may arrive later.
-    pub fn set_deadline(&mut self, limit: Instant) {
-        self.limit =
-            self.length.is_none_or(|l| l <= SMALL_BODY_BYTES as u64).then(|| Box::pin(sleep_until(limit)));
+    pub fn set_deadline(&mut self, deadline: Instant) {
+        self.deadline =
+            self.length.is_none_or(|l| l <= SMALL_BODY_BYTES as u64).then(|| Box::pin(sleep_until(deadline)));
     }
 
     /// Returns whether a small answer is incomplete at the client's deadline.
     fn overdue(&mut self, cx: &mut Context<'_>) -> bool {
         if self.bytes_passed_on > SMALL_BODY_BYTES {
-            self.limit = None;
+            self.deadline = None;
         }
-        self.limit.as_mut().is_some_and(|limit| limit.as_mut().poll(cx).is_ready())
+        self.deadline.as_mut().is_some_and(|deadline| deadline.as_mut().poll(cx).is_ready())
     }
 
     fn finish(&mut self) {
@@ -139,9 +139,9 @@
             Poll::Pending if closed => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
             Poll::Pending => {
                 if !std::mem::replace(&mut me.waiting, true) {
-                    me.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                    me.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                 }
-                me.stall.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into())))
+                me.stall_timer.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into())))
             }
         }
     }
--- a/crates/gateway/src/backends/outcome.rs
+++ b/crates/gateway/src/backends/outcome.rs
@@ -74,7 +74,7 @@
         text.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
     };
     let (settled, metered, load) =
-        (number("billed-units"), number("usage-percent"), headers.get("server-load").and_then(load));
+        (number("billed-units"), number("usage-percent"), headers.get("server-load").and_then(parse_load));
     let served = body.filter(|_| ending == Ending::Pass).map(|body| Served {
         content_type: headers.get("content-type").cloned(),
         content_encoding: headers.get("content-encoding").cloned(),
@@ -90,7 +90,7 @@
     }
 }
 
-fn load(report: &HeaderValue) -> Option<Load> {
+fn parse_load(report: &HeaderValue) -> Option<Load> {
     #[derive(Deserialize)]
     struct Report {
         inflight: Option<f64>,
--- a/crates/gateway/src/backends/tests.rs
+++ b/crates/gateway/src/backends/tests.rs
@@ -215,9 +215,9 @@
     assert_eq!(ending, Ending::Pass);
     // Closed immediately, without a turn of the event loop before the next attempt checks the connection.
     stream.into_std().unwrap().shutdown(std::net::Shutdown::Both).unwrap();
-    let anew = async { tokio::join!(attempt(&b, &request), serve()) };
-    let anew = timeout(Duration::from_secs(5), anew).await;
-    let ((ending, _), _stream) = anew.expect("the request uses a new connection");
+    let reconnected = async { tokio::join!(attempt(&b, &request), serve()) };
+    let reconnected = timeout(Duration::from_secs(5), reconnected).await;
+    let ((ending, _), _stream) = reconnected.expect("the request uses a new connection");
     assert_eq!((ending, closed(&b, CloseReason::Closed)), (Ending::Pass, 1));
 }
 
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -114,7 +114,7 @@
 
 /// A client's body with a timeout. Only time spent waiting for the client counts, not time in which the
 /// gateway does not read.
-struct Paced<B> {
+struct PacedBody<B> {
     body: B,
     received: u64,
     /// Time spent waiting for the client so far; None once the body is relayed, when only each single wait is
@@ -124,10 +124,10 @@
     limit: Pin<Box<Sleep>>,
 }
 
-impl<B: Body<Data = Bytes> + Unpin> Paced<B> {
+impl<B: Body<Data = Bytes> + Unpin> PacedBody<B> {
     fn new(body: B, waited: Duration) -> Self {
         let limit = Box::pin(sleep(Duration::ZERO));
-        Paced { body, received: 0, waited: Some(waited), waiting_since: None, limit }
+        PacedBody { body, received: 0, waited: Some(waited), waiting_since: None, limit }
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
@@ -194,7 +194,7 @@
         _ => SMALL_BODY_BYTES,
     };
     let mut grant = budget.grant(first);
-    let mut body = Paced::new(body, waited);
+    let mut body = PacedBody::new(body, waited);
     let mut buffered = BytesMut::new();
     while let Some(g) = grant.as_mut() {
         let Some(frame) = body.next().await.transpose()? else {
@@ -244,7 +244,7 @@
 pub struct Upload {
     /// The buffered beginning, until the rest is read.
     buffered: RefCell<Bytes>,
-    rest: RefCell<Paced<Incoming>>,
+    rest: RefCell<PacedBody<Incoming>>,
     length: Option<u64>,
     consumed: Cell<bool>,
     ended: Cell<Option<Instant>>,
--- a/crates/gateway/src/bodies/tests.rs
+++ b/crates/gateway/src/bodies/tests.rs
@@ -37,17 +37,17 @@
 
 #[tokio::test(start_paused = true)]
 async fn body_timeout_allows_minimum_pace_and_rejects_slower_clients() {
-    let mut honest = Paced::new(drip(64_000), Duration::from_secs(2));
+    let mut honest = PacedBody::new(drip(64_000), Duration::from_secs(2));
     for _ in 0..400 {
         assert!(honest.next().await.unwrap().is_ok());
     }
     for (pace, most) in [(16, 3.0), (8_000, 6.0)] {
-        let (mut slow, start) = (Paced::new(drip(pace), Duration::ZERO), Instant::now());
+        let (mut slow, start) = (PacedBody::new(drip(pace), Duration::ZERO), Instant::now());
         while slow.next().await.unwrap().is_ok() {}
         assert!(start.elapsed().as_secs_f64() < most, "{pace} bytes a second");
     }
     // Time in which the gateway does not read does not count against the client.
-    let mut late = Paced::new(drip(64_000), Duration::ZERO);
+    let mut late = PacedBody::new(drip(64_000), Duration::ZERO);
     late.waited = None;
     for _ in 0..10 {
         tokio::time::sleep(Duration::from_secs(20)).await;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -164,9 +164,7 @@
             own("pool", config::schema::<Pool>);
             own("log", config::schema::<log::Options>);
             match file {
-                Ok(file) if file.seed.is_none() => {
-                    faults.push(format!("seed is missing: {SEED_FORMAT} are wanted"))
-                }
+                Ok(file) if file.seed.is_none() => faults.push(format!("seed is missing: {SEED} are wanted")),
                 Ok(file) if faults.is_empty() => return build(file, value, environment),
                 Ok(_) => {}
                 Err(more) => faults
@@ -177,7 +175,8 @@
     }
 }
 
-const SEED_FORMAT: &str = "up to 16 hex digits";
+/// The format of a seed, in error messages.
+const SEED: &str = "up to 16 hex digits";
 
 fn build(file: File, document: Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Wrong> {
     let mut faults = Vec::new();
@@ -268,7 +267,7 @@
 fn random_seed(configured: Option<&str>, faults: &mut Vec<String>) -> u64 {
     match configured {
         Some(text) => u64::from_str_radix(text, 16).unwrap_or_else(|_| {
-            faults.push(format!("seed is {text:?}: {SEED_FORMAT} are wanted"));
+            faults.push(format!("seed is {text:?}: {SEED} are wanted"));
             0
         }),
         None => fastrand::u64(..),
--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -23,10 +23,10 @@
         now: Instant,
     ) {
         let pending = state.requests.get_mut(&id);
-        let attempt = pending.as_ref().map_or(0, |l| l.attempts);
-        let Some(pending) =
-            pending.filter(|l| l.client.is_some() && l.attempt.is_none() && l.attempts < self.try_limit)
-        else {
+        let attempt = pending.as_ref().map_or(0, |pending| pending.attempts);
+        let Some(pending) = pending.filter(|pending| {
+            pending.client.is_some() && pending.attempt.is_none() && pending.attempts < self.try_limit
+        }) else {
             // The request has already ended, for instance because its client disconnected in this batch:
             // report to the engine that nothing was sent.
             state.events.push(self.attempt_end_event(
@@ -54,25 +54,25 @@
             "attempt"
         );
         let progress = Rc::default();
-        let run =
+        let running =
             Attempt { driver: self.clone(), id, number: attempt, server, sent: now, progress, done: false };
-        pending.attempt = Some(run.spawn(pending.outgoing.clone(), attempt_deadline));
+        pending.attempt = Some(running.spawn(pending.outgoing.clone(), attempt_deadline));
     }
 
     /// Handles the end of an attempt, whatever caused it.
-    fn handle_attempt_end(&self, run: &mut Attempt, mut outcome: Outcome) {
+    fn handle_attempt_end(&self, running: &mut Attempt, mut outcome: Outcome) {
         let mut state = self.state.borrow_mut();
-        let (mut last, mut body_discarded, mut elapsed) = (true, false, run.sent.elapsed());
+        let (mut last, mut body_discarded, mut elapsed) = (true, false, running.sent.elapsed());
         tracing::debug!(
             target: LOG_TARGET,
-            request = %RequestName(run.id),
-            attempt = run.number,
-            server = &*run.server,
+            request = %RequestName(running.id),
+            attempt = running.number,
+            server = &*running.server,
             ending = ?outcome.ending,
             took_ms = elapsed.as_millis() as u64,
             "attempt ended"
         );
-        if let Some(pending) = state.requests.get_mut(&run.id) {
+        if let Some(pending) = state.requests.get_mut(&running.id) {
             pending.attempt = None;
             if let Some(upload) = pending.outgoing.body.relay() {
                 body_discarded = upload.is_consumed();
@@ -85,13 +85,13 @@
             }
             last = pending.client.is_none();
             if last {
-                state.requests.remove(&run.id);
+                state.requests.remove(&running.id);
             }
         }
         let event = self.attempt_end_event(
-            run.id,
-            run.number,
-            run.server.clone(),
+            running.id,
+            running.number,
+            running.server.clone(),
             (last, body_discarded),
             elapsed,
             outcome,
@@ -110,20 +110,20 @@
         elapsed: Duration,
         outcome: Outcome,
     ) -> Event {
-        let links = self.backends.pool.connections_to(&server) as u32;
+        let open_connections = self.backends.pool.connections_to(&server) as u32;
         Event::AttemptEnd(AttemptEnd {
             id,
             attempt,
             server,
             ending: outcome.ending,
             request_finished: last,
-            body_discarded: body_discarded,
+            body_discarded,
             elapsed: elapsed.as_nanos() as Time,
             actual_units: outcome.actual_units,
             metered_share: outcome.metered_share,
             load: outcome.load,
             via: outcome.via,
-            open_connections: links,
+            open_connections,
         })
     }
 }
--- a/crates/gateway/src/driver/event_loop.rs
+++ b/crates/gateway/src/driver/event_loop.rs
@@ -19,22 +19,22 @@
     pub async fn run(self: &Rc<Self>) -> Infallible {
         let mut actions = Vec::new();
         let mut status = Instant::now() + STATUS_INTERVAL;
-        let mut earliest = Instant::now();
+        let mut next_batch = Instant::now();
         loop {
             let due = self.next_due().min(status);
             tokio::select! {
                 () = self.wake.notified() => {}
                 () = sleep_until(due) => {
-                    let late = due.elapsed();
-                    self.counts.longest_delay.set(self.counts.longest_delay.get().max(late));
+                    let delay = due.elapsed();
+                    self.counts.longest_delay.set(self.counts.longest_delay.get().max(delay));
                 }
             }
             // After a quiet period no wait is needed, which saves a wake-up.
-            if earliest > Instant::now() {
-                sleep_until(earliest).await;
+            if next_batch > Instant::now() {
+                sleep_until(next_batch).await;
             }
             let now = Instant::now();
-            earliest = now + self.tick;
+            next_batch = now + self.tick;
             self.batch(now, &mut actions);
             if now >= status {
                 self.status();
@@ -82,7 +82,8 @@
     /// Answers a request that the engine has not decided by its deadline; no further attempt is sent for it.
     fn overdue(&self, state: &mut DriverState, id: RequestId, now: Instant) {
         // The id may have been reused by a later request.
-        let Some(pending) = state.requests.get_mut(&id).filter(|l| l.deadline <= now && l.client.is_some())
+        let Some(pending) =
+            state.requests.get_mut(&id).filter(|pending| pending.deadline <= now && pending.client.is_some())
         else {
             return;
         };
@@ -107,8 +108,8 @@
             Action::Reject { id, retry_after } => self.finish(state, id, true, retry_after),
             Action::Fail { id } => self.finish(state, id, false, 0),
             Action::Cancel { id, attempt } => {
-                let pending = state.requests.get(&id).filter(|l| l.attempts == attempt + 1);
-                if let Some(out) = pending.and_then(|l| l.attempt.as_ref()) {
+                let pending = state.requests.get(&id).filter(|pending| pending.attempts == attempt + 1);
+                if let Some(out) = pending.and_then(|pending| pending.attempt.as_ref()) {
                     out.task.abort();
                 }
             }
@@ -138,12 +139,12 @@
 
     /// Logs the counts since the last status line, if there were any requests.
     fn status(&self) {
-        let c = &self.counts;
+        let counts = &self.counts;
         let take = |count: &Cell<u64>| count.replace(0);
-        let (served, refused, failed) = (take(&c.served), take(&c.refused), take(&c.failed));
-        let overdue = take(&c.overdue);
-        let batches = take(&c.batches);
-        let latest = c.longest_delay.replace(Duration::ZERO).as_millis();
+        let (served, refused, failed) = (take(&counts.served), take(&counts.refused), take(&counts.failed));
+        let overdue = take(&counts.overdue);
+        let batches = take(&counts.batches);
+        let latest = counts.longest_delay.replace(Duration::ZERO).as_millis();
         if served + refused + failed > 0 {
             let pending = self.state.borrow().requests.len();
             tracing::info!(
--- a/crates/gateway/src/driver/requests.rs
+++ b/crates/gateway/src/driver/requests.rs
@@ -25,40 +25,43 @@
 impl Driver {
     /// Accepts a request. Returns None if a request with its id is still pending: two attempts with the same
     /// id must not be in flight at the same time.
-    pub fn submit(self: &Rc<Self>, r: ClientRequest) -> Option<PendingAnswer> {
+    pub fn submit(self: &Rc<Self>, request: ClientRequest) -> Option<PendingAnswer> {
         let mut state = self.state.borrow_mut();
-        if state.requests.contains_key(&r.id) {
+        if state.requests.contains_key(&request.id) {
             return None;
         }
-        let relayed = r.outgoing.body.relay().is_some();
-        let deadline =
-            if relayed { r.arrived + RELAY_DEADLINE } else { Self::deadline(r.arrived, r.timeout) };
+        let relayed = request.outgoing.body.relay().is_some();
+        let deadline = if relayed {
+            request.arrived + RELAY_DEADLINE
+        } else {
+            Self::deadline(request.arrived, request.timeout)
+        };
         let deadline = self.capped_by_shutdown(deadline);
         let (client, answer) = oneshot::channel();
         let pending = PendingRequest {
             client: Some(client),
-            outgoing: Rc::new(r.outgoing),
+            outgoing: Rc::new(request.outgoing),
             attempts: 0,
             attempt: None,
             may_have_run: false,
             timed_out: false,
             deadline,
         };
-        state.requests.insert(r.id, pending);
-        state.timers.push(Reverse((deadline + DECISION_GRACE, Due::Deadline(r.id))));
+        state.requests.insert(request.id, pending);
+        state.timers.push(Reverse((deadline + DECISION_GRACE, Due::Deadline(request.id))));
         state.events.push(Event::Request(Request {
-            id: r.id,
-            class: r.class,
-            plan: r.plan,
-            customer: r.customer,
+            id: request.id,
+            class: request.class,
+            plan: request.plan,
+            customer: request.customer,
             deadline: self.clock.time(deadline),
-            units: r.units,
-            spread: r.spread,
-            is_retry: r.is_retry,
+            units: request.units,
+            spread: request.spread,
+            is_retry: request.is_retry,
             relayed,
         }));
         self.wake.notify_one();
-        Some(PendingAnswer { id: r.id, answer, driver: self.clone(), answered: false })
+        Some(PendingAnswer { id: request.id, answer, driver: self.clone(), answered: false })
     }
 
     /// Returns the deadline of a pending request, or `fallback` if the request has ended.
@@ -108,7 +111,7 @@
         match &pending.attempt {
             // The attempt still waits for a connection and must not be sent for a client that has gone. The
             // engine decides about an attempt that has been written.
-            Some(out) if !out.has_connection() => out.task.abort(),
+            Some(attempt) if !attempt.has_connection() => attempt.task.abort(),
             Some(_) => {}
             None => drop(state.requests.remove(&id)),
         }
--- a/crates/gateway/src/driver/tests.rs
+++ b/crates/gateway/src/driver/tests.rs
@@ -69,8 +69,8 @@
 #[tokio::test]
 async fn answers_request_in_time_without_engine_decision() {
     let driver = driver();
-    let (r, silent) = (incoming(0), incoming(99));
-    let pending = driver.submit(silent).unwrap();
+    let (r, undecided) = (incoming(0), incoming(99));
+    let pending = driver.submit(undecided).unwrap();
     let limit = driver.state.borrow().requests[&1].deadline;
     assert!(
         limit < Instant::now() + Duration::from_millis(300),
--- a/crates/gateway/src/figures/tests.rs
+++ b/crates/gateway/src/figures/tests.rs
@@ -8,7 +8,7 @@
     let figures = Figures::new(["look", "watch"].into_iter());
     let mut connections = PoolFigures { open: 4, idle: 1, opening: 2, peak: 6, ..PoolFigures::default() };
     connections.closed.insert(CloseReason::GivenUp, 3);
-    let told = r#","connections":{"open":4,"idle":1,"opening":2,"peak":6,"opened":0,"failed":0,"reused":0,"waits":0,"waited_us":0,"closed":{"given_up":3}},"list":{"version":9,"age_ms":70}}"#;
+    let reported = r#","connections":{"open":4,"idle":1,"opening":2,"peak":6,"opened":0,"failed":0,"reused":0,"waits":0,"waited_us":0,"closed":{"given_up":3}},"list":{"version":9,"age_ms":70}}"#;
     let gauges = Gauges {
         forwards: 5,
         discovered: 3,
@@ -23,7 +23,7 @@
     assert_eq!(
         text(),
         r#"{"succeeded":{"look":0,"watch":0},"declined":{"look":0,"watch":0},"aborted":{"look":0,"watch":0},"forwards":5,"outstanding":2,"discovered":3,"ejected":1"#.to_string()
-            + told
+            + reported
     );
     served.set_outcome(End::Succeeded);
     drop(served);
@@ -31,7 +31,7 @@
     assert_eq!(
         text(),
         r#"{"succeeded":{"look":1,"watch":0},"declined":{"look":0,"watch":0},"aborted":{"look":0,"watch":1},"forwards":5,"outstanding":0,"discovered":3,"ejected":1"#.to_string()
-            + told
+            + reported
     );
 }
 
@@ -48,10 +48,10 @@
     tokio::time::advance(MAX_RECORDED_TIME * 48).await;
     drop(days);
     let times = figures.times();
-    let told: Vec<_> = times.iter().map(|(class, end, t)| (class.as_str(), *end, t.count())).collect();
+    let reported: Vec<_> = times.iter().map(|(class, end, t)| (class.as_str(), *end, t.count())).collect();
     let all = [("look", End::Succeeded, 1), ("watch", End::Succeeded, 90), ("watch", End::Declined, 10)];
-    assert_eq!(told, all);
-    let near = |told: Duration, ms: f64| (told.as_secs_f64() * 1000.0 / ms - 1.0).abs() < 0.02;
+    assert_eq!(reported, all);
+    let near = |reported: Duration, ms: f64| (reported.as_secs_f64() * 1000.0 / ms - 1.0).abs() < 0.02;
     assert!(near(times[1].2.quantile(0.5), 45.0) && near(times[2].2.quantile(1.0), 100.0), "{times:?}");
     assert!(
         near(times[0].2.quantile(1.0), MAX_RECORDED_TIME.as_millis() as f64),
--- a/crates/gateway/src/openmetrics.rs
+++ b/crates/gateway/src/openmetrics.rs
@@ -69,7 +69,7 @@
 
 impl Collector for MetricsSnapshot {
     fn encode(&self, encoder: DescriptorEncoder) -> fmt::Result {
-        let mut metrics = Metrics { encoder: encoder };
+        let mut metrics = Metrics { encoder };
         self.encode_requests(&mut metrics)?;
         encode_gauges(&mut metrics, &self.gauges, self.outstanding)?;
         encode_list_age(&mut metrics, &self.gauges.list)?;
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,7 +1,7 @@
 //! The connection pool for roll servers: open connections, the attempts that wait for one, and how
 //! connections are reused or closed.
 //!
-//! The decision engine sets the connection limits, and the pool enforces them. A checkout takes the most
+//! The decision engine sets the connection limits, and the pool enforces them. A checkout takes the limit
 //! recently used idle connection, so that the others reach the idle timeout. If no connection is idle, the
 //! attempt waits for whichever comes first: a connection that another attempt returns, or a new one that is
 //! opened for it. A new connection that is no longer needed is kept if the limits allow. Attempts that wait
@@ -52,13 +52,18 @@
 
 impl<O: Open> Pool<O> {
     /// Creates a pool that never reuses a connection after it has been idle for `idle_timeout`.
-    pub fn new(opener: O, most: usize, connect_timeout: Duration, idle_timeout: Duration) -> Rc<Self> {
+    pub fn new(
+        opener: O,
+        max_connections: usize,
+        connect_timeout: Duration,
+        idle_timeout: Duration,
+    ) -> Rc<Self> {
         Rc::new(Pool {
             opener,
             servers: RefCell::default(),
             disabled: RefCell::default(),
             counts: Rc::default(),
-            max_connections: Cell::new(most),
+            max_connections: Cell::new(max_connections),
             connect_timeout,
             idle_timeout,
             staleness: RefCell::new(Staleness::new(Instant::now())),
@@ -137,8 +142,8 @@
             }
             let address = t.endpoint.parse().ok();
             let name: Name = t.uid.as_str().into();
-            let known = servers.entry(name.clone()).or_insert_with(|| Server::new(address, t.boot_ms, now));
-            if known.apply_listing(address, t.boot_ms, t.state == State::Ready, now) {
+            let server = servers.entry(name.clone()).or_insert_with(|| Server::new(address, t.boot_ms, now));
+            if server.apply_listing(address, t.boot_ms, t.state == State::Ready, now) {
                 moved.push(name);
             }
         }
@@ -152,18 +157,18 @@
     // ---- Limits ----
 
     /// Sets the maximum number of connections to all servers together.
-    pub fn set_limit(&self, most: usize) {
-        self.max_connections.set(most);
-        while self.counts.total.get() > most && self.close_longest_idle() {}
+    pub fn set_limit(&self, limit: usize) {
+        self.max_connections.set(limit);
+        while self.counts.total.get() > limit && self.close_longest_idle() {}
         self.counts.freed();
     }
 
     /// Sets the maximum number of connections to one server.
-    pub fn set_server_limit(&self, name: &Name, most: usize) {
+    pub fn set_server_limit(&self, name: &Name, limit: usize) {
         if let Some(s) = self.servers.borrow_mut().get_mut(name) {
-            let over = s.connections.get().saturating_sub(most).min(s.idle.len());
-            close(s.idle.drain(..over), CloseReason::Room);
-            s.max_connections = most;
+            let excess = s.connections.get().saturating_sub(limit).min(s.idle.len());
+            close(s.idle.drain(..excess), CloseReason::Room);
+            s.max_connections = limit;
         }
         self.counts.freed();
     }
--- a/crates/gateway/src/pool/checkout.rs
+++ b/crates/gateway/src/pool/checkout.rs
@@ -2,7 +2,7 @@
 //! for them.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Checkout, LinkState, Open, Pooled, Reusable, Slot, Unavailable};
+use crate::pool::connection::{Checkout, LinkState, Open, PooledConnection, Reusable, Slot, Unavailable};
 use crate::pool::server::{close, Server};
 use crate::pool::Pool;
 use gateway_decisions::Name;
@@ -52,7 +52,7 @@
     }
 
     /// Counts the use of a connection and records how long it was idle.
-    fn hand_out(&self, mut p: Pooled<O::Link>) -> Pooled<O::Link> {
+    fn hand_out(&self, mut p: PooledConnection<O::Link>) -> PooledConnection<O::Link> {
         if p.use_count > 0 {
             self.counts.figures.borrow_mut().reused += 1;
             p.idle_time = Some(p.last_used.elapsed());
@@ -63,7 +63,7 @@
 
     /// Takes the most recently used idle connection that is still usable. If it has reached the idle timeout,
     /// so have all others, which are older.
-    fn take_idle(&self, s: &mut Server<O::Link>, now: Instant) -> Option<Pooled<O::Link>> {
+    fn take_idle(&self, s: &mut Server<O::Link>, now: Instant) -> Option<PooledConnection<O::Link>> {
         let limit = self.idle_limit(s, now);
         while let Some(mut p) = s.idle.pop() {
             if now - p.last_used >= limit {
@@ -84,11 +84,11 @@
     pub(super) fn closed_while_idle(
         &self,
         s: &mut Server<O::Link>,
-        p: Pooled<O::Link>,
-        found: LinkState,
+        p: PooledConnection<O::Link>,
+        link_state: LinkState,
         now: Instant,
     ) {
-        if found == LinkState::Closed {
+        if link_state == LinkState::Closed {
             let idle = now - p.last_used;
             s.staleness.record(idle, true, now);
             self.staleness.borrow_mut().record(idle, true, now);
@@ -102,7 +102,7 @@
     }
 
     /// Returns whether the connection still belongs to the current generation of a usable server.
-    fn is_current(&self, p: &Pooled<O::Link>) -> bool {
+    fn is_current(&self, p: &PooledConnection<O::Link>) -> bool {
         let servers = self.servers.borrow();
         servers.get(&p.server).is_some_and(|s| s.generation == p.generation && self.usable(&p.server, s))
     }
@@ -142,12 +142,12 @@
     /// Opens a connection and assigns it to a waiting attempt, or reports the failure to one.
     async fn open(self: &Rc<Self>, server: Name, address: SocketAddr, generation: u64, mut slot: Slot) {
         let limit = Instant::now() + self.connect_timeout;
-        let missing = loop {
+        let failure = loop {
             match tokio::time::timeout_at(limit, self.opener.open(address)).await {
                 Ok(Ok(link)) => {
                     slot.opened();
                     let now = Instant::now();
-                    let p = Pooled {
+                    let p = PooledConnection {
                         link,
                         slot,
                         server,
@@ -174,12 +174,12 @@
         // The failure goes to the attempt that has waited longest, unless the connections still being opened
         // are enough for all waiting attempts.
         if s.waiting.len() > s.opening.get() {
-            let _ = s.waiting.pop_front().map(|first| first.send(Err(missing)));
+            let _ = s.waiting.pop_front().map(|first| first.send(Err(failure)));
         }
     }
 
     /// Returns a connection whose exchange has ended to the pool.
-    pub fn give_back(&self, mut p: Pooled<O::Link>) {
+    pub fn give_back(&self, mut p: PooledConnection<O::Link>) {
         p.last_used = Instant::now();
         match p.link.link_state() {
             LinkState::Ready => self.assign_or_keep_idle(p),
@@ -189,7 +189,7 @@
     }
 
     /// Assigns a connection to the first waiting attempt, or keeps it idle if none waits.
-    fn assign_or_keep_idle(&self, mut p: Pooled<O::Link>) {
+    fn assign_or_keep_idle(&self, mut p: PooledConnection<O::Link>) {
         let mut servers = self.servers.borrow_mut();
         let current =
             servers.get_mut(&p.server).filter(|s| s.generation == p.generation && self.usable(&p.server, s));
@@ -199,7 +199,7 @@
         while let Some(waiting) = s.waiting.pop_front() {
             match waiting.send(Ok(p)) {
                 Ok(()) => return,
-                Err(Ok(back)) => p = back,
+                Err(Ok(returned)) => p = returned,
                 Err(Err(_)) => return,
             }
         }
@@ -219,7 +219,7 @@
     matches!(e.raw_os_error(), Some(24 | 23))
 }
 
-/// An attempt's entry in the queue of a server. A connection that was assigned but not taken goes back to the
+/// An attempt's entry in the queue of a server. A connection that was assigned but not taken goes returned to the
 /// pool.
 struct Waiter<O: Open> {
     receiver: oneshot::Receiver<Checkout<O::Link>>,
--- a/crates/gateway/src/pool/connection.rs
+++ b/crates/gateway/src/pool/connection.rs
@@ -132,7 +132,7 @@
 }
 
 /// A connection of the pool, either idle or checked out by one attempt.
-pub struct Pooled<L> {
+pub struct PooledConnection<L> {
     // Declared before `slot` and so dropped first: the descriptor is free by the time that the slot is.
     pub link: L,
     pub slot: Slot,
@@ -144,7 +144,7 @@
     pub idle_time: Option<Duration>,
 }
 
-impl<L> Pooled<L> {
+impl<L> PooledConnection<L> {
     /// Closes the connection for this reason. A connection that is dropped without this call counts as given
     /// up.
     pub fn close(mut self, cause: CloseReason) {
@@ -153,4 +153,4 @@
 }
 
 /// The result of a checkout: a connection, or why there is none.
-pub type Checkout<L> = Result<Pooled<L>, Unavailable>;
+pub type Checkout<L> = Result<PooledConnection<L>, Unavailable>;
--- a/crates/gateway/src/pool/feedback.rs
+++ b/crates/gateway/src/pool/feedback.rs
@@ -1,7 +1,7 @@
 //! Feedback from exchanges about the state of connections and servers.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Open, Pooled};
+use crate::pool::connection::{Open, PooledConnection};
 use crate::pool::server::{close, Server};
 use crate::pool::Pool;
 use gateway_decisions::Name;
@@ -14,7 +14,7 @@
 
 impl<O: Open> Pool<O> {
     /// Records that a server began to answer on a connection whose request was written at `written`.
-    pub fn record_answer(&self, p: &Pooled<O::Link>, written: Instant) {
+    pub fn record_answer(&self, p: &PooledConnection<O::Link>, written: Instant) {
         let now = Instant::now();
         if let Some(s) = self.servers.borrow_mut().get_mut(&p.server) {
             s.last_answer = now;
@@ -23,7 +23,7 @@
     }
 
     /// Closes a connection that broke before an answer began.
-    pub fn close_broken(&self, p: Pooled<O::Link>, written: Instant) {
+    pub fn close_broken(&self, p: PooledConnection<O::Link>, written: Instant) {
         let now = Instant::now();
         if let Some(s) = self.servers.borrow_mut().get_mut(&p.server) {
             self.record_staleness(s, &p, true, written, now);
@@ -36,7 +36,7 @@
     fn record_staleness(
         &self,
         s: &mut Server<O::Link>,
-        p: &Pooled<O::Link>,
+        p: &PooledConnection<O::Link>,
         broken: bool,
         written: Instant,
         now: Instant,
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -1,7 +1,7 @@
 //! The pool's state of one roll server.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Checkout, Pooled};
+use crate::pool::connection::{Checkout, PooledConnection};
 use crate::staleness::Staleness;
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
     /// Connections that are being opened in the current generation.
     pub opening: Rc<Cell<usize>>,
     /// Idle connections, the most recently used one last.
-    pub idle: Vec<Pooled<L>>,
+    pub idle: Vec<PooledConnection<L>>,
     /// Attempts that wait for a connection, in the order of their arrival.
     pub waiting: VecDeque<oneshot::Sender<Checkout<L>>>,
     pub staleness: Staleness,
@@ -92,6 +92,6 @@
 }
 
 /// Closes all these connections for the same reason.
-pub fn close<L>(links: impl IntoIterator<Item = Pooled<L>>, cause: CloseReason) {
+pub fn close<L>(links: impl IntoIterator<Item = PooledConnection<L>>, cause: CloseReason) {
     links.into_iter().for_each(|p| p.close(cause));
 }
--- a/crates/gateway/src/pool/tests.rs
+++ b/crates/gateway/src/pool/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the pool with fake connections, on a paused clock.
 
 use crate::pool::close_reason::CloseReason;
-use crate::pool::connection::{Checkout, LinkState, Open, Pooled, Reusable, Unavailable};
+use crate::pool::connection::{Checkout, LinkState, Open, PooledConnection, Reusable, Unavailable};
 use crate::pool::Pool;
 use gateway_decisions::Scope;
 use gateway_protocol::list::{State, Target};
@@ -147,7 +147,7 @@
     task
 }
 
-async fn opened(pool: &Rc<Pool<Opener>>, network: &FakeNetwork, name: &str) -> Pooled<Fake> {
+async fn opened(pool: &Rc<Pool<Opener>>, network: &FakeNetwork, name: &str) -> PooledConnection<Fake> {
     let task = ask(pool, name).await;
     network.answers(Ok(()));
     task.await.expect("no panic").expect("the connection opens")
@@ -418,8 +418,12 @@
         assert!(start.elapsed() <= CONNECT + Duration::from_millis(2), "{:?}", start.elapsed());
         drop(busy);
         settle().await;
-        let silent = ask(&pool, "s").await;
-        assert_eq!(missing(silent.await), Unavailable::ConnectTimeout, "the connection was not established");
+        let unanswered = ask(&pool, "s").await;
+        assert_eq!(
+            missing(unanswered.await),
+            Unavailable::ConnectTimeout,
+            "the connection was not established"
+        );
         advance(CONNECT).await;
         settle().await;
         assert_eq!((pool.figures().opening, pool.connections_to(&"s".into())), (0, 0));
@@ -465,15 +469,15 @@
     with_pool(|pool, network| async move {
         let spare = opened(&pool, &network, "t").await;
         pool.give_back(spare);
-        let out = || io::Error::from_raw_os_error(24);
+        let out_of_descriptors = || io::Error::from_raw_os_error(24);
         let waits = ask(&pool, "s").await;
-        network.answers(Err(out()));
+        network.answers(Err(out_of_descriptors()));
         settle().await;
         assert_eq!(closed(&pool, CloseReason::Room), 1);
         network.answers(Ok(()));
         let got = waits.await.unwrap().unwrap();
         let waits = ask(&pool, "t").await;
-        network.answers(Err(out()));
+        network.answers(Err(out_of_descriptors()));
         assert_eq!(missing(waits.await), Unavailable::OutOfDescriptors, "no idle connection is left");
         drop(got);
         let f = pool.figures();
@@ -547,7 +551,7 @@
     pool.update(Scope::Full, &all);
     let (mut most, mut port) = (100, 100);
     let mut waiting: Vec<(usize, Take)> = Vec::new();
-    let mut held: Vec<Pooled<Fake>> = Vec::new();
+    let mut held: Vec<PooledConnection<Fake>> = Vec::new();
     for step in steps {
         let before: Vec<usize> = SERVERS.iter().map(|s| pool.connections_to(&(*s).into())).collect();
         let all_before = pool.counts.total.get();
--- a/crates/gateway/src/server/accept.rs
+++ b/crates/gateway/src/server/accept.rs
@@ -19,7 +19,7 @@
 /// unless the process is killed.
 const MAX_ANSWER_DRAIN: Duration = Duration::from_secs(60);
 /// While a successor serves and this process shuts down, connections are closed after this idle time: a
-/// request is least likely to arrive just as such a connection closes. The others are closed
+/// request is min_idle likely to arrive just as such a connection closes. The others are closed
 /// `HANDOVER_CLOSE_ALL` before the end.
 const HANDOVER_IDLE: Duration = Duration::from_secs(1);
 const HANDOVER_CLOSE_ALL: Duration = Duration::from_millis(400);
@@ -29,7 +29,7 @@
 /// For this long after the start of an operator's drain, new connections may still arrive, and clients see
 /// the `Connection: close` of their answers.
 const CLIENT_DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// After the grace period, only connections that have been idle for this long are closed: a request is least
+/// After the grace period, only connections that have been idle for this long are closed: a request is min_idle
 /// likely to arrive just as such a connection closes.
 const CLIENT_DRAIN_IDLE: Duration = Duration::from_millis(300);
 /// From then on all idle connections are closed, well before the 2 s after which no request may arrive on
@@ -38,7 +38,7 @@
 
 impl Server {
     /// Runs forever: closes connections of clients that do not read their answer, and idle ones during an
-    /// operator's drain. Connections in use are closed with their next answer.
+    /// operator's drain. Connections in use are closed with their next_number answer.
     pub async fn enforce_client_drain(self: Rc<Self>) -> Infallible {
         let mut every = interval(CLIENT_CHECK_INTERVAL);
         loop {
@@ -48,25 +48,25 @@
             else {
                 continue;
             };
-            let least = match since {
+            let min_idle = match since {
                 s if s < CLIENT_DRAIN_GRACE => continue,
                 s if s < CLIENT_DRAIN_CLOSE_ALL => CLIENT_DRAIN_IDLE,
                 _ => Duration::ZERO,
             };
-            self.close_idle(now, least);
+            self.close_idle(now, min_idle);
         }
     }
 
     /// Serves until `stop`, then drains; returns when no request is pending.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
-        let mut next = 0;
+        let mut next_number = 0;
         let mut stop = pin!(stop);
         loop {
             tokio::select! {
                 biased;
                 () = &mut stop => break,
                 () = self.successor_changed.notified() => {}
-                () = self.accept_one(&listener, &mut next), if !self.successor.get() => {}
+                () = self.accept_one(&listener, &mut next_number), if !self.successor.get() => {}
             }
         }
         self.draining.set(true);
@@ -88,11 +88,11 @@
         loop {
             tokio::select! {
                 () = &mut window => break,
-                () = self.accept_one(&listener, &mut next) => {}
+                () = self.accept_one(&listener, &mut next_number) => {}
             }
         }
         // Closing the listener would reset the connections in its queue.
-        while timeout(Duration::ZERO, self.accept_one(&listener, &mut next)).await.is_ok() {}
+        while timeout(Duration::ZERO, self.accept_one(&listener, &mut next_number)).await.is_ok() {}
         drop(listener);
         self.close_all();
         let mut last = pin!(sleep_until(end));
@@ -109,8 +109,8 @@
     /// Waits until all answers that have been started are sent.
     async fn wait_until_answered(&self) {
         let end = Instant::now() + MAX_ANSWER_DRAIN;
-        let owes = || self.clients.borrow().values().any(|c| c.is_owed_answer());
-        while owes() {
+        let owes_answer = || self.clients.borrow().values().any(|c| c.is_owed_answer());
+        while owes_answer() {
             tokio::select! {
                 () = self.client_left.notified() => {}
                 () = sleep_until(end) => return,
@@ -127,8 +127,8 @@
             if now >= end {
                 break;
             }
-            let least = if now + HANDOVER_CLOSE_ALL >= end { Duration::ZERO } else { HANDOVER_IDLE };
-            self.close_idle(now, least);
+            let min_idle = if now + HANDOVER_CLOSE_ALL >= end { Duration::ZERO } else { HANDOVER_IDLE };
+            self.close_idle(now, min_idle);
         }
     }
 }
--- a/crates/gateway/src/server/api.rs
+++ b/crates/gateway/src/server/api.rs
@@ -106,11 +106,11 @@
         client: &Client,
     ) -> Result<(Answer, OutstandingRequest), StatusCode> {
         let (id, class, wait) = (incoming.id, incoming.class, incoming.timeout);
-        let taken = || self.driver.figures.start_request(class);
+        let outstanding = || self.driver.figures.start_request(class);
         let mut pending = self.driver.submit(incoming).ok_or(StatusCode::BAD_REQUEST)?;
         let Some(upload) = upload else {
-            let taken = taken();
-            return Ok((wait_for_answer(&mut pending, client).await?, taken));
+            let outstanding = outstanding();
+            return Ok((wait_for_answer(&mut pending, client).await?, outstanding));
         };
         let early = tokio::select! {
             biased;
@@ -119,16 +119,16 @@
             () = client.disconnected() => return Err(StatusCode::BAD_REQUEST),
         };
         let Some(answer) = early else {
-            let taken = taken();
+            let outstanding = outstanding();
             self.driver.body_complete(id, wait);
-            return Ok((wait_for_answer(&mut pending, client).await?, taken));
+            return Ok((wait_for_answer(&mut pending, client).await?, outstanding));
         };
         if let Some(fault) = upload.fault() {
             return Err(status(fault));
         }
         // Read the rest of the body, so that the client gets to read its answer.
         spawn_local(upload.clone().discard());
-        Ok((answer, taken()))
+        Ok((answer, outstanding()))
     }
 }
 
--- a/crates/gateway/src/server/connections.rs
+++ b/crates/gateway/src/server/connections.rs
@@ -25,10 +25,10 @@
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 impl Server {
-    /// Closes connections that have been idle for at least `least`.
-    pub(super) fn close_idle(&self, now: Instant, least: Duration) {
+    /// Closes connections that have been idle for at min_idle `min_idle`.
+    pub(super) fn close_idle(&self, now: Instant, min_idle: Duration) {
         for client in self.clients.borrow().values() {
-            if client.idle_since.get().is_some_and(|at| now.saturating_duration_since(at) >= least) {
+            if client.idle_since.get().is_some_and(|at| now.saturating_duration_since(at) >= min_idle) {
                 client.close.notify_one();
             }
         }
@@ -44,7 +44,7 @@
     }
 
     /// Accepts one client, within the limit on connections.
-    pub(super) async fn accept_one(self: &Rc<Self>, listener: &TcpListener, next: &mut u64) {
+    pub(super) async fn accept_one(self: &Rc<Self>, listener: &TcpListener, next_number: &mut u64) {
         if self.clients.borrow().len() >= self.max_clients {
             self.close_longest_idle();
             while self.clients.borrow().len() >= self.max_clients {
@@ -55,9 +55,9 @@
             Ok((stream, _)) => {
                 let connected = Instant::now();
                 let client = Rc::new(Client::new(stream, connected));
-                *next += 1;
-                self.clients.borrow_mut().insert(*next, client.clone());
-                let slot = ClientSlot { server: self.clone(), number: *next };
+                *next_number += 1;
+                self.clients.borrow_mut().insert(*next_number, client.clone());
+                let slot = ClientSlot { server: self.clone(), number: *next_number };
                 spawn_local(async move { slot.server.serve(client).await });
             }
             // The process is out of descriptors, or the connection was reset in the queue. Accepting again
--- a/crates/gateway/src/staleness/tests.rs
+++ b/crates/gateway/src/staleness/tests.rs
@@ -43,20 +43,20 @@
 #[test]
 fn each_server_has_its_own_limit_and_starts_from_the_others() {
     let start = Instant::now();
-    let (mut quick, mut slow, mut seldom) =
+    let (mut fast_closing, mut long_lived, mut rarely_used) =
         (Staleness::new(start), Staleness::new(start), Staleness::new(start));
     let mut fleet = Staleness::new(start);
     for _ in 0..10 {
-        for (server, broken) in [(&mut quick, true), (&mut slow, false)] {
+        for (server, broken) in [(&mut fast_closing, true), (&mut long_lived, false)] {
             server.record(ms(300), broken, start);
             fleet.record(ms(300), broken, start);
         }
     }
-    assert_eq!(quick.limit(&mut fleet, start), ms(256));
-    assert_eq!(slow.limit(&mut fleet, start), Duration::MAX, "this server broke no connection");
-    assert_eq!(seldom.limit(&mut fleet, start), Duration::MAX, "two breaks of four may be chance");
+    assert_eq!(fast_closing.limit(&mut fleet, start), ms(256));
+    assert_eq!(long_lived.limit(&mut fleet, start), Duration::MAX, "this server broke no connection");
+    assert_eq!(rarely_used.limit(&mut fleet, start), Duration::MAX, "two breaks of four may be chance");
     for _ in 0..30 {
         fleet.record(ms(300), true, start);
     }
-    assert_eq!(seldom.limit(&mut fleet, start), ms(256), "most connections of the others break");
+    assert_eq!(rarely_used.limit(&mut fleet, start), ms(256), "most connections of the others break");
 }
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -196,7 +196,7 @@
 
 #[test]
 fn aborted_large_body_ends_the_attempt() {
-    let (seen, gone) = channel();
+    let (length_sender, received_length) = channel();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -204,7 +204,7 @@
             let Ok(mut stream) = stream else { return };
             let mut all = Vec::new();
             let _ = stream.read_to_end(&mut all);
-            let _ = seen.send(all.len());
+            let _ = length_sender.send(all.len());
         }
     });
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
@@ -215,7 +215,8 @@
     client.write_all(head.as_bytes()).expect("the gateway reads");
     client.write_all(&pattern(LARGE / 2)).expect("the gateway reads");
     drop(client);
-    let got = gone.recv_timeout(gateway_test_support::LIMIT).expect("the attempt ends with the client");
+    let got =
+        received_length.recv_timeout(gateway_test_support::LIMIT).expect("the attempt ends with the client");
     assert!(got < LARGE, "{got} bytes");
     assert_eq!(gateway.figure("/forwards"), 0, "the request was never written completely");
 }
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -103,11 +103,11 @@
         Ok(config) => {
             good.set(good.get() + 1);
             // The drain takes half a second: only a few gateways run completely, the others only start.
-            let whole = good.get() % 20 == 0;
+            let complete = good.get() % 20 == 0;
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
             runtime.expect("an event loop").block_on(async {
-                match whole {
+                match complete {
                     true => run_briefly(config).await,
                     false => drop(Host::start(config, None).await.expect("a valid configuration starts")),
                 }
@@ -123,7 +123,7 @@
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup::default());
     discovery.called(2);
-    let whole = gateway.configuration();
+    let valid = gateway.configuration();
     let (good, bad) = (Cell::new(0), Cell::new(0));
     let mut client = gateway.client();
     // The gateway's file has the platform's JSON form, for which the same checks report invalid values; its
@@ -139,8 +139,8 @@
         (at.as_str(), "\"nowhere\""),
         ("}]}}", "}]}"),
     ] {
-        let changed = whole.replace(from, to);
-        assert_ne!(changed, whole, "{from}");
+        let changed = valid.replace(from, to);
+        assert_ne!(changed, valid, "{from}");
         gateway.reconfigure(&changed);
         gateway.logs("the old one stands");
     }
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -80,7 +80,7 @@
     assert_eq!(gateway.client().ask(READY).status(), 200);
     gateway.signal("-TERM");
     gateway.logs("draining");
-    let told = Instant::now();
+    let signalled = Instant::now();
     after.send(&late[40..]);
     for client in [&mut before, &mut after] {
         let answer = client.answer();
@@ -90,7 +90,7 @@
             "the request may have run"
         );
     }
-    assert!(told.elapsed() < MIN_EXIT_TIME, "{:?}", told.elapsed());
+    assert!(signalled.elapsed() < MIN_EXIT_TIME, "{:?}", signalled.elapsed());
     assert!(gateway.child.wait().expect("the process ends").success());
 }
 
@@ -173,8 +173,8 @@
 /// SIGTERM before the first list has arrived: the drain counts from the signal.
 #[test]
 fn sigterm_before_first_list_ends_process_in_order() {
-    let silent = Discovery::silent();
-    let mut gateway = Gateway::with(&silent, Setup::default());
+    let unresponsive = Discovery::silent();
+    let mut gateway = Gateway::with(&unresponsive, Setup::default());
     let mut client = gateway.client();
     client.send(&with_timeout("book-slot", "2.0").text());
     gateway.signal("-TERM");
@@ -193,9 +193,9 @@
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |_, s| {
-        let whole = wait.lock().expect("kept").recv().is_ok();
+        let released = wait.lock().expect("kept").recv().is_ok();
         say(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n"));
-        whole && s.write_all(&[b'x'; LENGTH]).is_ok()
+        released && s.write_all(&[b'x'; LENGTH]).is_ok()
     });
     let mut gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
@@ -288,21 +288,21 @@
 /// More bytes follow the request, so that reading the socket does not show the client's disconnection next.
 #[test]
 fn does_not_forward_request_of_disconnected_client_with_unread_bytes() {
-    for behind in ["\r\n", "GET /api", &ask("quote").text(), &"x".repeat(100_000)] {
+    for unread in ["\r\n", "GET /api", &ask("quote").text(), &"x".repeat(100_000)] {
         let backend = Backend::good();
         let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
         let gateway = Gateway::start(&discovery);
         let (mut leaves, mut stays) = (gateway.client(), gateway.client());
-        let (gone, here) = (ask("quote"), ask("book-slot"));
-        leaves.send(&(gone.text() + behind));
-        stays.send(&here.text());
+        let (cancelled, expected) = (ask("quote"), ask("book-slot"));
+        leaves.send(&(cancelled.text() + unread));
+        stays.send(&expected.text());
         assert_eq!(gateway.client().ask(READY).status(), 503);
         drop(leaves);
         std::thread::sleep(Duration::from_millis(250));
         discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
-        assert_eq!(stays.answer().body, format!("for {}", here.id).into_bytes());
-        assert_eq!(backend.next().header("request-id"), Some(here.id.as_str()));
-        assert!(backend.untouched(), "forwarded after its client disconnected, unread: {:?}", &behind[..2]);
+        assert_eq!(stays.answer().body, format!("for {}", expected.id).into_bytes());
+        assert_eq!(backend.next().header("request-id"), Some(expected.id.as_str()));
+        assert!(backend.untouched(), "forwarded after its client disconnected, unread: {:?}", &unread[..2]);
     }
 }
 
@@ -313,18 +313,18 @@
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
     let gateway = Gateway::start(&discovery);
     let (mut leaves, mut stays) = (gateway.client(), gateway.client());
-    let here = ask("book-slot");
+    let expected = ask("book-slot");
     // Closing a socket with an unread answer sends a reset.
     leaves.send(READY);
     leaves.stream.peek(&mut [0]).expect("an answer");
     leaves.send(&ask("quote").text());
-    stays.send(&here.text());
+    stays.send(&expected.text());
     assert_eq!(gateway.client().ask(READY).status(), 503);
     drop(leaves);
     std::thread::sleep(Duration::from_millis(250));
     discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
     assert_eq!(stays.answer().status(), 200);
-    assert_eq!(backend.next().header("request-id"), Some(here.id.as_str()));
+    assert_eq!(backend.next().header("request-id"), Some(expected.id.as_str()));
     assert!(backend.untouched());
 }
 
@@ -344,14 +344,14 @@
     leaves.send(&ask("book-slot").text().replace("Content-Length: 5\r\n\r\nhello", &head));
     leaves.send(&"x".repeat(LENGTH));
     gateway.logs("taken");
-    let here = ask("book-slot");
-    stays.send(&here.text());
+    let expected = ask("book-slot");
+    stays.send(&expected.text());
     gateway.logs("taken");
     drop(leaves);
     std::thread::sleep(Duration::from_millis(250));
     discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
-    assert_eq!(stays.answer().body, format!("for {}", here.id).into_bytes());
-    assert_eq!(backend.next().header("request-id"), Some(here.id.as_str()));
+    assert_eq!(stays.answer().body, format!("for {}", expected.id).into_bytes());
+    assert_eq!(backend.next().header("request-id"), Some(expected.id.as_str()));
     // A long body takes time: many short requests finish before it would be complete.
     for _ in 0..50 {
         let next = ask("book-slot");
@@ -390,8 +390,8 @@
         drop(fill);
         // A later request waits in the same queue, and shows that connections can be opened again.
         let mut stays = gateway.client();
-        let here = with_timeout("book-slot", "9.0");
-        stays.send(&here.text());
+        let expected = with_timeout("book-slot", "9.0");
+        stays.send(&expected.text());
         let (got, seen) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
@@ -411,7 +411,7 @@
         });
         assert_eq!(stays.answer().status(), 200);
         let all: Vec<String> = seen.try_iter().collect();
-        assert!(all.iter().any(|r| r.contains(&here.id)) && all.len() == 1, "{to}: {all:?}");
+        assert!(all.iter().any(|r| r.contains(&expected.id)) && all.len() == 1, "{to}: {all:?}");
     }
 }
 
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -66,7 +66,7 @@
     let gateway = Gateway::start(&discovery_with(&backend));
     let mut client = gateway.client();
     // The token bucket holds one unit and refills in 100 s.
-    let (mut served, mut turned) = (0, 0);
+    let (mut served, mut rejected) = (0, 0);
     for _ in 0..40 {
         let mut a = ask("quote");
         a.plan = "tight";
@@ -75,10 +75,10 @@
             served += 1;
         } else {
             assert!(refused(&answer), "{answer:?}");
-            turned += 1;
+            rejected += 1;
         }
     }
-    assert!(served >= 1 && turned >= 20, "{served} served, {turned} refused");
+    assert!(served >= 1 && rejected >= 20, "{served} served, {rejected} refused");
     assert_eq!(backend.requests.try_iter().count(), served);
 }
 
@@ -136,8 +136,8 @@
     let backend = Backend::good();
     let gateway = Gateway::start(&discovery_with(&backend));
     let text = ask("book-slot").text();
-    let mut half = gateway.client();
-    half.send(&text[..text.len() / 2]);
+    let mut incomplete = gateway.client();
+    incomplete.send(&text[..text.len() / 2]);
     let mut body = gateway.client();
     body.send(&text[..text.len() - 2]);
     let mut noise = gateway.client();
@@ -145,7 +145,7 @@
     assert_eq!(noise.answer().status(), 400);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     backend.next();
-    drop(half);
+    drop(incomplete);
     assert_eq!(body.answer().status(), 408, "waiting for the rest of a body times out");
     assert!(backend.untouched());
 }
@@ -359,9 +359,10 @@
     for _ in 0..3 {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     }
-    for (path, told) in [("opened", 1), ("open", 1), ("idle", 1), ("opening", 0), ("reused", 2), ("waits", 1)]
+    for (path, expected) in
+        [("opened", 1), ("open", 1), ("idle", 1), ("opening", 0), ("reused", 2), ("waits", 1)]
     {
-        assert_eq!(gateway.figure(&format!("/connections/{path}")), told, "{path}");
+        assert_eq!(gateway.figure(&format!("/connections/{path}")), expected, "{path}");
     }
     assert_eq!(gateway.call("POST", "/-/roll-servers/s-1/disable").status(), 200);
     assert_eq!(gateway.figure("/connections/closed/listed"), 1);
@@ -385,19 +386,19 @@
 
 #[test]
 fn sends_no_requests_to_drained_backend() {
-    let (going, staying) = (Backend::good(), Backend::good());
-    let both = [("s-1", going.address, "Ready"), ("s-2", staying.address, "Ready")];
+    let (draining, staying) = (Backend::good(), Backend::good());
+    let both = [("s-1", draining.address, "Ready"), ("s-2", staying.address, "Ready")];
     for state in ["Terminating", "Gone"] {
         let discovery = Discovery::new(list(1, true, &both));
         let gateway = Gateway::start(&discovery);
-        discovery.tell(2, list(2, false, &[("s-1", going.address, state)]));
+        discovery.tell(2, list(2, false, &[("s-1", draining.address, state)]));
         discovery.called(3);
         let mut client = gateway.client();
-        let _ = going.requests.try_iter().count();
+        let _ = draining.requests.try_iter().count();
         for _ in 0..20 {
             assert_eq!(client.ask(&ask("book-slot").text()).status(), 200);
         }
-        assert!(going.untouched(), "{state}");
+        assert!(draining.untouched(), "{state}");
     }
 }
 
@@ -583,7 +584,7 @@
         assert!(!out.status.success());
         String::from_utf8(out.stderr).expect("text")
     };
-    for (pool, told) in [
+    for (pool, expected) in [
         (r#"{"per_server":0}"#, "pool.per_server is 0: a whole number from 1 to 100000 is wanted"),
         (r#"{"per_server":"many"}"#, r#"pool.per_server is "many": a whole number from 1 to 100000"#),
         (r#"{"idle_ms":-5}"#, "pool.idle_ms is -5: a whole number from 1 to 3600000 is wanted"),
@@ -594,7 +595,7 @@
         (r#"{"per_server":3,"idle_ms":500}"#, "LB_LISTEN is \"nowhere\""),
     ] {
         let text = run(pool);
-        assert!(text.contains(told), "{pool}: {text}");
+        assert!(text.contains(expected), "{pool}: {text}");
     }
 }
 
@@ -637,14 +638,14 @@
 fn restart_after_kill_serves_from_cached_list_without_discovery() {
     let backend = Backend::good();
     let known = Some(list(1, true, &[("s-1", backend.address, "Ready")]));
-    let silent = Discovery::silent();
-    let first = Gateway::with(&silent, Setup { known: known.clone(), ..Setup::default() });
+    let unresponsive = Discovery::silent();
+    let first = Gateway::with(&unresponsive, Setup { known: known.clone(), ..Setup::default() });
     let address = first.address;
     let mut client = first.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     drop(first);
     // Started immediately on the same address, while connections of the killed process remain in the kernel.
-    let again = Gateway::with(&silent, Setup { known, listen: Some(address), ..Setup::default() });
+    let again = Gateway::with(&unresponsive, Setup { known, listen: Some(address), ..Setup::default() });
     assert_eq!(again.address, address);
     assert_eq!(again.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     assert_eq!(again.client().ask(&ask("book-slot").text()).status(), 200);
@@ -732,8 +733,8 @@
     let backend = Backend::good();
     let gateway = with_ops(&discovery_with(&backend));
     // More incomplete calls than the limit, and connections without any data: none delays another call.
-    let mut halves: Vec<_> = (0..20).map(|_| gateway.operator()).collect();
-    halves.iter_mut().skip(5).for_each(|h| h.send("GET /-/rea"));
+    let mut incomplete_calls: Vec<_> = (0..20).map(|_| gateway.operator()).collect();
+    incomplete_calls.iter_mut().skip(5).for_each(|h| h.send("GET /-/rea"));
     let started = Instant::now();
     assert_eq!(gateway.call("GET", "/-/ready").status(), 200);
     assert_eq!(gateway.call("GET", "/-/nothing").status(), 404);
@@ -743,8 +744,8 @@
     assert_eq!(gateway.call("GET", "/-/drain").status(), 405);
     assert_eq!(gateway.call("POST", "/-/metrics").header("allow"), Some("GET"));
     assert!(started.elapsed() < Duration::from_secs(2), "incomplete calls delay other calls");
-    for half in &mut halves {
-        assert!(half.closed(), "incomplete calls are ended");
+    for incomplete in &mut incomplete_calls {
+        assert!(incomplete.closed(), "incomplete calls are ended");
     }
     assert_eq!(gateway.client().ask("GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n").status(), 404);
 }
@@ -762,8 +763,8 @@
         let out = command.output().expect("the program runs");
         let _ = std::fs::remove_file(path);
         let text = String::from_utf8(out.stderr).expect("text");
-        let told = if bad == taken { "ops: " } else { "LB_OPS is " };
-        assert!(!out.status.success() && text.contains(told), "{bad:?}: {text}");
+        let expected = if bad == taken { "ops: " } else { "LB_OPS is " };
+        assert!(!out.status.success() && text.contains(expected), "{bad:?}: {text}");
     }
 }
 
@@ -805,8 +806,8 @@
 
 #[test]
 fn disabled_server_gets_no_requests_until_enabled() {
-    let (out, other) = (Backend::good(), Backend::good());
-    let both = [("s-1", out.address, "Ready"), ("s-2", other.address, "Ready")];
+    let (disabled, other) = (Backend::good(), Backend::good());
+    let both = [("s-1", disabled.address, "Ready"), ("s-2", other.address, "Ready")];
     let discovery = Discovery::new(list(1, true, &both));
     let gateway = with_ops(&discovery);
     let mut client = gateway.client();
@@ -825,18 +826,18 @@
             "the server's name is known"
         );
         assert_eq!(gateway.figure("/ejected"), rev - 2, "only listed servers count");
-        let _ = out.requests.try_iter().count();
+        let _ = disabled.requests.try_iter().count();
         for _ in 0..20 {
             assert_eq!(client.ask(&ask("book-slot").text()).status(), 200);
         }
-        assert!(out.untouched());
+        assert!(disabled.untouched());
     }
     for _ in 0..2 {
         assert_eq!(gateway.call("POST", "/-/roll-servers/s-1/enable").status(), 200);
     }
     assert_eq!(gateway.figure("/ejected"), 0);
     let mut asked = 0;
-    while out.untouched() {
+    while disabled.untouched() {
         assert_eq!(client.ask(&ask("book-slot").text()).status(), 200);
         asked += 1;
         assert!(asked < 500, "the enabled server never gets a request");
@@ -847,19 +848,19 @@
 fn drain_closes_client_connections_and_resume_reverts_it() {
     let backend = Backend::good();
     let gateway = with_ops(&discovery_with(&backend));
-    let (mut used, mut idle, mut half) = (gateway.client(), gateway.client(), gateway.client());
-    for client in [&mut used, &mut idle, &mut half] {
+    let (mut used, mut idle, mut incomplete) = (gateway.client(), gateway.client(), gateway.client());
+    for client in [&mut used, &mut idle, &mut incomplete] {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     }
     let text = ask("quote").text();
     assert_eq!(gateway.call("POST", "/-/drain").status(), 200);
     assert_eq!(gateway.client().ask(READY).status(), 503, "readiness fails immediately");
-    half.send(&text[..40]);
+    incomplete.send(&text[..40]);
     let answer = used.ask(&ask("quote").text());
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(used.closed() && idle.closed(), "one closes with its answer, one because it is idle");
-    half.send(&text[40..]);
-    let answer = half.answer();
+    incomplete.send(&text[40..]);
+    let answer = incomplete.answer();
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close")),
--- a/crates/gateway/tests/shell.rs
+++ b/crates/gateway/tests/shell.rs
@@ -105,7 +105,7 @@
         .replace("[log]", "[limits]\nsockets = 3\n[pool]\nidle_ms = 0\n[log]");
     let (code, text) = check(&bad);
     assert_eq!((code, text.lines().count()), (Some(1), 7), "{text}");
-    for told in [
+    for expected in [
         "log.format is \"xml\": \"text\" or \"json\" is wanted",
         "log.level is 5: \"off\" or \"error\"",
         "log.colour is no key here: format, level, modules are",
@@ -114,19 +114,20 @@
         "limits.sockets is 3: a whole number from 80 to 1048576 is wanted",
         "pool.idle_ms is 0: a whole number from 1 to 3600000 is wanted",
     ] {
-        let line = text.lines().find(|l| l.contains(told)).unwrap_or_else(|| panic!("{told} in {text}"));
+        let line =
+            text.lines().find(|l| l.contains(expected)).unwrap_or_else(|| panic!("{expected} in {text}"));
         assert!(line.starts_with("sprucehatch-gateway: ") && line.contains(".toml: "), "{line}");
     }
     let (code, text) = check("listen = \"nowhere\"\nseed = \"xyz\"\n");
     assert_eq!(code, Some(1));
-    for told in ["settings.plans is missing: a list", "settings.services is missing: a list"] {
-        assert!(text.contains(told), "{told} in {text}");
+    for expected in ["settings.plans is missing: a list", "settings.services is missing: a list"] {
+        assert!(text.contains(expected), "{expected} in {text}");
     }
     let (_, text) = check(
         &TOML.replace("DISCOVERY", "x").replace("listen = \"127.0.0.1:0\"", "listen = \"y\"\nseed = \"z\""),
     );
-    for told in ["discovery is \"x\"", "listen is \"y\"", "seed is \"z\": up to 16 hex digits"] {
-        assert!(text.contains(told), "{told} in {text}");
+    for expected in ["discovery is \"x\"", "listen is \"y\"", "seed is \"z\": up to 16 hex digits"] {
+        assert!(text.contains(expected), "{expected} in {text}");
     }
 }
 
@@ -169,7 +170,7 @@
     let setup = Setup { toml: Some(TOML.to_string()), ops: true, ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
     let text = gateway.configuration();
-    let told = |change: &dyn Fn(&str) -> String| {
+    let reload = |change: &dyn Fn(&str) -> String| {
         gateway.reconfigure(&change(&text));
         let line = gateway.logs("configuration");
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
@@ -178,14 +179,14 @@
     };
     let again = "configuration read again: changed keys".to_string();
     let (none, all) = ("none".to_string(), |t: &str| t.to_string());
-    assert_eq!(told(&all), (none.clone(), none.clone(), again.clone()));
+    assert_eq!(reload(&all), (none.clone(), none.clone(), again.clone()));
     let level = |t: &str| t.replace("[log]", "[pool]\nidle_ms = 9\n[log]\nlevel = \"debug\"");
-    assert_eq!(told(&level), ("log.level".to_string(), "pool.idle_ms".to_string(), again.clone()));
+    assert_eq!(reload(&level), ("log.level".to_string(), "pool.idle_ms".to_string(), again.clone()));
     // Changes are compared with the last valid file; an invalid one does not count.
-    let (_, _, message) = told(&|t| t.replace("points = 3", "points = \"many\""));
+    let (_, _, message) = reload(&|t| t.replace("points = 3", "points = \"many\""));
     assert!(message.contains("not taken") && message.contains("points is \"many\""), "{message}");
-    let quiet = told(&all);
-    assert_eq!(quiet, ("log.level".to_string(), "pool.idle_ms".to_string(), again));
+    let reverted = reload(&all);
+    assert_eq!(reverted, ("log.level".to_string(), "pool.idle_ms".to_string(), again));
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
 }
 
@@ -224,19 +225,19 @@
     let gateway = Gateway::with(&discovery, json_lines("info"));
     discovery.called(2);
     let mut client = gateway.client();
-    let quiet = ask("quote");
-    assert_eq!(client.ask(&quiet.text()).status(), 200);
+    let unlogged = ask("quote");
+    assert_eq!(client.ask(&unlogged.text()).status(), 200);
     for bad in ["/-/log", "/-/log?level=loud", "/-/log?level=debug&module=a%20b"] {
         assert_eq!(gateway.call("POST", bad).status(), 400, "{bad}");
     }
     assert_eq!(gateway.call("POST", "/-/log?level=debug").status(), 200);
-    let told = ask("quote");
-    assert_eq!(client.ask(&told.text()).status(), 200);
+    let logged = ask("quote");
+    assert_eq!(client.ask(&logged.text()).status(), 200);
     let mut seen = BTreeMap::new();
     while !seen.contains_key("answered") {
         let line = gateway.logs("\"request\"");
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
-        assert_eq!(line["request"], told.id.as_str(), "the request before logged nothing: {}", quiet.id);
+        assert_eq!(line["request"], logged.id.as_str(), "the request before logged nothing: {}", unlogged.id);
         seen.insert(line["message"].as_str().expect("a message").to_string(), line);
     }
     let names: Vec<&str> = seen.keys().map(String::as_str).collect();
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -21,8 +21,8 @@
 
 #[test]
 fn successor_takes_over_disabled_servers_and_drains_without_losing_requests() {
-    let (out, backend) = (Backend::good(), Backend::good());
-    let both = [("s-1", out.address, "Ready"), ("s-2", backend.address, "Ready")];
+    let (disabled, backend) = (Backend::good(), Backend::good());
+    let both = [("s-1", disabled.address, "Ready"), ("s-2", backend.address, "Ready")];
     let discovery = Discovery::new(list(1, true, &both));
     let (held, folder) = (socket(), folder());
     let mut old = start(&discovery, &held, &folder);
@@ -63,7 +63,7 @@
     assert!(old.child.wait().expect("the process ends").success());
     assert_eq!(new.client().ask(&ask("quote").text()).status(), 200);
     assert_eq!(new.figure("/ejected"), 1, "the server stays disabled after the old process ends");
-    assert!(out.untouched());
+    assert!(disabled.untouched());
 
     // A third process takes over from the successor.
     let next = start(&discovery, &held, &folder);
@@ -114,14 +114,14 @@
 fn stale_socket_or_unresponsive_peer_barely_delays_start() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
-    for silent in [false, true] {
+    for unresponsive in [false, true] {
         let (held, folder) = (socket(), folder());
         let peer = UnixListener::bind(folder.join("n0.handover")).expect("a socket");
-        let peer = Some(peer).filter(|_| silent);
+        let peer = Some(peer).filter(|_| unresponsive);
         let started = Instant::now();
         let gateway = start(&discovery, &held, &folder);
         assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
-        assert!(started.elapsed() < Duration::from_secs(3), "silent: {silent}");
+        assert!(started.elapsed() < Duration::from_secs(3), "unresponsive: {unresponsive}");
         drop(peer);
         let _ = std::fs::remove_dir_all(folder);
     }
