--- a/crates/gateway/src/driver/event_loop.rs
+++ b/crates/gateway/src/driver/event_loop.rs
@@ -159,7 +159,11 @@
                     "discovery: unavailable; version {version}, last confirmed {age_ms} ms ago, stays in use"
                 );
             }
-            tracing::info!(target: LOG_TARGET, "connections since the start: {}", self.backends.pool.figures());
+            tracing::info!(
+                target: LOG_TARGET,
+                "connections since the start: {}",
+                self.backends.pool.figures()
+            );
         }
     }
 }
