--- a/crates/gateway-cli/src/demo.rs
+++ b/crates/gateway-cli/src/demo.rs
@@ -11,7 +11,7 @@
 use clap::Args;
 use clients::{load, Tally};
 use gateway_process_trial::process::{end_all, text, Folder, Program, PATIENCE};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use servers::RollServer;
 use std::cell::RefCell;
@@ -63,7 +63,7 @@
 "#;
 
 /// Runs the demo. The caller ends it on a signal.
-pub async fn run(setup: &Setup, demo: &Demo) -> Result<Outcome, Wrong> {
+pub async fn run(setup: &Setup, demo: &Demo) -> Result<Outcome, Errors> {
     let mut system = System::start(setup, demo).await?;
     print(format!(
         "registry at {}, {} roll servers, gateways at {}, {} requests a second\n\n",
@@ -76,7 +76,7 @@
     let lost = system.end();
     print(format!("in all {served} served, {refused} refused, {failed} failed; everything is ended\n"))?;
     if lost > 0 {
-        return Err(Wrong::one(format!("{lost} programs had ended before")));
+        return Err(Errors::single(format!("{lost} programs had ended before")));
     }
     Ok(if served > 0 { Outcome::All } else { Outcome::None })
 }
@@ -105,7 +105,7 @@
 }
 
 impl System {
-    async fn start(setup: &Setup, demo: &Demo) -> Result<Self, Wrong> {
+    async fn start(setup: &Setup, demo: &Demo) -> Result<Self, Errors> {
         let folder = Folder::new("demo")?;
         let (list, programs) = (folder.path("list"), Program::beside()?);
         let arguments = [
@@ -140,7 +140,7 @@
     }
 
     /// Sends requests and shows each second, while a roll server dies and starts again.
-    async fn play(&mut self, demo: &Demo) -> Result<Totals, Wrong> {
+    async fn play(&mut self, demo: &Demo) -> Result<Totals, Errors> {
         let tally = Rc::new(RefCell::new(Rc::new(Tally::default())));
         let mut tasks = JoinSet::new();
         tasks.spawn_local(load(self.clients.clone(), demo.rate, tally.clone()));
@@ -163,7 +163,7 @@
     }
 
     /// What happens to the first roll server in this second, and how it is shown.
-    async fn event(&mut self, demo: &Demo, second: u64) -> Result<&'static str, Wrong> {
+    async fn event(&mut self, demo: &Demo, second: u64) -> Result<&'static str, Errors> {
         if second == (demo.seconds / 3).max(1) {
             self.servers[0] = None;
             return Ok("  <- s-1 is killed");
@@ -197,7 +197,7 @@
     readers: SocketAddr,
     count: u64,
     n: u64,
-) -> Result<Program, Wrong> {
+) -> Result<Program, Errors> {
     let configuration = CONFIGURATION
         .replace("DISCOVERY", &readers.to_string())
         .replace("COUNT", &count.to_string())
@@ -209,7 +209,7 @@
 }
 
 /// Waits until each gateway can serve.
-async fn wait_until_ready(gateways: &Setup) -> Result<(), Wrong> {
+async fn wait_until_ready(gateways: &Setup) -> Result<(), Errors> {
     let end = Instant::now() + PATIENCE;
     loop {
         let answers = statuses(gateways).await?;
@@ -217,7 +217,7 @@
             return Ok(());
         }
         if Instant::now() > end {
-            return Err(Wrong::one(format!(
+            return Err(Errors::single(format!(
                 "not all gateways are ready:\n{}",
                 page(&answers, &Counts::default())
             )));
--- a/crates/gateway-cli/src/demo/servers.rs
+++ b/crates/gateway-cli/src/demo/servers.rs
@@ -9,7 +9,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
@@ -29,8 +29,8 @@
 /// The mean time of work on one request.
 const WORK: Duration = Duration::from_millis(20);
 
-fn failed(what: &str) -> impl Fn(std::io::Error) -> Wrong + '_ {
-    move |e| Wrong::one(format!("{what}: {e}"))
+fn failed(what: &str) -> impl Fn(std::io::Error) -> Errors + '_ {
+    move |e| Errors::single(format!("{what}: {e}"))
 }
 
 /// A stand-in for a roll server. Dropped, it is dead: its connections are reset and it renews nothing.
@@ -40,7 +40,7 @@
 
 impl RollServer {
     /// Listens, and announces itself under `name`. `seed` is that of its times of work.
-    pub async fn start(name: String, registrars: SocketAddr, seed: u64) -> Result<Self, Wrong> {
+    pub async fn start(name: String, registrars: SocketAddr, seed: u64) -> Result<Self, Errors> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(failed("a roll server"))?;
         let address = listener.local_addr().map_err(failed("a roll server"))?;
         let mut tasks = JoinSet::new();
--- a/crates/gateway-cli/src/gateways.rs
+++ b/crates/gateway-cli/src/gateways.rs
@@ -14,7 +14,7 @@
 use gateway_protocol::status::Status;
 use page::latencies;
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use serde_json::Value;
 use std::io::{self, IsTerminal};
@@ -37,9 +37,9 @@
 }
 
 /// Calls all gateways at once.
-async fn call_all(setup: &Setup, call: &Call) -> Result<Answers<Answer>, Wrong> {
+async fn call_all(setup: &Setup, call: &Call) -> Result<Answers<Answer>, Errors> {
     if setup.gateways.is_empty() {
-        return Err(Wrong::one(
+        return Err(Errors::single(
             "no gateway is named: --gateway, or gateways in the configuration, is wanted",
         ));
     }
@@ -73,7 +73,7 @@
 }
 
 /// Has all gateways do something.
-pub async fn post(setup: &Setup, path: &str) -> Result<Outcome, Wrong> {
+pub async fn post(setup: &Setup, path: &str) -> Result<Outcome, Errors> {
     let answers = call_all(setup, &Call::post(path)).await?;
     if setup.json {
         print(as_json(&answers, value))?;
@@ -88,7 +88,7 @@
 }
 
 /// Shows what all gateways answer as JSON.
-pub async fn show_json(setup: &Setup, path: &str) -> Result<Outcome, Wrong> {
+pub async fn show_json(setup: &Setup, path: &str) -> Result<Outcome, Errors> {
     let answers = call_all(setup, &Call::get(path)).await?;
     print(as_json(&answers, value))?;
     Ok(outcome(&answers))
@@ -102,14 +102,14 @@
 }
 
 /// Shows the figures of all gateways.
-pub async fn metrics(setup: &Setup, format: Format) -> Result<Outcome, Wrong> {
+pub async fn metrics(setup: &Setup, format: Format) -> Result<Outcome, Errors> {
     match format {
         Format::Json => show_json(setup, "/-/metrics").await,
         Format::Openmetrics => openmetrics(setup).await,
     }
 }
 
-async fn openmetrics(setup: &Setup) -> Result<Outcome, Wrong> {
+async fn openmetrics(setup: &Setup) -> Result<Outcome, Errors> {
     let answers = call_all(setup, &Call::get("/-/metrics?format=openmetrics")).await?;
     if setup.json {
         print(as_json(&answers, |answer| String::from_utf8_lossy(&answer.body).into()))?;
@@ -127,7 +127,7 @@
 }
 
 /// The statuses of all gateways.
-pub async fn statuses(setup: &Setup) -> Result<Answers<Status>, Wrong> {
+pub async fn statuses(setup: &Setup) -> Result<Answers<Status>, Errors> {
     let read = |answer: Answer| {
         serde_json::from_slice::<Status>(&answer.body).map_err(|e| format!("what it told is no status: {e}"))
     };
@@ -136,7 +136,7 @@
 }
 
 /// Shows the statuses and latencies of all gateways once.
-pub async fn status(setup: &Setup) -> Result<Outcome, Wrong> {
+pub async fn status(setup: &Setup) -> Result<Outcome, Errors> {
     let answers = statuses(setup).await?;
     if setup.json {
         print(as_json(&answers, |status| serde_json::to_value(status).unwrap_or_default()))?;
@@ -148,7 +148,7 @@
 }
 
 /// Shows the statuses of all gateways again and again, with rates, `count` times or until it is stopped.
-pub async fn watch(setup: &Setup, every: Duration, count: Option<u64>) -> Result<Outcome, Wrong> {
+pub async fn watch(setup: &Setup, every: Duration, count: Option<u64>) -> Result<Outcome, Errors> {
     let mut every = interval(every);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut before, mut polls) = (Counts::default(), 0);
--- a/crates/gateway-cli/src/gateways/page.rs
+++ b/crates/gateway-cli/src/gateways/page.rs
@@ -2,14 +2,15 @@
 
 use super::answers::Answers;
 use crate::table::{plain, span, table};
-use gateway_protocol::status::{End, Status};
+use gateway_protocol::status::{RequestOutcome, Status};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// The outcomes in the order of their columns: served, refused, failed.
-const OUTCOMES: [End; 3] = [End::Succeeded, End::Declined, End::Aborted];
+const OUTCOMES: [RequestOutcome; 3] =
+    [RequestOutcome::Succeeded, RequestOutcome::Declined, RequestOutcome::Aborted];
 
 /// How many requests of a gateway have ended so far, by outcome.
 fn requests(status: &Status) -> [u64; 3] {
@@ -111,9 +112,9 @@
     for (gateway, status) in statuses {
         for l in &status.latency {
             let outcome = match l.outcome {
-                End::Succeeded => "served",
-                End::Declined => "refused",
-                End::Aborted => "failed",
+                RequestOutcome::Succeeded => "served",
+                RequestOutcome::Declined => "refused",
+                RequestOutcome::Aborted => "failed",
             };
             let times = [l.p50_ms, l.p99_ms, l.most_ms].map(|ms| format!("{ms:.1}"));
             let row = [gateway.to_string(), plain(&l.class), outcome.to_string(), l.count.to_string()];
--- a/crates/gateway-cli/src/lab.rs
+++ b/crates/gateway-cli/src/lab.rs
@@ -14,7 +14,7 @@
 use gateway_simulation::{Scenario, CATALOGUE};
 use indicatif::{ProgressBar, ProgressDrawTarget};
 use play::{play, Run};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use seeds::Seeds;
 use serde_json::json;
@@ -63,7 +63,7 @@
     },
 }
 
-pub fn run(setup: &Setup, command: Command) -> Result<Outcome, Wrong> {
+pub fn run(setup: &Setup, command: Command) -> Result<Outcome, Errors> {
     match command {
         Command::List => list(setup),
         Command::Print { name } => match CATALOGUE.iter().find(|(known, _)| *known == name) {
@@ -74,7 +74,7 @@
             let wrong: Vec<String> =
                 files.iter().filter_map(|file| Scenario::load(file).err()).flat_map(|w| w.0).collect();
             if !wrong.is_empty() {
-                return Err(Wrong(wrong));
+                return Err(Errors(wrong));
             }
             print("ok\n").map(|()| Outcome::All)
         }
@@ -87,7 +87,7 @@
     }
 }
 
-fn experiment(setup: &Setup, file: &Path, to: &Path) -> Result<Outcome, Wrong> {
+fn experiment(setup: &Setup, file: &Path, to: &Path) -> Result<Outcome, Errors> {
     let experiment = Experiment::load(file)?;
     let bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
     let results = experiment.play(to, |done, all| {
@@ -111,22 +111,23 @@
     if broken.is_empty() {
         Ok(Outcome::All)
     } else {
-        Err(Wrong(broken))
+        Err(Errors(broken))
     }
 }
 
-fn search(base: &str, first: u64, count: u64, to: &Path) -> Result<Outcome, Wrong> {
+fn search(base: &str, first: u64, count: u64, to: &Path) -> Result<Outcome, Errors> {
     let base = scenario(base)?;
     let Some(found) = gateway_simulation::search::search(&base, first, count) else {
         print(format!("no rule is broken in {count} scripts from seed {first} on\n"))?;
         return Ok(Outcome::All);
     };
-    std::fs::write(to, found.scenario.text()).map_err(|e| Wrong::one(format!("{}: {e}", to.display())))?;
+    std::fs::write(to, found.scenario.text())
+        .map_err(|e| Errors::single(format!("{}: {e}", to.display())))?;
     print(format!("seed {}, written to {}\n{}", found.seed, to.display(), found.breach))?;
     Ok(Outcome::None)
 }
 
-fn list(setup: &Setup) -> Result<Outcome, Wrong> {
+fn list(setup: &Setup) -> Result<Outcome, Errors> {
     let all: Vec<Scenario> = CATALOGUE.iter().map(|(name, _)| scenario(name)).collect::<Result<_, _>>()?;
     if setup.json {
         let each: Vec<_> = all.iter().map(|s| json!({"name": s.name, "claim": s.claim})).collect();
--- a/crates/gateway-cli/src/lab/compare.rs
+++ b/crates/gateway-cli/src/lab/compare.rs
@@ -7,18 +7,18 @@
 use crate::table::table;
 use gateway_simulation::stats::{interval, spread, FIGURES};
 use gateway_simulation::{play_all, Report};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use serde_json::json;
 
-pub fn compare(setup: &Setup, base: &str, variant: &str, seeds: &Seeds) -> Result<Outcome, Wrong> {
+pub fn compare(setup: &Setup, base: &str, variant: &str, seeds: &Seeds) -> Result<Outcome, Errors> {
     let (a, b) = (scenario(base)?, scenario(variant)?);
     let seeds = seeds.all();
     let (a, b) = (play_all(&a, &seeds), play_all(&b, &seeds));
     let broken: Vec<String> =
         a.iter().chain(&b).filter_map(|r| r.as_ref().err()).map(ToString::to_string).collect();
     if !broken.is_empty() {
-        return Err(Wrong(broken));
+        return Err(Errors(broken));
     }
     let pairs: Vec<(&Report, &Report)> =
         a.iter().zip(&b).filter_map(|(a, b)| Some((a.as_ref().ok()?, b.as_ref().ok()?))).collect();
--- a/crates/gateway-cli/src/lab/play.rs
+++ b/crates/gateway-cli/src/lab/play.rs
@@ -9,7 +9,7 @@
 use gateway_simulation::report::Fares;
 use gateway_simulation::stats::{spread, FIGURES};
 use gateway_simulation::{play_all, Breach, Report, Scenario, CATALOGUE};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use serde_json::json;
 use std::time::Instant;
@@ -51,7 +51,7 @@
     "full service after s",
 ];
 
-pub fn play(setup: &Setup, run: &Run) -> Result<Outcome, Wrong> {
+pub fn play(setup: &Setup, run: &Run) -> Result<Outcome, Errors> {
     let names: Vec<String> = match run.scenarios.is_empty() {
         true => CATALOGUE.iter().map(|(name, _)| name.to_string()).collect(),
         false => run.scenarios.clone(),
@@ -87,9 +87,9 @@
 }
 
 /// A line of JSON for each play, so that what was played before a stop is complete.
-fn print_lines(scenario: &Scenario, reports: &[&Report], breaches: &[&Breach]) -> Result<(), Wrong> {
+fn print_lines(scenario: &Scenario, reports: &[&Report], breaches: &[&Breach]) -> Result<(), Errors> {
     for report in reports {
-        let line = serde_json::to_string(report).map_err(Wrong::one)?;
+        let line = serde_json::to_string(report).map_err(Errors::single)?;
         print(format!("{line}\n"))?;
     }
     for breach in breaches {
--- a/crates/gateway-cli/src/main.rs
+++ b/crates/gateway-cli/src/main.rs
@@ -13,8 +13,8 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use gateways::Format;
 use outcome::Outcome;
-use program_support::config::Wrong;
-use program_support::program::{end, print};
+use program_support::config::Errors;
+use program_support::program::{finish, print};
 use setup::SetupArguments;
 use std::future::Future;
 use std::process::ExitCode;
@@ -94,10 +94,10 @@
 }
 
 fn main() -> ExitCode {
-    end("sprucehatch", run(Arguments::parse()).map(ExitCode::from))
+    finish("sprucehatch", run(Arguments::parse()).map(ExitCode::from))
 }
 
-fn run(arguments: Arguments) -> Result<Outcome, Wrong> {
+fn run(arguments: Arguments) -> Result<Outcome, Errors> {
     if let Command::Completions { shell } = arguments.command {
         let mut text = Vec::new();
         clap_complete::generate(shell, &mut Arguments::command(), "sprucehatch", &mut text);
@@ -107,7 +107,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(Default::default())
-        .map_err(|e| Wrong::one(format!("cannot start the event loop: {e}")))?;
+        .map_err(|e| Errors::single(format!("cannot start the event loop: {e}")))?;
     runtime.block_on(async {
         match arguments.command {
             Command::Status => gateways::status(&setup).await,
@@ -139,15 +139,15 @@
 }
 
 /// Runs a command that starts other programs. A signal ends it and all that it started.
-async fn until_stopped(what: impl Future<Output = Result<Outcome, Wrong>>) -> Result<Outcome, Wrong> {
-    let on = |kind| signal(kind).map_err(|e| Wrong::one(format!("signals: {e}")));
+async fn until_stopped(what: impl Future<Output = Result<Outcome, Errors>>) -> Result<Outcome, Errors> {
+    let on = |kind| signal(kind).map_err(|e| Errors::single(format!("signals: {e}")));
     let (mut int, mut term) = (on(SignalKind::interrupt())?, on(SignalKind::terminate())?);
     let mut hangup = on(SignalKind::hangup())?;
     tokio::select! {
         biased;
         outcome = what => outcome,
-        _ = int.recv() => Err(Wrong::one("stopped; everything is ended")),
-        _ = term.recv() => Err(Wrong::one("stopped; everything is ended")),
-        _ = hangup.recv() => Err(Wrong::one("stopped; everything is ended")),
+        _ = int.recv() => Err(Errors::single("stopped; everything is ended")),
+        _ = term.recv() => Err(Errors::single("stopped; everything is ended")),
+        _ = hangup.recv() => Err(Errors::single("stopped; everything is ended")),
     }
 }
--- a/crates/gateway-cli/src/registry.rs
+++ b/crates/gateway-cli/src/registry.rs
@@ -6,9 +6,9 @@
 use crate::table::{plain, span, table};
 use clap::{Args, Subcommand};
 use gateway_protocol::call::{self, Answer, Call};
-use gateway_protocol::registration::{Announcement, Registrations, ENTRIES};
+use gateway_protocol::registration::{Announcement, Registrations, REGISTRATIONS_PATH};
 use hyper::Method;
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -53,15 +53,15 @@
     capacity: f64,
 }
 
-pub async fn run(setup: &Setup, command: Command) -> Result<Outcome, Wrong> {
+pub async fn run(setup: &Setup, command: Command) -> Result<Outcome, Errors> {
     let Some(registrars) = setup.registrars else {
-        return Err(Wrong::one(
+        return Err(Errors::single(
             "no registry is named: --registrars, or registrars in the configuration, is wanted",
         ));
     };
-    let path = |server: &str, verb: &str| format!("{ENTRIES}/{}{verb}", encoded(server));
+    let path = |server: &str, verb: &str| format!("{REGISTRATIONS_PATH}/{}{verb}", encoded(server));
     let (list, call) = match command {
-        Command::List => (true, Call::get(ENTRIES)),
+        Command::List => (true, Call::get(REGISTRATIONS_PATH)),
         Command::Drain { server } => (false, Call::post(&path(&server, "/drain"))),
         Command::Remove { server } => {
             (false, Call { method: Method::DELETE, ..Call::get(&path(&server, "")) })
@@ -77,11 +77,11 @@
                 boot_ms: r.boot_ms.unwrap_or_else(now),
                 lease_ms: r.lease_ms,
             };
-            let body = serde_json::to_vec(&announcement).map_err(|e| Wrong::one(e.to_string()))?;
+            let body = serde_json::to_vec(&announcement).map_err(|e| Errors::single(e.to_string()))?;
             (false, Call { method: Method::PUT, body: body.into(), ..Call::get(&path(&r.server, "")) })
         }
     };
-    let failed = |why: &dyn Display| Wrong::one(format!("registry {registrars}: {why}"));
+    let failed = |why: &dyn Display| Errors::single(format!("registry {registrars}: {why}"));
     let answer = call::make(registrars, call, setup.limit).await.map_err(|e| failed(&e))?;
     if !answer.is_success() {
         return Err(failed(&format!("{}: {}", answer.status, answer.text())));
--- a/crates/gateway-cli/src/setup.rs
+++ b/crates/gateway-cli/src/setup.rs
@@ -1,7 +1,7 @@
 //! Who is called, and how: the options of the command line and the configuration file.
 
 use clap::Args;
-use program_support::config::{self, Wrong};
+use program_support::config::{self, Errors};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -51,8 +51,8 @@
 }
 
 /// The options of the command line, and those of the file where it says nothing.
-pub fn read(arguments: &SetupArguments) -> Result<Setup, Wrong> {
-    let file = match config::one_of(arguments.config.clone(), "SPRUCEHATCH_CONFIG")? {
+pub fn read(arguments: &SetupArguments) -> Result<Setup, Errors> {
+    let file = match config::configuration_path(arguments.config.clone(), "SPRUCEHATCH_CONFIG")? {
         Some(path) => config::load::<File>(&path, "")?.settings,
         None => File::default(),
     };
@@ -69,7 +69,7 @@
         listed.filter_map(|(n, text)| address(format!("gateways[{n}]"), text)).collect();
     let registrars = file.registrars.as_ref().and_then(|text| address("registrars".to_string(), text));
     if !wrong.is_empty() {
-        return Err(Wrong(wrong));
+        return Err(Errors(wrong));
     }
     Ok(Setup {
         gateways: if arguments.gateways.is_empty() { listed } else { arguments.gateways.clone() },
--- a/crates/gateway-cli/src/trial.rs
+++ b/crates/gateway-cli/src/trial.rs
@@ -11,7 +11,7 @@
 use gateway_simulation::report::FARES;
 use gateway_simulation::stats::FIGURES;
 use gateway_simulation::{Report, Scenario};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::program::print;
 use serde_json::json;
 use std::fs;
@@ -48,7 +48,7 @@
 }
 
 /// Runs a command. The caller ends it on a signal.
-pub async fn run(setup: &Setup, command: &Command) -> Result<Outcome, Wrong> {
+pub async fn run(setup: &Setup, command: &Command) -> Result<Outcome, Errors> {
     let (names, run) = match command {
         Command::Run(run) => (&run.scenarios, Some(run)),
         Command::Check { scenarios } => (scenarios, None),
@@ -56,10 +56,10 @@
     // All are read and checked before anything is started.
     let all = names.iter().map(|name| {
         let scenario = scenario(name)?;
-        gateway_process_trial::check(&scenario).map_err(|wrong| wrong.of(Path::new(name)))?;
+        gateway_process_trial::check(&scenario).map_err(|wrong| wrong.in_file(Path::new(name)))?;
         Ok(scenario)
     });
-    let all: Vec<Scenario> = all.collect::<Result<_, Wrong>>()?;
+    let all: Vec<Scenario> = all.collect::<Result<_, Errors>>()?;
     let Some(run) = run else { return print("ok\n").map(|()| Outcome::All) };
     let programs = match &run.programs {
         Some(folder) => folder.clone(),
@@ -77,8 +77,8 @@
             let lab = lab.and_then(Result::ok);
             if let Some(to) = &run.to {
                 let breach = breach.as_ref().map(ToString::to_string);
-                let page = shown(scenario, &figures, breach, lab.as_ref()).html().map_err(Wrong::one)?;
-                write(to, &figures, &page).map_err(|e| Wrong::one(format!("{}: {e}", to.display())))?;
+                let page = shown(scenario, &figures, breach, lab.as_ref()).html().map_err(Errors::single)?;
+                write(to, &figures, &page).map_err(|e| Errors::single(format!("{}: {e}", to.display())))?;
             }
             if setup.json {
                 let breach = breach.as_ref().map(ToString::to_string);
--- a/crates/gateway-process-trial/src/addresses.rs
+++ b/crates/gateway-process-trial/src/addresses.rs
@@ -1,6 +1,6 @@
 //! Addresses on loopback: each gateway has its own for each server and the list, where a relay stands.
 
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener as Reserved};
 
@@ -15,8 +15,8 @@
 }
 
 impl Addresses {
-    pub fn new() -> Result<Self, Wrong> {
-        let failed = |e: io::Error| Wrong::one(format!("no port on loopback: {e}"));
+    pub fn new() -> Result<Self, Errors> {
+        let failed = |e: io::Error| Errors::single(format!("no port on loopback: {e}"));
         let held = Reserved::bind("127.0.0.1:0").map_err(failed)?;
         Ok(Addresses { port: held.local_addr().map_err(failed)?.port(), _held: held })
     }
--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -32,7 +32,7 @@
 use gateway_simulation::scenario::{Fault, Scenario, Trouble};
 use gateway_simulation::units::{ns, MS, SECOND, START};
 use gateway_simulation::Breach;
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use rand::Rng;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit, Signal};
 use serde_json::{json, Value};
@@ -65,7 +65,7 @@
 }
 
 /// Checks what a trial asks beside what the scenario's own check does.
-pub fn check(scenario: &Scenario) -> Result<(), Wrong> {
+pub fn check(scenario: &Scenario) -> Result<(), Errors> {
     let mut wrong = Vec::new();
     if scenario.servers.count > MOST_SERVERS {
         let count = scenario.servers.count;
@@ -95,17 +95,17 @@
     if wrong.is_empty() {
         Ok(())
     } else {
-        Err(Wrong(wrong))
+        Err(Errors(wrong))
     }
 }
 
 /// Plays a scenario once with the programs of a folder. To be used on a local runtime. Dropped, it ends all it has started.
-pub async fn play(scenario: &Scenario, seed: u64, programs: &Path) -> Result<Played, Wrong> {
+pub async fn play(scenario: &Scenario, seed: u64, programs: &Path) -> Result<Played, Errors> {
     check(scenario)?;
     // The soft limit is this program's own to raise.
     let most = getrlimit(Resource::Nofile).maximum;
     setrlimit(Resource::Nofile, Rlimit { current: most, maximum: most })
-        .map_err(|e| Wrong::one(format!("descriptors: {e}")))?;
+        .map_err(|e| Errors::single(format!("descriptors: {e}")))?;
     let folder = Folder::new("trial")?;
     let world = World::new(scenario, seed, Addresses::new()?);
     let _gateways = Gateways(world.clone());
@@ -132,7 +132,7 @@
 }
 
 impl Trial {
-    async fn play(self) -> Result<Played, Wrong> {
+    async fn play(self) -> Result<Played, Errors> {
         let (world, scenario) = (&self.world, &self.world.scenario);
         // Ends with the trial, whatever comes of it.
         let mut tasks = JoinSet::new();
@@ -160,7 +160,7 @@
                     sleep(Duration::from_millis(20)).await;
                     // One that has ended will not be ready.
                     if let Some(what) = self.lost() {
-                        return Err(Wrong::one(what));
+                        return Err(Errors::single(what));
                     }
                 }
                 Ok(())
@@ -180,7 +180,7 @@
         while Instant::now() < end {
             sleep((end - Instant::now()).min(Duration::from_millis(100))).await;
             if let Some(what) = world.broken.borrow_mut().take() {
-                return Err(Wrong::one(what));
+                return Err(Errors::single(what));
             }
         }
         // Nothing new is asked; what was asked gets its answer.
@@ -193,7 +193,7 @@
         registry.iter_mut().for_each(|program| program.signal(Signal::TERM));
         drop(registry);
         if let Some(what) = lost {
-            return Err(Wrong::one(what));
+            return Err(Errors::single(what));
         }
         let mut figures = world.figures.take();
         (figures.report.scenario, figures.report.seed) = (scenario.name.clone(), 0);
@@ -202,19 +202,19 @@
         Ok(Played { figures, breach: world.ledger().check(scenario).err() })
     }
 
-    fn not_ready(&self, begun: Instant) -> Wrong {
+    fn not_ready(&self, begun: Instant) -> Errors {
         let late = self.world.gateways.iter().enumerate().filter(|(_, place)| !place.taken_in.get());
         let said = late.map(|(n, place)| {
             let program = place.program.borrow();
             format!("n{n}{}", program.as_ref().map(Program::last_word).unwrap_or_default())
         });
         let said: Vec<String> = said.take(5).collect();
-        Wrong::one(format!("not ready after {:.0} s: {}", begun.elapsed().as_secs_f64(), said.join(", ")))
+        Errors::single(format!("not ready after {:.0} s: {}", begun.elapsed().as_secs_f64(), said.join(", ")))
     }
 
     // ---- Programs ----
 
-    fn registry(&self) -> Result<Option<Program>, Wrong> {
+    fn registry(&self) -> Result<Option<Program>, Errors> {
         if !self.world.scenario.list.registry {
             return Ok(None);
         }
@@ -231,7 +231,7 @@
     }
 
     /// Starts a gateway, from nothing.
-    fn start(&self, n: usize) -> Result<(), Wrong> {
+    fn start(&self, n: usize) -> Result<(), Errors> {
         let world = &self.world;
         let known = world.scenario.list.known;
         let name = format!("n{n}");
@@ -267,7 +267,7 @@
 
     async fn restart(&self, n: usize) {
         self.world.leave_out(n);
-        if let Err(Wrong(what)) = self.start(n) {
+        if let Err(Errors(what)) = self.start(n) {
             self.world.refused(what.join("; "));
         }
     }
--- a/crates/gateway-process-trial/src/net.rs
+++ b/crates/gateway-process-trial/src/net.rs
@@ -17,7 +17,7 @@
 use crate::wire::Ends;
 use gateway_simulation::link::Struck;
 use gateway_simulation::scenario::Trouble;
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
         servers: usize,
         clock: Clock,
         ends: Rc<E>,
-    ) -> Result<Rc<Self>, Wrong> {
+    ) -> Result<Rc<Self>, Errors> {
         let targets = || (0..servers).map(Target::Server).chain([Target::List]);
         let gates = (0..gateways).flat_map(|gateway| targets().map(move |target| (gateway, target)));
         let gates = gates.map(|(gateway, target)| {
@@ -65,7 +65,8 @@
             ends,
         });
         for gate in &net.gates {
-            let listener = listen(gate.address).map_err(|e| Wrong::one(format!("{}: {e}", gate.address)))?;
+            let listener =
+                listen(gate.address).map_err(|e| Errors::single(format!("{}: {e}", gate.address)))?;
             let relay = Relay { gate: gate.clone(), clock: clock.clone(), ends: net.ends.clone() };
             spawn_local(Rc::new(relay).stand(listener));
         }
--- a/crates/gateway-process-trial/src/process.rs
+++ b/crates/gateway-process-trial/src/process.rs
@@ -1,6 +1,6 @@
 //! Programs of the project as processes of their own, which end with this one, and the folder that they live in.
 
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader};
@@ -17,8 +17,8 @@
 const VARIABLES: [&str; 7] =
     ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_OPS", "LB_INHERITED_FD", "TMPDIR"];
 
-pub(crate) fn failed(what: &str) -> impl Fn(std::io::Error) -> Wrong + '_ {
-    move |e| Wrong::one(format!("{what}: {e}"))
+pub(crate) fn failed(what: &str) -> impl Fn(std::io::Error) -> Errors + '_ {
+    move |e| Errors::single(format!("{what}: {e}"))
 }
 
 /// A program that runs. It ends with its value.
@@ -30,9 +30,9 @@
 
 impl Program {
     /// Starts the program of this name in `programs`; its log goes to `log`, after what stands there.
-    pub fn start(programs: &Path, name: &str, arguments: &[&str], log: PathBuf) -> Result<Self, Wrong> {
+    pub fn start(programs: &Path, name: &str, arguments: &[&str], log: PathBuf) -> Result<Self, Errors> {
         let path = programs.join(name);
-        let shown = |e: std::io::Error, path: &Path| Wrong::one(format!("{}: {e}", path.display()));
+        let shown = |e: std::io::Error, path: &Path| Errors::single(format!("{}: {e}", path.display()));
         let file = File::options().create(true).append(true).open(&log).map_err(|e| shown(e, &log))?;
         let mut command = Command::new(&path);
         for variable in VARIABLES {
@@ -44,7 +44,7 @@
     }
 
     /// The folder that this program lies in, with the others beside it.
-    pub fn beside() -> Result<PathBuf, Wrong> {
+    pub fn beside() -> Result<PathBuf, Errors> {
         let own = std::env::current_exe().map_err(failed("this program's own file"))?;
         Ok(own.parent().map(Path::to_path_buf).unwrap_or_default())
     }
@@ -55,17 +55,21 @@
     }
 
     /// The address that its log tells after these words. Waits for it: only for what starts before all else.
-    pub fn told(&mut self, words: &str) -> Result<SocketAddr, Wrong> {
+    pub fn told(&mut self, words: &str) -> Result<SocketAddr, Errors> {
         let end = Instant::now() + PATIENCE;
         loop {
             let lines = self.lines();
             let found = lines.iter().find_map(|line| line.split_once(words));
             if let Some((_, address)) = found {
-                let bad = |e| Wrong::one(format!("{}: {address}: {e}", self.name));
+                let bad = |e| Errors::single(format!("{}: {address}: {e}", self.name));
                 return address.trim().parse().map_err(bad);
             }
             if Instant::now() > end || self.ended().is_some() {
-                return Err(Wrong::one(format!("{} does not say {words:?}{}", self.name, self.last_word())));
+                return Err(Errors::single(format!(
+                    "{} does not say {words:?}{}",
+                    self.name,
+                    self.last_word()
+                )));
             }
             sleep(Duration::from_millis(5));
         }
@@ -153,9 +157,9 @@
 
 impl Folder {
     /// A new one; `purpose` is part of its name.
-    pub fn new(purpose: &str) -> Result<Self, Wrong> {
+    pub fn new(purpose: &str) -> Result<Self, Errors> {
         let path = std::env::temp_dir().join(format!("sprucehatch-{purpose}-{}", std::process::id()));
-        fs::create_dir(&path).map_err(|e| Wrong::one(format!("{}: {e}", path.display())))?;
+        fs::create_dir(&path).map_err(|e| Errors::single(format!("{}: {e}", path.display())))?;
         Ok(Folder(path))
     }
 
@@ -163,9 +167,9 @@
         self.0.join(name)
     }
 
-    pub fn file(&self, name: &str, text: &str) -> Result<PathBuf, Wrong> {
+    pub fn file(&self, name: &str, text: &str) -> Result<PathBuf, Errors> {
         let path = self.path(name);
-        fs::write(&path, text).map_err(|e| Wrong::one(format!("{}: {e}", path.display())))?;
+        fs::write(&path, text).map_err(|e| Errors::single(format!("{}: {e}", path.display())))?;
         Ok(path)
     }
 }
--- a/crates/gateway-process-trial/src/registration.rs
+++ b/crates/gateway-process-trial/src/registration.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use gateway_protocol::call::{self, Call};
-use gateway_protocol::registration::{Announcement, ENTRIES};
+use gateway_protocol::registration::{Announcement, REGISTRATIONS_PATH};
 use hyper::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 /// Registers, and renews the lease for as long as it is polled.
 pub async fn renew(name: String, announcement: Announcement, registrars: SocketAddr) {
-    let path = format!("{ENTRIES}/{name}");
+    let path = format!("{REGISTRATIONS_PATH}/{name}");
     let lease = Duration::from_millis(announcement.lease_ms);
     let renewal = Bytes::from(format!(r#"{{"boot_ms":{}}}"#, announcement.boot_ms));
     let announcement = Bytes::from(serde_json::to_vec(&announcement).unwrap_or_default());
--- a/crates/gateway-process-trial/src/world/servers.rs
+++ b/crates/gateway-process-trial/src/world/servers.rs
@@ -8,7 +8,7 @@
 use gateway_decisions::Time;
 use gateway_protocol::call::{self, Call};
 use gateway_protocol::list::State;
-use gateway_protocol::registration::{Announcement, ENTRIES};
+use gateway_protocol::registration::{Announcement, REGISTRATIONS_PATH};
 use gateway_simulation::report::{count, flow};
 use gateway_simulation::units::{METER, START};
 use hyper::Method;
@@ -133,7 +133,7 @@
                 self.announcers.borrow_mut().insert(n, task)
             }
             State::Terminating => {
-                let path = format!("{ENTRIES}/s-{n}/drain");
+                let path = format!("{REGISTRATIONS_PATH}/s-{n}/drain");
                 let body = Bytes::from(format!(r#"{{"boot_ms":{boot_ms}}}"#));
                 spawn_local(call::make(registrars, Call { method: Method::POST, path, body }, LEASE));
                 None
--- a/crates/gateway-protocol/src/call_schedule.rs
+++ b/crates/gateway-protocol/src/call_schedule.rs
@@ -63,19 +63,19 @@
 
 /// Whether a reader has a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reader {
+pub enum ReaderState {
     /// It has one, of whatever age.
     WithList,
     /// It has none, and goes first.
     WithoutList,
 }
 
-impl Reader {
+impl ReaderState {
     /// A reader that has the list of this version, or none.
-    pub fn with_version(version: Option<u64>) -> Self {
+    pub fn from_version(version: Option<u64>) -> Self {
         match version {
-            Some(_) => Reader::WithList,
-            None => Reader::WithoutList,
+            Some(_) => ReaderState::WithList,
+            None => ReaderState::WithoutList,
         }
     }
 }
@@ -112,7 +112,7 @@
     }
 
     /// The pause before the first call.
-    pub fn before_first_call(&mut self, now: Duration, random: f64) -> Duration {
+    pub fn first_call_delay(&mut self, now: Duration, random: f64) -> Duration {
         let ListService::Shared { readers } = self.service else { return Duration::ZERO };
         let length = phase_length(readers, 0);
         self.phase = Some(Phase { number: 0, end: now + length });
@@ -120,11 +120,11 @@
     }
 
     /// The pause before the call after one that failed.
-    pub fn after_failure(
+    pub fn delay_after_failure(
         &mut self,
         now: Duration,
         failure: CallFailure,
-        reader: Reader,
+        reader: ReaderState,
         random: f64,
     ) -> Duration {
         let ListService::Shared { readers } = self.service else {
@@ -146,8 +146,8 @@
         }
         let (number, begin) = match (self.phase, reader) {
             (Some(last), _) => (last.number + 1, last.end.max(now)),
-            (None, Reader::WithList) => (FIRST_PHASE_WITH_LIST, now),
-            (None, Reader::WithoutList) => (0, now),
+            (None, ReaderState::WithList) => (FIRST_PHASE_WITH_LIST, now),
+            (None, ReaderState::WithoutList) => (0, now),
         };
         let length = phase_length(readers, number).max(EMPTY_ANSWER_PAUSE);
         self.phase = Some(Phase { number, end: begin + length });
@@ -156,17 +156,17 @@
 
     /// The pause before the call after one that was answered. `waited` is how long the call was queued; `reader` is what
     /// it was before the answer.
-    pub fn after_answer(&mut self, waited: Duration, reader: Reader, random: f64) -> Duration {
+    pub fn delay_after_answer(&mut self, waited: Duration, reader: ReaderState, random: f64) -> Duration {
         let pressed =
             self.phase.is_some_and(|phase| phase.number > 0) || self.hints_followed > 0 || waited > QUEUED;
         (self.phase, self.hints_followed, self.agent_failed) = (None, 0, false);
         match (self.service, reader) {
-            (ListService::Shared { readers }, Reader::WithoutList) if pressed => {
+            (ListService::Shared { readers }, ReaderState::WithoutList) if pressed => {
                 self.strain = MAX_STRAIN;
                 phase_length(readers, 2).min(MAX_YIELD).mul_f64(random)
             }
             (_, reader) => {
-                self.strain = self.strain.saturating_sub(u32::from(reader == Reader::WithList));
+                self.strain = self.strain.saturating_sub(u32::from(reader == ReaderState::WithList));
                 Duration::ZERO
             }
         }
--- a/crates/gateway-protocol/src/call_schedule/tests.rs
+++ b/crates/gateway-protocol/src/call_schedule/tests.rs
@@ -63,25 +63,26 @@
     let mut schedules: Vec<CallSchedule> = (0..readers).map(|_| shared(readers)).collect();
     let mut lists = vec![false; readers as usize];
     for (n, schedule) in schedules.iter_mut().enumerate() {
-        due.push(Reverse((schedule.before_first_call(Duration::ZERO, rng.next()), n)));
+        due.push(Reverse((schedule.first_call_delay(Duration::ZERO, rng.next()), n)));
     }
     let (mut missing, mut calls, mut last, mut seconds) = (readers, 0, 0.0, vec![0; 10_000]);
     while let (Some(Reverse((now, n))), true) = (due.pop(), missing > 0) {
         calls += u32::from(!lists[n]);
         seconds[now.as_secs() as usize] += 1;
         let kind = if lists[n] { CallKind::Watch } else { CallKind::FullList };
-        let reader = if lists[n] { Reader::WithList } else { Reader::WithoutList };
+        let reader = if lists[n] { ReaderState::WithList } else { ReaderState::WithoutList };
         let next = match service.call(now, kind) {
             Ok(done) => {
                 let new = !std::mem::replace(&mut lists[n], true);
                 missing -= u32::from(new);
                 last = done.as_secs_f64();
                 let wait = if new { Duration::ZERO } else { schedules[n].watch_wait(rng.next()) };
-                done + wait + schedules[n].after_answer(done - now, reader, rng.next())
+                done + wait + schedules[n].delay_after_answer(done - now, reader, rng.next())
             }
             Err(failure) => {
                 let unanswered = if failure == CallFailure::TimedOut { ms(2000) } else { Duration::ZERO };
-                now + unanswered + schedules[n].after_failure(now + unanswered, failure, reader, rng.next())
+                now + unanswered
+                    + schedules[n].delay_after_failure(now + unanswered, failure, reader, rng.next())
             }
         };
         due.push(Reverse((next, n)));
@@ -165,21 +166,21 @@
 #[test]
 fn three_readers_are_no_slower_than_with_pauses_of_a_second() {
     let mut schedule = shared(3);
-    assert!(schedule.before_first_call(ms(0), 1.0) <= ms(20));
+    assert!(schedule.first_call_delay(ms(0), 1.0) <= ms(20));
     let mut now = ms(20);
     for most in [200, 300, 400] {
-        let pause = schedule.after_failure(now, CallFailure::Other, Reader::WithoutList, 1.0);
+        let pause = schedule.delay_after_failure(now, CallFailure::Other, ReaderState::WithoutList, 1.0);
         assert!(pause <= ms(most), "{pause:?}");
         now += pause;
     }
     for _ in 0..20 {
-        let pause = schedule.after_failure(now, CallFailure::TimedOut, Reader::WithList, 1.0);
+        let pause = schedule.delay_after_failure(now, CallFailure::TimedOut, ReaderState::WithList, 1.0);
         assert!(pause <= ms(2600), "{pause:?}");
         now += pause;
     }
-    schedule.after_answer(ms(1), Reader::WithList, 0.5);
+    schedule.delay_after_answer(ms(1), ReaderState::WithList, 0.5);
     assert!(
-        schedule.after_failure(now, CallFailure::Other, Reader::WithList, 1.0) <= ms(200),
+        schedule.delay_after_failure(now, CallFailure::Other, ReaderState::WithList, 1.0) <= ms(200),
         "and soon again after an answer"
     );
 }
@@ -192,29 +193,31 @@
         [ms(10_000), ms(20_000), ms(30_000)]
     );
     let mut strained = shared(300);
-    strained.after_failure(ms(0), CallFailure::Rejected(None), Reader::WithList, 0.5);
+    strained.delay_after_failure(ms(0), CallFailure::Rejected(None), ReaderState::WithList, 0.5);
     for most in [60_000, 45_000, 30_000] {
         assert_eq!(strained.watch_wait(1.0), ms(most), "longer while callers are rejected");
-        strained.after_answer(ms(1), Reader::WithList, 0.5);
+        strained.delay_after_answer(ms(1), ReaderState::WithList, 0.5);
     }
     let mut agent = CallSchedule::new(ListService::OwnAgent);
-    assert_eq!((agent.watch_wait(0.1), agent.before_first_call(ms(0), 1.0)), (WATCH_WAIT, Duration::ZERO));
+    assert_eq!((agent.watch_wait(0.1), agent.first_call_delay(ms(0), 1.0)), (WATCH_WAIT, Duration::ZERO));
     for _ in 0..10 {
-        assert!(agent.after_failure(ms(0), CallFailure::TimedOut, Reader::WithList, 1.0) <= ms(250));
+        assert!(
+            agent.delay_after_failure(ms(0), CallFailure::TimedOut, ReaderState::WithList, 1.0) <= ms(250)
+        );
     }
-    assert_eq!(agent.after_answer(ms(900), Reader::WithoutList, 1.0), Duration::ZERO);
+    assert_eq!(agent.delay_after_answer(ms(900), ReaderState::WithoutList, 1.0), Duration::ZERO);
 }
 
 #[test]
 fn who_got_a_list_under_pressure_leaves_the_service_to_those_without() {
     let mut schedule = shared(300);
-    assert_eq!(schedule.after_answer(ms(5), Reader::WithoutList, 1.0), Duration::ZERO);
-    assert_eq!(schedule.after_answer(ms(400), Reader::WithoutList, 1.0), MAX_YIELD);
-    schedule.before_first_call(ms(0), 0.5);
-    schedule.after_failure(ms(900), CallFailure::Rejected(None), Reader::WithoutList, 0.5);
-    assert_eq!(schedule.after_answer(ms(5), Reader::WithoutList, 0.5), MAX_YIELD / 2);
+    assert_eq!(schedule.delay_after_answer(ms(5), ReaderState::WithoutList, 1.0), Duration::ZERO);
+    assert_eq!(schedule.delay_after_answer(ms(400), ReaderState::WithoutList, 1.0), MAX_YIELD);
+    schedule.first_call_delay(ms(0), 0.5);
+    schedule.delay_after_failure(ms(900), CallFailure::Rejected(None), ReaderState::WithoutList, 0.5);
+    assert_eq!(schedule.delay_after_answer(ms(5), ReaderState::WithoutList, 0.5), MAX_YIELD / 2);
     assert_eq!(
-        schedule.after_answer(ms(400), Reader::WithList, 1.0),
+        schedule.delay_after_answer(ms(400), ReaderState::WithList, 1.0),
         Duration::ZERO,
         "a watch goes on at once"
     );
--- a/crates/gateway-protocol/src/registration.rs
+++ b/crates/gateway-protocol/src/registration.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The path of registrations at a registry's address for registrars.
-pub const ENTRIES: &str = "/v1/registrations";
+pub const REGISTRATIONS_PATH: &str = "/v1/registrations";
 
 /// A server announces itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/gateway-protocol/src/status.rs
+++ b/crates/gateway-protocol/src/status.rs
@@ -64,7 +64,7 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum RequestOutcome {
     /// With an answer that the client can use.
     Succeeded,
     /// With a rejection by the gateway.
@@ -81,7 +81,7 @@
     /// The class of the requests.
     pub class: String,
     /// How they ended.
-    pub outcome: End,
+    pub outcome: RequestOutcome,
     /// How many they were.
     pub count: u64,
     /// The median.
--- a/crates/gateway-simulation/src/experiment.rs
+++ b/crates/gateway-simulation/src/experiment.rs
@@ -6,7 +6,7 @@
 use crate::scenario::Scenario;
 use crate::stats::{interval, median, spread, Figure, FIGURES};
 use crate::world::play;
-use program_support::config::{self, Wrong};
+use program_support::config::{self, Errors};
 use rayon::prelude::*;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -113,9 +113,9 @@
 
 impl Experiment {
     /// Reads and checks an experiment and all its variants.
-    pub fn load(path: &Path) -> Result<Self, Wrong> {
+    pub fn load(path: &Path) -> Result<Self, Errors> {
         let words = config::load::<Words>(path, "")?.settings;
-        let base = crate::find(&words.base).map_err(|wrong| wrong.of(path))?;
+        let base = crate::find(&words.base).map_err(|wrong| wrong.in_file(path))?;
         let (mut variants, mut wrong) = (Vec::new(), Vec::new());
         // Files are named by it.
         if !words.name.chars().all(|c| c.is_ascii_alphanumeric() || "-_".contains(c)) {
@@ -137,16 +137,16 @@
             }
         }
         if !wrong.is_empty() {
-            return Err(Wrong(wrong).of(path));
+            return Err(Errors(wrong).in_file(path));
         }
         let seeds = (0..words.seeds).map(|n| words.first.wrapping_add(n)).collect();
         Ok(Experiment { name: words.name, question: words.question, seeds, variants })
     }
 
     /// Plays what is not yet in the experiment's file in `folder`. `told` hears how many of how many plays are done.
-    pub fn play(&self, folder: &Path, told: impl Fn(u64, u64) + Sync) -> Result<Results, Wrong> {
+    pub fn play(&self, folder: &Path, told: impl Fn(u64, u64) + Sync) -> Result<Results, Errors> {
         let path = folder.join(format!("{}.jsonl", self.name));
-        let named = |e: std::io::Error| Wrong::one(e.to_string()).of(&path);
+        let named = |e: std::io::Error| Errors::single(e.to_string()).in_file(&path);
         fs::create_dir_all(folder).map_err(named)?;
         let mut plays = match File::open(&path) {
             Ok(file) => earlier(file).map_err(named)?,
@@ -303,12 +303,13 @@
     }
 
     /// Writes table and page beside the plays; the page's place.
-    pub fn write(&self, folder: &Path) -> Result<PathBuf, Wrong> {
+    pub fn write(&self, folder: &Path) -> Result<PathBuf, Errors> {
         let page = folder.join(format!("{}.html", self.name));
-        let write =
-            |path: &Path, text: String| fs::write(path, text).map_err(|e| Wrong::one(e.to_string()).of(path));
+        let write = |path: &Path, text: String| {
+            fs::write(path, text).map_err(|e| Errors::single(e.to_string()).in_file(path))
+        };
         write(&folder.join(format!("{}.csv", self.name)), self.csv())?;
-        write(&page, self.page().html().map_err(Wrong::one)?)?;
+        write(&page, self.page().html().map_err(Errors::single)?)?;
         Ok(page)
     }
 }
--- a/crates/gateway-simulation/src/lib.rs
+++ b/crates/gateway-simulation/src/lib.rs
@@ -24,7 +24,7 @@
 pub use scenario::Scenario;
 pub use world::{play, play_with, Decider};
 
-use program_support::config::{self, Form, Wrong};
+use program_support::config::{self, Errors, FileFormat};
 use rayon::prelude::*;
 use serde_json::Value;
 use std::path::Path;
@@ -35,16 +35,17 @@
 }
 
 /// A scenario of the catalogue by its name, or the file of that name.
-pub fn find(name: &str) -> Result<Value, Wrong> {
+pub fn find(name: &str) -> Result<Value, Errors> {
     match CATALOGUE.iter().find(|(known, _)| *known == name) {
-        Some((_, text)) => Form::Toml.parse(text.as_bytes()),
+        Some((_, text)) => FileFormat::Toml.parse(text.as_bytes()),
         None if name.contains(['.', '/']) => {
             let path = Path::new(name);
-            config::read(path).and_then(|text| Form::Toml.parse(&text).map_err(|wrong| wrong.of(path)))
+            config::read(path)
+                .and_then(|text| FileFormat::Toml.parse(&text).map_err(|wrong| wrong.in_file(path)))
         }
         None => {
             let names: Vec<&str> = CATALOGUE.iter().map(|(name, _)| *name).collect();
-            Err(Wrong::one(format!(
+            Err(Errors::single(format!(
                 "{name:?} is no scenario: a file, or one of {} is wanted",
                 names.join(", ")
             )))
--- a/crates/gateway-simulation/src/scenario/check.rs
+++ b/crates/gateway-simulation/src/scenario/check.rs
@@ -2,23 +2,23 @@
 
 use crate::link::Link;
 use crate::scenario::{Fault, Scenario, Trouble};
-use program_support::config::{self, Form, Wrong};
+use program_support::config::{self, Errors, FileFormat};
 use serde_json::Value;
 use std::path::Path;
 
 impl Scenario {
-    pub fn load(path: &Path) -> Result<Self, Wrong> {
+    pub fn load(path: &Path) -> Result<Self, Errors> {
         let text = config::read(path)?;
-        Self::parse(&text).map_err(|wrong| wrong.of(path))
+        Self::parse(&text).map_err(|wrong| wrong.in_file(path))
     }
 
     /// Reads and checks a scenario; all that is wrong with it is told.
-    pub fn parse(text: &[u8]) -> Result<Self, Wrong> {
-        Self::from_value(Form::Toml.parse(text)?)
+    pub fn parse(text: &[u8]) -> Result<Self, Errors> {
+        Self::from_value(FileFormat::Toml.parse(text)?)
     }
 
     /// As [`Scenario::parse`], of what a text says.
-    pub fn from_value(value: Value) -> Result<Self, Wrong> {
+    pub fn from_value(value: Value) -> Result<Self, Errors> {
         let scenario = config::from_value::<Scenario>(value)?.settings;
         let mut wrong = Vec::new();
         for (n, fault) in scenario.faults.iter().enumerate() {
@@ -29,7 +29,7 @@
         if wrong.is_empty() {
             Ok(scenario)
         } else {
-            Err(Wrong(wrong))
+            Err(Errors(wrong))
         }
     }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,7 +4,7 @@
 use gateway_decisions::settings::{self, Wire};
 use gateway_decisions::Settings;
 use gateway_protocol::list::List;
-use program_support::config::{self, Form, UnknownKeys, Wrong};
+use program_support::config::{self, Errors, FileFormat, UnknownKeys};
 use program_support::log;
 use schemars::{JsonSchema, Schema};
 use serde::Deserialize;
@@ -133,18 +133,22 @@
 ///
 /// # Errors
 /// The file cannot be read, or values are invalid: all of them are reported, not only the first.
-pub fn load(path: &Path, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Wrong> {
+pub fn load(path: &Path, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Errors> {
     let text = config::read(path)?;
-    read(&text, Form::of(path), environment).map_err(|wrong| wrong.of(path))
+    read(&text, FileFormat::of(path), environment).map_err(|wrong| wrong.in_file(path))
 }
 
-fn read(text: &[u8], form: Form, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Wrong> {
+fn read(
+    text: &[u8],
+    form: FileFormat,
+    environment: impl Fn(&str) -> Option<String>,
+) -> Result<Config, Errors> {
     match form {
-        Form::Toml => {
+        FileFormat::Toml => {
             let loaded = config::from_text::<File>(text, form, DEFAULTS)?;
             build(loaded.settings, loaded.value, environment)
         }
-        Form::Json => {
+        FileFormat::Json => {
             let value = form.parse(text)?;
             // The platform's file may have keys that are unknown here, and the platform defines their ranges.
             // This program's own options are also checked for unknown keys.
@@ -152,7 +156,7 @@
                 let schema = config::schema::<File>();
                 config::check(&schema, &value, UnknownKeys::Ignored)
                     .err()
-                    .unwrap_or_else(|| Wrong::one(e.to_string()))
+                    .unwrap_or_else(|| Errors::single(e.to_string()))
             });
             let mut faults = Vec::new();
             let mut own = |key: &str, schema: fn() -> Schema| {
@@ -170,7 +174,7 @@
                 Err(more) => faults
                     .extend(more.0.into_iter().filter(|fault| !faults.contains(fault)).collect::<Vec<_>>()),
             }
-            Err(Wrong(faults))
+            Err(Errors(faults))
         }
     }
 }
@@ -178,7 +182,11 @@
 /// The format of a seed, in error messages.
 const SEED: &str = "up to 16 hex digits";
 
-fn build(file: File, document: Value, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Wrong> {
+fn build(
+    file: File,
+    document: Value,
+    environment: impl Fn(&str) -> Option<String>,
+) -> Result<Config, Errors> {
     let mut faults = Vec::new();
     let Addresses { listen, ops, discovery } = Addresses::read(&file, &environment, &mut faults);
     let reserved = RESERVED_DESCRIPTORS + ops.map_or(0, |_| MAX_OPERATOR_CALLS);
@@ -195,7 +203,7 @@
         faults.push(format!("settings: {fault}"));
     }
     let (Some(listen), true) = (listen, faults.is_empty()) else {
-        return Err(Wrong(faults));
+        return Err(Errors(faults));
     };
     let backend_sockets = backend_sockets(sockets - reserved);
     let pool = file.pool.unwrap_or_default();
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -3,7 +3,9 @@
 
 use crate::driver::Driver;
 use gateway_decisions::Scope;
-use gateway_protocol::call_schedule::{CallFailure, CallSchedule, ListService, Reader, EMPTY_ANSWER_PAUSE};
+use gateway_protocol::call_schedule::{
+    CallFailure, CallSchedule, ListService, ReaderState, EMPTY_ANSWER_PAUSE,
+};
 use gateway_protocol::list::List;
 use gateway_protocol::watch::{Client, ListAnswer, WatchError};
 use std::net::SocketAddr;
@@ -128,7 +130,7 @@
             false => ListService::OwnAgent,
         };
         let (begun, mut schedule) = (Instant::now(), CallSchedule::new(service));
-        let pause = schedule.before_first_call(begun.elapsed(), rng.f64());
+        let pause = schedule.first_call_delay(begun.elapsed(), rng.f64());
         let (client, sources) = (Client::default(), Sources::new(addresses));
         ListWatch { driver, client, sources, service, begun, schedule, rng, version, newest, pause }
     }
@@ -196,7 +198,8 @@
         self.sources.answered(call.retries_primary);
         // Only an answer that does not wait for an update shows how long the service's queue is.
         let took = if call.wait.is_zero() { call.started.elapsed() } else { Duration::ZERO };
-        self.pause = self.schedule.after_answer(took, Reader::with_version(self.version), self.rng.f64());
+        self.pause =
+            self.schedule.delay_after_answer(took, ReaderState::from_version(self.version), self.rng.f64());
         // An agent that answers immediately without anything new must not keep the loop busy.
         if self.version.replace(list.rev) == Some(list.rev) {
             self.pause = EMPTY_ANSWER_PAUSE;
@@ -220,8 +223,8 @@
         let WatchError { what, failure } = error;
         let reason = if has_fallbacks { format!("{}: {what}", call.address) } else { what };
         self.driver.discovery_failed(&reason);
-        let reader = Reader::with_version(self.version);
-        self.pause = self.schedule.after_failure(self.begun.elapsed(), failure, reader, self.rng.f64());
+        let reader = ReaderState::from_version(self.version);
+        self.pause = self.schedule.delay_after_failure(self.begun.elapsed(), failure, reader, self.rng.f64());
     }
 }
 
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -2,7 +2,7 @@
 //! took.
 
 use crate::pool::figures::PoolFigures;
-use gateway_protocol::status::{End, Fullness, ListAge};
+use gateway_protocol::status::{Fullness, ListAge, RequestOutcome};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -12,8 +12,11 @@
 use tokio::time::Instant;
 
 /// The outcomes of requests with their names in the reports, in the order of their index.
-pub const ENDS: [(End, &str); 3] =
-    [(End::Succeeded, "succeeded"), (End::Declined, "declined"), (End::Aborted, "aborted")];
+pub const ENDS: [(RequestOutcome, &str); 3] = [
+    (RequestOutcome::Succeeded, "succeeded"),
+    (RequestOutcome::Declined, "declined"),
+    (RequestOutcome::Aborted, "aborted"),
+];
 
 /// Times are recorded with two significant digits, from a microsecond up to this; a longer time counts as
 /// this. Each class and outcome that occurs takes about 26 kB.
@@ -111,7 +114,12 @@
     /// Records that a request of this class is complete and outstanding.
     pub fn start_request(self: &Rc<Self>, class: usize) -> OutstandingRequest {
         self.outstanding.set(self.outstanding.get() + 1);
-        OutstandingRequest { figures: self.clone(), class, end: End::Aborted, since: Instant::now() }
+        OutstandingRequest {
+            figures: self.clone(),
+            class,
+            end: RequestOutcome::Aborted,
+            since: Instant::now(),
+        }
     }
 
     pub fn outstanding(&self) -> u64 {
@@ -119,7 +127,7 @@
     }
 
     /// Returns the durations of each class and outcome that has occurred.
-    pub fn times(&self) -> Vec<(String, End, Times)> {
+    pub fn times(&self) -> Vec<(String, RequestOutcome, Times)> {
         let ends = self.ends.borrow();
         let each = self.classes.iter().zip(ends.iter());
         let each = each
@@ -129,7 +137,7 @@
     }
 
     /// Returns how many requests had this outcome, by class. Classes of the same name are added up.
-    pub fn counts(&self, end: End) -> PerClass<'_> {
+    pub fn counts(&self, end: RequestOutcome) -> PerClass<'_> {
         let mut counts = PerClass::new();
         for (class, ends) in self.classes.iter().zip(self.ends.borrow().iter()) {
             let times = ends[end as usize].as_ref();
@@ -140,9 +148,9 @@
 
     pub fn json(&self, gauges: &Gauges) -> serde_json::Result<Vec<u8>> {
         serde_json::to_vec(&Report {
-            succeeded: self.counts(End::Succeeded),
-            declined: self.counts(End::Declined),
-            aborted: self.counts(End::Aborted),
+            succeeded: self.counts(RequestOutcome::Succeeded),
+            declined: self.counts(RequestOutcome::Declined),
+            aborted: self.counts(RequestOutcome::Aborted),
             forwards: gauges.forwards,
             outstanding: self.outstanding.get(),
             discovered: gauges.discovered,
@@ -158,13 +166,13 @@
 pub struct OutstandingRequest {
     figures: Rc<Figures>,
     class: usize,
-    end: End,
+    end: RequestOutcome,
     since: Instant,
 }
 
 impl OutstandingRequest {
     /// Sets the outcome that counts if nothing changes it before the drop.
-    pub fn set_outcome(&mut self, end: End) {
+    pub fn set_outcome(&mut self, end: RequestOutcome) {
         self.end = end;
     }
 }
--- a/crates/gateway/src/figures/tests.rs
+++ b/crates/gateway/src/figures/tests.rs
@@ -25,7 +25,7 @@
         r#"{"succeeded":{"look":0,"watch":0},"declined":{"look":0,"watch":0},"aborted":{"look":0,"watch":0},"forwards":5,"outstanding":2,"discovered":3,"ejected":1"#.to_string()
             + reported
     );
-    served.set_outcome(End::Succeeded);
+    served.set_outcome(RequestOutcome::Succeeded);
     drop(served);
     drop(left);
     assert_eq!(
@@ -41,15 +41,19 @@
     for ms in 1..=100 {
         let mut taken = figures.start_request(1);
         tokio::time::advance(Duration::from_millis(ms)).await;
-        taken.set_outcome(if ms > 90 { End::Declined } else { End::Succeeded });
+        taken.set_outcome(if ms > 90 { RequestOutcome::Declined } else { RequestOutcome::Succeeded });
     }
     let mut days = figures.start_request(0);
-    days.set_outcome(End::Succeeded);
+    days.set_outcome(RequestOutcome::Succeeded);
     tokio::time::advance(MAX_RECORDED_TIME * 48).await;
     drop(days);
     let times = figures.times();
     let reported: Vec<_> = times.iter().map(|(class, end, t)| (class.as_str(), *end, t.count())).collect();
-    let all = [("look", End::Succeeded, 1), ("watch", End::Succeeded, 90), ("watch", End::Declined, 10)];
+    let all = [
+        ("look", RequestOutcome::Succeeded, 1),
+        ("watch", RequestOutcome::Succeeded, 90),
+        ("watch", RequestOutcome::Declined, 10),
+    ];
     assert_eq!(reported, all);
     let near = |reported: Duration, ms: f64| (reported.as_secs_f64() * 1000.0 / ms - 1.0).abs() < 0.02;
     assert!(near(times[1].2.quantile(0.5), 45.0) && near(times[2].2.quantile(1.0), 100.0), "{times:?}");
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,9 +1,9 @@
 //! sprucehatch-gateway: runs one gateway as a process.
 
 use clap::{Parser, Subcommand};
-use program_support::config::{one_of, Wrong};
+use program_support::config::{configuration_path, Errors};
 use program_support::log;
-use program_support::program::{end, print};
+use program_support::program::{finish, print};
 use sprucehatch_gateway::{config, inherited, Config, Host};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -47,58 +47,58 @@
         Command::PrintDefaults => print(config::DEFAULTS),
         Command::PrintSchema => print(format!("{:#}\n", config::schema())),
     };
-    end("sprucehatch-gateway", done.map(|()| ExitCode::SUCCESS))
+    finish("sprucehatch-gateway", done.map(|()| ExitCode::SUCCESS))
 }
 
 /// Returns the path of the configuration file, from the command line or `LB_CONFIG`.
-fn config_path(argument: Option<PathBuf>) -> Result<PathBuf, Wrong> {
-    let none = || Wrong::one("LB_CONFIG is not set: it or --config names the configuration file");
-    one_of(argument, "LB_CONFIG")?.ok_or_else(none)
+fn config_path(argument: Option<PathBuf>) -> Result<PathBuf, Errors> {
+    let none = || Errors::single("LB_CONFIG is not set: it or --config names the configuration file");
+    configuration_path(argument, "LB_CONFIG")?.ok_or_else(none)
 }
 
 fn environment(variable: &str) -> Option<String> {
     std::env::var(variable).ok()
 }
 
-fn check_config(argument: Option<PathBuf>) -> Result<(), Wrong> {
+fn check_config(argument: Option<PathBuf>) -> Result<(), Errors> {
     let path = config_path(argument)?;
     config::load(&path, environment)?;
     print(format!("{}: ok\n", path.display()))
 }
 
-fn run(argument: Option<PathBuf>) -> Result<(), Wrong> {
+fn run(argument: Option<PathBuf>) -> Result<(), Errors> {
     // This comes first: the number must not refer to a descriptor that this program opens itself.
     let inherited = match std::env::var_os("LB_INHERITED_FD") {
         Some(fd) => {
             let listener = inherited::listener(&fd.to_string_lossy());
-            Some(listener.map_err(|e| Wrong::one(format!("LB_INHERITED_FD: {e}")))?)
+            Some(listener.map_err(|e| Errors::single(format!("LB_INHERITED_FD: {e}")))?)
         }
         None => None,
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(Default::default())
-        .map_err(|e| Wrong::one(format!("cannot start the event loop: {e}")))?;
+        .map_err(|e| Errors::single(format!("cannot start the event loop: {e}")))?;
     // Spawned as a task: waking the future of `block_on` itself costs a write to an eventfd each time.
     runtime
         .block_on(async { spawn_local(serve(argument, inherited)).await })
-        .unwrap_or_else(|e| Err(Wrong::one(format!("the gateway's task failed: {e}"))))
+        .unwrap_or_else(|e| Err(Errors::single(format!("the gateway's task failed: {e}"))))
 }
 
 /// Installs a signal handler.
-fn listen_for(kind: SignalKind) -> Result<Signal, Wrong> {
-    signal(kind).map_err(|e| Wrong::one(format!("cannot listen for signals: {e}")))
+fn listen_for(kind: SignalKind) -> Result<Signal, Errors> {
+    signal(kind).map_err(|e| Errors::single(format!("cannot listen for signals: {e}")))
 }
 
-async fn serve(argument: Option<PathBuf>, inherited: Option<std::net::TcpListener>) -> Result<(), Wrong> {
+async fn serve(argument: Option<PathBuf>, inherited: Option<std::net::TcpListener>) -> Result<(), Errors> {
     // The handlers are installed before anything that takes time: a SIGHUP must never end the program.
     let mut hangup = listen_for(SignalKind::hangup())?;
     let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
     let path = config_path(argument)?;
     let config = config::load(&path, environment)?;
-    log::start(&config.log).map_err(Wrong::one)?;
+    log::start(&config.log).map_err(Errors::single)?;
     let mut current = config.clone();
-    let host = Host::start(config, inherited).await.map_err(Wrong::one)?;
+    let host = Host::start(config, inherited).await.map_err(Errors::single)?;
     let reload_handle = host.reload_handle();
     spawn_local(async move {
         while hangup.recv().await.is_some() {
@@ -111,7 +111,7 @@
     let stop = async {
         tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
     };
-    host.serve(stop).await.map_err(Wrong::one)
+    host.serve(stop).await.map_err(Errors::single)
 }
 
 /// Reads the configuration file again, without the environment, which dates from the start and may be
@@ -131,7 +131,7 @@
         from_a_restart_on = listed(&kept),
         "configuration read again: changed keys"
     );
-    if let Some(Err(what)) = log::get().map(|log| log.set(config.log.clone())) {
+    if let Some(Err(what)) = log::get().map(|log| log.set_options(config.log.clone())) {
         tracing::error!("{what}");
     }
     Some(config)
--- a/crates/gateway/src/openmetrics.rs
+++ b/crates/gateway/src/openmetrics.rs
@@ -2,7 +2,7 @@
 
 use crate::figures::{Gauges, Times, ENDS};
 use crate::pool::figures::PoolFigures;
-use gateway_protocol::status::{End, ListAge};
+use gateway_protocol::status::{ListAge, RequestOutcome};
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{text, DescriptorEncoder, EncodeLabelSet, EncodeMetric};
 use prometheus_client::metrics::counter::ConstCounter;
@@ -21,11 +21,11 @@
 #[derive(Debug)]
 pub struct MetricsSnapshot {
     /// The counts by class for each outcome.
-    pub ends: Vec<(End, Vec<(String, u64)>)>,
-    pub times: Vec<(String, End, Times)>,
+    pub ends: Vec<(RequestOutcome, Vec<(String, u64)>)>,
+    pub times: Vec<(String, RequestOutcome, Times)>,
     pub outstanding: u64,
     pub gauges: Gauges,
-    pub lines: Option<program_support::log::Lines>,
+    pub lines: Option<program_support::log::LineCounts>,
 }
 
 impl MetricsSnapshot {
@@ -86,9 +86,10 @@
 impl MetricsSnapshot {
     /// Encodes counts and durations of requests, by class and outcome.
     fn encode_requests(&self, m: &mut Metrics) -> fmt::Result {
-        let word = |end: &End| ENDS.iter().find(|(e, _)| e == end).map_or("", |(_, word)| *word);
-        let labels =
-            |class: &str, end: &End| [("class", class.to_string()), ("outcome", word(end).to_string())];
+        let word = |end: &RequestOutcome| ENDS.iter().find(|(e, _)| e == end).map_or("", |(_, word)| *word);
+        let labels = |class: &str, end: &RequestOutcome| {
+            [("class", class.to_string()), ("outcome", word(end).to_string())]
+        };
         let ends: Vec<_> = self
             .ends
             .iter()
--- a/crates/gateway/src/openmetrics/tests.rs
+++ b/crates/gateway/src/openmetrics/tests.rs
@@ -12,7 +12,7 @@
     for (class, ms) in [(0, 3), (0, 30), (0, 30_000), (1, 700)] {
         let mut taken = figures.start_request(class);
         tokio::time::advance(Duration::from_millis(ms)).await;
-        taken.set_outcome(End::Succeeded);
+        taken.set_outcome(RequestOutcome::Succeeded);
     }
     let counts = |end| figures.counts(end).into_iter().map(|(c, n)| (c.to_string(), n)).collect();
     let moment = MetricsSnapshot {
@@ -20,7 +20,7 @@
         times: figures.times(),
         outstanding: 0,
         gauges: Gauges { forwards: 7, ..Gauges::default() },
-        lines: Some(program_support::log::Lines { lost: 2, ..Default::default() }),
+        lines: Some(program_support::log::LineCounts { lost: 2, ..Default::default() }),
     };
     let text = moment.text().unwrap();
     assert!(text.ends_with("# EOF\n"), "{text}");
--- a/crates/gateway/src/ops.rs
+++ b/crates/gateway/src/ops.rs
@@ -45,7 +45,7 @@
 
 /// Sets the log level, globally or for the module that the query names.
 fn set_level(log: &log::Log, query: &str) -> Response<Full<Bytes>> {
-    match log.change(field(query, "level").as_deref(), field(query, "module").as_deref()) {
+    match log.set_level(field(query, "level").as_deref(), field(query, "module").as_deref()) {
         Ok(()) => plain(StatusCode::OK, "changed\n"),
         Err(what) => response(StatusCode::BAD_REQUEST, format!("{what}\n")),
     }
--- a/crates/gateway/src/server/api.rs
+++ b/crates/gateway/src/server/api.rs
@@ -9,7 +9,7 @@
 use crate::server::parse::parse;
 use crate::server::reply::{plain, status, Reply, ReplyBody, ReplyContent};
 use crate::server::{Server, LOG_TARGET};
-use gateway_protocol::status::End;
+use gateway_protocol::status::RequestOutcome;
 use hyper::body::{Body, Incoming as IncomingBody};
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE, EXPECT};
 use hyper::{Method, Request, Response, StatusCode};
@@ -138,7 +138,7 @@
     match answer {
         Answer::Served(served) => served_reply(served, outstanding),
         Answer::Refused { tried, retry_after } => {
-            outstanding.set_outcome(End::Declined);
+            outstanding.set_outcome(RequestOutcome::Declined);
             let status = if tried { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
             let mut reply = plain(status, "");
             // None means that no delay is known, not that the client may retry immediately.
@@ -156,7 +156,7 @@
 fn served_reply(served: Served, outstanding: &mut OutstandingRequest) -> Reply {
     let content = match served.body {
         ServedBody::Buffered(body) => {
-            outstanding.set_outcome(End::Succeeded);
+            outstanding.set_outcome(RequestOutcome::Succeeded);
             ReplyContent::Buffered(body)
         }
         ServedBody::Stream(download) => ReplyContent::Stream(download),
--- a/crates/gateway/src/server/reply.rs
+++ b/crates/gateway/src/server/reply.rs
@@ -5,7 +5,7 @@
 use crate::client::Client;
 use crate::figures::OutstandingRequest;
 use bytes::Bytes;
-use gateway_protocol::status::End;
+use gateway_protocol::status::RequestOutcome;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::{Response, StatusCode};
 use std::io;
@@ -52,7 +52,7 @@
             ReplyContent::Stream(download) => {
                 let next = Pin::new(&mut **download).poll_frame(cx);
                 if let Some(outstanding) = me.outstanding.as_mut().filter(|_| download.done()) {
-                    outstanding.set_outcome(End::Succeeded);
+                    outstanding.set_outcome(RequestOutcome::Succeeded);
                 }
                 next
             }
--- a/crates/program-support/src/config.rs
+++ b/crates/program-support/src/config.rs
@@ -15,10 +15,10 @@
 mod wrong;
 
 pub use check::{check, check_at, UnknownKeys};
-pub use file::{read, Form};
+pub use file::{read, FileFormat};
 pub use merge::{differences, overlay};
 pub use schema::schema;
-pub use wrong::Wrong;
+pub use wrong::Errors;
 
 use schemars::JsonSchema;
 use serde_json::Value;
@@ -38,12 +38,12 @@
 /// # Errors
 ///
 /// The file cannot be read, or holds faults; each is named with the file.
-pub fn load<T>(path: &Path, defaults: &str) -> Result<Loaded<T>, Wrong>
+pub fn load<T>(path: &Path, defaults: &str) -> Result<Loaded<T>, Errors>
 where
     T: JsonSchema + serde::de::DeserializeOwned,
 {
     let text = read(path)?;
-    from_text(&text, Form::of(path), defaults).map_err(|wrong| wrong.of(path))
+    from_text(&text, FileFormat::of(path), defaults).map_err(|wrong| wrong.in_file(path))
 }
 
 /// As [`load`], of a text.
@@ -51,11 +51,11 @@
 /// # Errors
 ///
 /// The faults of the text.
-pub fn from_text<T>(text: &[u8], form: Form, defaults: &str) -> Result<Loaded<T>, Wrong>
+pub fn from_text<T>(text: &[u8], form: FileFormat, defaults: &str) -> Result<Loaded<T>, Errors>
 where
     T: JsonSchema + serde::de::DeserializeOwned,
 {
-    let mut value = Form::Toml.parse(defaults.as_bytes())?;
+    let mut value = FileFormat::Toml.parse(defaults.as_bytes())?;
     overlay(&mut value, form.parse(text)?);
     from_value(value)
 }
@@ -65,12 +65,12 @@
 /// # Errors
 ///
 /// The faults of the value.
-pub fn from_value<T>(value: Value) -> Result<Loaded<T>, Wrong>
+pub fn from_value<T>(value: Value) -> Result<Loaded<T>, Errors>
 where
     T: JsonSchema + serde::de::DeserializeOwned,
 {
     check(&schema::<T>(), &value, UnknownKeys::Rejected)?;
-    let settings = T::deserialize(&value).map_err(Wrong::one)?;
+    let settings = T::deserialize(&value).map_err(Errors::single)?;
     Ok(Loaded { settings, value })
 }
 
@@ -79,10 +79,10 @@
 /// # Errors
 ///
 /// Both name one, and not the same.
-pub fn one_of(argument: Option<PathBuf>, variable: &str) -> Result<Option<PathBuf>, Wrong> {
+pub fn configuration_path(argument: Option<PathBuf>, variable: &str) -> Result<Option<PathBuf>, Errors> {
     let from_environment = std::env::var_os(variable).filter(|v| !v.is_empty()).map(PathBuf::from);
     match (argument, from_environment) {
-        (Some(a), Some(b)) if a != b => Err(Wrong::one(format!(
+        (Some(a), Some(b)) if a != b => Err(Errors::single(format!(
             "two configurations are given: --config {} and {variable}={}; one is wanted",
             a.display(),
             b.display()
--- a/crates/program-support/src/config/check.rs
+++ b/crates/program-support/src/config/check.rs
@@ -3,7 +3,7 @@
 use super::expectation::{describe, fault};
 use super::key_path::join;
 use super::schema::{alternatives, is_null};
-use super::wrong::Wrong;
+use super::wrong::Errors;
 use schemars::Schema;
 use serde_json::{Map, Value};
 
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// All faults of the value.
-pub fn check(schema: &Schema, value: &Value, unknown: UnknownKeys) -> Result<(), Wrong> {
+pub fn check(schema: &Schema, value: &Value, unknown: UnknownKeys) -> Result<(), Errors> {
     check_at(schema, value, "", unknown)
 }
 
@@ -30,13 +30,13 @@
 /// # Errors
 ///
 /// All faults of the value, with their paths from the root.
-pub fn check_at(schema: &Schema, value: &Value, path: &str, unknown: UnknownKeys) -> Result<(), Wrong> {
+pub fn check_at(schema: &Schema, value: &Value, path: &str, unknown: UnknownKeys) -> Result<(), Errors> {
     let mut check = Check { unknown, faults: Vec::new() };
     check.value(schema.as_value(), value, path);
     if check.faults.is_empty() {
         Ok(())
     } else {
-        Err(Wrong(check.faults))
+        Err(Errors(check.faults))
     }
 }
 
--- a/crates/program-support/src/config/tests.rs
+++ b/crates/program-support/src/config/tests.rs
@@ -183,15 +183,15 @@
 fn a_file_goes_over_the_defaults_and_errors_name_it() {
     let defaults = "listen = \"a:1\"\nzones = [\"x\"]\n[pool]\nidle_ms = 5\nwarm = true\n";
     let text = "zones = []\n[pool]\nidle_ms = 6\n[[plans]]\nname = \"n\"\nrate = 1\n";
-    let loaded = from_text::<File>(text.as_bytes(), Form::Toml, defaults).unwrap();
+    let loaded = from_text::<File>(text.as_bytes(), FileFormat::Toml, defaults).unwrap();
     assert_eq!(loaded.settings.pool, Some(Pool { per_server: None, idle_ms: 6, warm: true }));
     assert_eq!((loaded.settings.listen.as_str(), loaded.settings.zones.len()), ("a:1", 0));
-    let broken = from_text::<File>(b"zones = []\n[pool\n", Form::Toml, defaults).err().unwrap();
+    let broken = from_text::<File>(b"zones = []\n[pool\n", FileFormat::Toml, defaults).err().unwrap();
     assert!(broken.0[0].starts_with("line 2: "), "{broken}");
     let wrong = load::<File>(Path::new("/nowhere/a.toml"), "").err().unwrap();
     assert!(wrong.0[0].starts_with("/nowhere/a.toml: No such file"), "{wrong}");
     for odd in ["listen = nan", "listen = 1979-05-27", "listen = inf", "listen = \"a\"\nlisten = \"b\""] {
-        assert!(from_text::<File>(odd.as_bytes(), Form::Toml, "").is_err(), "{odd}");
+        assert!(from_text::<File>(odd.as_bytes(), FileFormat::Toml, "").is_err(), "{odd}");
     }
     let many = load::<File>(Path::new("/"), "").err().unwrap();
     assert_eq!(many.0, ["/: not a file"]);
--- a/crates/program-support/src/log.rs
+++ b/crates/program-support/src/log.rs
@@ -107,7 +107,7 @@
 
 /// Counts of lines since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Lines {
+pub struct LineCounts {
     /// Handed to whoever reads the log.
     pub written: u64,
     /// Lost: nobody read, or the write failed.
@@ -124,7 +124,7 @@
     #[serde(flatten)]
     pub options: Options,
     /// The lines so far.
-    pub lines: Lines,
+    pub lines: LineCounts,
 }
 
 /// The log of this process.
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// The filter is gone; the options in force stay.
-    pub fn set(&self, to: Options) -> Result<(), LogError> {
+    pub fn set_options(&self, to: Options) -> Result<(), LogError> {
         let (to, renamed) = to.with_current_modules();
         self.replace(to)?;
         renamed.iter().for_each(RenamedModule::warn);
@@ -206,7 +206,7 @@
     /// # Errors
     ///
     /// The level or the module is none, or too many modules have a level of their own.
-    pub fn change(&self, level: Option<&str>, module: Option<&str>) -> Result<(), LogError> {
+    pub fn set_level(&self, level: Option<&str>, module: Option<&str>) -> Result<(), LogError> {
         let level: Level = level.unwrap_or_default().parse()?;
         let mut options = self.options();
         let renamed = module.and_then(former_modules::current_paths);
@@ -227,9 +227,9 @@
     }
 
     /// The lines so far.
-    pub fn lines(&self) -> Lines {
+    pub fn lines(&self) -> LineCounts {
         let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Lines {
+        LineCounts {
             written: get(&self.counts.written),
             lost: get(&self.counts.failed) + self.dropped.dropped_lines() as u64,
             suppressed: get(&self.counts.suppressed),
--- a/crates/program-support/src/log/tests.rs
+++ b/crates/program-support/src/log/tests.rs
@@ -121,7 +121,7 @@
     assert!(lines.iter().any(|line| line.contains("a line of the pool")), "{lines:?}");
     assert!(!lines.iter().any(|line| line.contains("a line of the driver")), "{lines:?}");
 
-    log.change(Some("debug"), Some("granitethread::driver")).unwrap();
+    log.set_level(Some("debug"), Some("granitethread::driver")).unwrap();
     tracing::debug!(target: "sprucehatch_gateway::driver", "a line of the driver");
     let lines = written.take(log);
     assert_one_warning(&lines, "granitethread::driver", "sprucehatch_gateway::driver");
@@ -129,19 +129,19 @@
     let modules: Vec<String> = log.options().modules.into_keys().collect();
     assert_eq!(modules, ["sprucehatch_gateway::driver", "sprucehatch_gateway::pool"]);
 
-    log.set(debug("shell::log")).unwrap();
+    log.set_options(debug("shell::log")).unwrap();
     tracing::debug!(target: "program_support::log", "a line of the log");
     let lines = written.take(log);
     assert_one_warning(&lines, "shell::log", "program_support::log");
     assert!(lines.iter().any(|line| line.contains("a line of the log")), "{lines:?}");
 
-    log.change(Some("trace"), Some("sprucehatch_gateway::pool")).unwrap();
+    log.set_level(Some("trace"), Some("sprucehatch_gateway::pool")).unwrap();
     let lines = written.take(log);
     assert!(
         !lines.iter().any(|line| line.contains("former name")),
         "no warning of a present path: {lines:?}"
     );
-    let wrong = log.change(Some("debug"), Some("no path")).unwrap_err().to_string();
+    let wrong = log.set_level(Some("debug"), Some("no path")).unwrap_err().to_string();
     assert_eq!(wrong, "module is \"no path\": a path as the lines show it is wanted, 32 of them at most");
     let again = begin(&Options::default(), written).err().expect("a process has one log").to_string();
     assert!(again.starts_with("cannot begin the log: "), "{again}");
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -44,7 +44,7 @@
             Ok(status) => json(status),
             Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
         },
-        Method::POST => match log.change(field("level").as_deref(), field("module").as_deref()) {
+        Method::POST => match log.set_level(field("level").as_deref(), field("module").as_deref()) {
             Ok(()) => text(StatusCode::OK, "changed"),
             Err(e) => text(StatusCode::BAD_REQUEST, e.to_string()),
         },
--- a/crates/registry/src/http/registrars.rs
+++ b/crates/registry/src/http/registrars.rs
@@ -4,7 +4,7 @@
 use crate::service::{ChangeError, Registry};
 use crate::store::Refusal;
 use gateway_protocol::list::{List, ListError, State, Target};
-use gateway_protocol::registration::{Announcement, ENTRIES};
+use gateway_protocol::registration::{Announcement, REGISTRATIONS_PATH};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Method, Request, StatusCode};
@@ -62,7 +62,7 @@
 
 pub async fn answer(registry: &Registry, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
-    let Some(rest) = head.uri.path().strip_prefix(ENTRIES) else {
+    let Some(rest) = head.uri.path().strip_prefix(REGISTRATIONS_PATH) else {
         return text(StatusCode::NOT_FOUND, "no such call");
     };
     let mut parts = rest.split('/').skip(1);
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -12,9 +12,9 @@
 use disk::Disk;
 use http::Side;
 use options::{Arguments, Command, Options, Settings, Source};
-use program_support::config::{self, Wrong};
+use program_support::config::{self, Errors};
 use program_support::log;
-use program_support::program::{end, print};
+use program_support::program::{finish, print};
 use service::Registry;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -36,23 +36,23 @@
         Command::CheckConfig => options::read(config, settings).and_then(|_| print("ok\n")),
         Command::PrintSchema => print(format!("{:#}\n", config::schema::<Settings>().to_value())),
     };
-    end("sprucehatch-registry", done.map(|()| ExitCode::SUCCESS))
+    finish("sprucehatch-registry", done.map(|()| ExitCode::SUCCESS))
 }
 
-fn start(options: Options) -> Result<(), Wrong> {
+fn start(options: Options) -> Result<(), Errors> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(Default::default())
-        .map_err(|e| Wrong::one(format!("cannot start the event loop: {e}")))?;
-    log::start(&options.log).map_err(Wrong::one)?;
+        .map_err(|e| Errors::single(format!("cannot start the event loop: {e}")))?;
+    log::start(&options.log).map_err(Errors::single)?;
     runtime.block_on(run(options))
 }
 
-fn listen_for(kind: SignalKind) -> Result<Signal, Wrong> {
-    signal(kind).map_err(|e| Wrong::one(format!("cannot listen for signals: {e}")))
+fn listen_for(kind: SignalKind) -> Result<Signal, Errors> {
+    signal(kind).map_err(|e| Errors::single(format!("cannot listen for signals: {e}")))
 }
 
-async fn run(options: Options) -> Result<(), Wrong> {
+async fn run(options: Options) -> Result<(), Errors> {
     let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
     let mut rng = fastrand::Rng::new();
     let id = format!("{:016x}", rng.u64(..));
@@ -62,7 +62,7 @@
         Source::Own { dir, registrars, grace } => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let first = disk::first_version(now.as_millis() as u64);
-            let (disk, list) = Disk::open(&dir, first).map_err(Wrong::one)?;
+            let (disk, list) = Disk::open(&dir, first).map_err(Errors::single)?;
             tracing::info!("version {}, {} entries", list.rev, list.entries.len());
             sides.push((registrars, Side::Registrars));
             (Registry::new(disk, list, grace, id), None)
@@ -99,10 +99,10 @@
     sides: Vec<(SocketAddr, Side)>,
     registry: &Rc<Registry>,
     closing: &watch::Receiver<bool>,
-) -> Result<Vec<JoinHandle<()>>, Wrong> {
+) -> Result<Vec<JoinHandle<()>>, Errors> {
     let mut serving = Vec::new();
     for (address, side) in sides {
-        let failed = |e: std::io::Error| Wrong::one(format!("{address}: {e}"));
+        let failed = |e: std::io::Error| Errors::single(format!("{address}: {e}"));
         let listener = TcpListener::bind(address).await.map_err(failed)?;
         let at = listener.local_addr().map_err(failed)?;
         tracing::info!("{side:?} call at {at}");
--- a/crates/registry/src/options.rs
+++ b/crates/registry/src/options.rs
@@ -1,7 +1,7 @@
 //! The command line and the configuration, read into checked options.
 
 use clap::{Parser, Subcommand};
-use program_support::config::{self, Wrong};
+use program_support::config::{self, Errors};
 use program_support::log;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -108,7 +108,7 @@
 }
 
 /// Reads the file, puts the settings of the command line over it, and checks both.
-pub fn read(file: Option<PathBuf>, settings: Settings) -> Result<Options, Wrong> {
+pub fn read(file: Option<PathBuf>, settings: Settings) -> Result<Options, Errors> {
     let file = match file {
         Some(path) => config::load::<Settings>(&path, "")?.settings,
         None => Settings::default(),
@@ -151,6 +151,6 @@
             calls_per_s: settings.calls_per_s,
             log: settings.log.unwrap_or_default(),
         }),
-        _ => Err(Wrong(wrong)),
+        _ => Err(Errors(wrong)),
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,9 +6,9 @@
 mod session;
 
 use clap::{Parser, Subcommand};
-use program_support::config::Wrong;
+use program_support::config::Errors;
 use program_support::log;
-use program_support::program::{end, print};
+use program_support::program::{finish, print};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use session::Session;
@@ -51,10 +51,10 @@
     };
     let done = file.and_then(|file| match command.unwrap_or(Command::Run) {
         Command::Run => {
-            log::start(&file.log).map_err(Wrong::one)?;
-            Session::default().run(io::stdin().lock(), io::stdout().lock()).map_err(Wrong::one)
+            log::start(&file.log).map_err(Errors::single)?;
+            Session::default().run(io::stdin().lock(), io::stdout().lock()).map_err(Errors::single)
         }
         Command::CheckConfig => print("ok\n"),
     });
-    end("sprucehatch-simulator-adapter", done.map(|()| ExitCode::SUCCESS))
+    finish("sprucehatch-simulator-adapter", done.map(|()| ExitCode::SUCCESS))
 }
