--- a/crates/gateway-protocol/src/admission.rs
+++ b/crates/gateway-protocol/src/admission.rs
@@ -1,32 +1,39 @@
-//! How a list service protects itself: a queue that is as long as it can serve in time, calls for the full list before
-//! watches, and turns for the calls that it rejects. Reads no clock: times are since any instant that stays the same.
+//! Admission control of a list service. Calls are limited to a fixed rate; a call that would wait too long in
+//! the queue is rejected with a Retry-After delay. The queue limit is shorter for watches, so that calls for
+//! the full list go first. Each rejected call gets a retry time of its own, so that retries arrive at the
+//! service's rate.
+//!
+//! Reads no clock: all times are durations since one fixed instant that the caller chooses.
 
 use std::time::Duration;
 
-/// What a call to a list service asks for.
+/// The kind of a call to a list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// The full list, for a reader that has none.
+    /// A request for the full list, from a reader without a list.
     FullList,
-    /// What is new, for a reader that has a list.
+    /// A long poll for changes, from a reader with a list.
     Watch,
 }
 
-/// The rate of calls that a service bears, and how far its queue has come.
+/// A rate limiter with a bounded queue.
 pub struct Admission {
-    /// What each call takes of the service's time; zero if there is no limit.
+    /// The interval between two admitted calls, that is 1 / rate; zero without a rate limit.
     service_time: Duration,
+    /// The longest queueing delay of a call for the full list.
     max_wait_full_list: Duration,
+    /// The longest queueing delay of a watch.
     max_wait_watch: Duration,
-    /// When the last admitted call is done.
+    /// The time at which the last admitted call is done and the queue is empty.
     free_at: Duration,
-    /// The last turn that was given to a rejected call.
-    last_turn: Duration,
+    /// The latest retry time that was assigned to a rejected call.
+    last_retry_at: Duration,
 }
 
 impl Admission {
-    /// Admits so many calls a second; a call for the full list that would wait longer than `max_wait_full_list` is
-    /// rejected, and a watch that would wait longer than `max_wait_watch`. A rate that is not above 0 admits all at once.
+    /// Admits `calls_per_s` calls a second. Rejects a call for the full list that would wait longer than
+    /// `max_wait_full_list`, and a watch that would wait longer than `max_wait_watch`. With a rate of 0 or
+    /// less there is no limit: each call is admitted at once.
     pub fn new(calls_per_s: f64, max_wait_full_list: Duration, max_wait_watch: Duration) -> Self {
         let service_time =
             if calls_per_s > 0.0 { Duration::from_secs_f64(1.0 / calls_per_s) } else { Duration::ZERO };
@@ -35,16 +42,16 @@
             max_wait_full_list,
             max_wait_watch,
             free_at: Duration::ZERO,
-            last_turn: Duration::ZERO,
+            last_retry_at: Duration::ZERO,
         }
     }
 
-    /// When the call is done. Rejected calls get turns one after the other, behind the queue, so that they come back as
-    /// an even stream.
+    /// Returns the time at which the call is done. Rejected calls get successive retry times after the end of
+    /// the queue, so that the retries arrive evenly spaced.
     ///
     /// # Errors
     ///
-    /// The call is rejected: the time after which its caller is to come again.
+    /// The call is rejected: the delay after which the caller should retry.
     pub fn admit(&mut self, now: Duration, call: CallKind) -> Result<Duration, Duration> {
         if self.service_time.is_zero() {
             return Ok(now);
@@ -58,8 +65,8 @@
             self.free_at = begin + self.service_time;
             return Ok(self.free_at);
         }
-        self.last_turn = self.last_turn.max(begin) + self.service_time;
-        Err(self.last_turn - now)
+        self.last_retry_at = self.last_retry_at.max(begin) + self.service_time;
+        Err(self.last_retry_at - now)
     }
 }
 
--- a/crates/gateway-protocol/src/call.rs
+++ b/crates/gateway-protocol/src/call.rs
@@ -1,4 +1,5 @@
-//! One call to an operators' address: HTTP/1.1, one call a connection, within one time limit over all of it.
+//! A client for single HTTP/1.1 calls to an operators' address. Each call opens its own connection; one
+//! timeout covers the whole exchange.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -13,25 +14,25 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The longest answer that is read, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+/// The largest accepted response body.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 quick_error! {
-    /// A call that got no answer.
+    /// Why a call received no response.
     #[derive(Debug)]
     pub enum CallError {
-        /// The answer did not come in time.
+        /// The response did not arrive within `limit`.
         Timeout(limit: Duration) {
             display("no answer within {} ms", limit.as_millis())
         }
-        /// There was no connection, or what came is no answer.
+        /// The connection failed, or the response is not valid HTTP.
         Exchange(error: Box<dyn Error + Send + Sync>) {
             display("{error}")
         }
     }
 }
 
-/// What is called.
+/// An HTTP request to send.
 #[derive(Clone)]
 pub struct Call {
     /// The method of the request.
@@ -54,7 +55,7 @@
     }
 }
 
-/// The complete answer to a call.
+/// The complete response to a call.
 pub struct Answer {
     /// The status of the response.
     pub status: u16,
@@ -63,22 +64,24 @@
 }
 
 impl Answer {
-    /// Whether the status is one of success.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Its text, on one line.
+    /// The body as text on one line, with control characters escaped.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).trim().escape_debug().to_string()
     }
 }
 
-/// Makes a call. Whoever accepts and says nothing has until `limit`. To be used on a local runtime.
+/// Sends `call` to `address` and waits at most `limit` for the complete response, also if the server accepts
+/// the connection and then sends nothing. Must run on a local runtime.
 ///
 /// # Errors
 ///
-/// There was no connection, what came is no answer, or the time is up. Any status is an answer.
+/// The connection fails, the response is not valid HTTP, or `limit` expires. Any HTTP status counts as a
+/// response.
 pub async fn make(address: SocketAddr, call: Call, limit: Duration) -> Result<Answer, CallError> {
     match timeout(limit, exchange(address, call)).await {
         Ok(answer) => answer.map_err(CallError::Exchange),
@@ -93,7 +96,7 @@
     let request = Request::builder().method(call.method).uri(call.path).header("host", address.to_string());
     let answer = sender.send_request(request.body(Full::new(call.body))?).await?;
     let status = answer.status().as_u16();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await?;
+    let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await?;
     connection.abort();
     Ok(Answer { status, body: body.to_bytes() })
 }
--- a/crates/gateway-protocol/src/lib.rs
+++ b/crates/gateway-protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the programs around the gateway say to each other: the list of roll servers, how it is read and merged; a
-//! caller's side of its protocol, and when it calls; how a list service admits calls; one call to an operators' address;
-//! registrations; a gateway's status.
+//! Protocols shared by the gateway, the registry and their tools: the list of roll servers with its parsing
+//! and merging, the client of the list protocol and its call schedule, the admission control of a list
+//! service, HTTP calls to an operators' address, registrations, and the status of a gateway.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/gateway-protocol/src/list.rs
+++ b/crates/gateway-protocol/src/list.rs
@@ -1,6 +1,7 @@
-//! The list of roll servers as discovery words it: its types, how it is read, and how changes merge into it.
+//! The list of roll servers in the discovery protocol: its types, parsing, validation, and the merging of
+//! changes.
 //!
-//! Shared by the gateway, which reads it, and the registry, which serves it.
+//! Shared by the gateway, which reads the list, and the registry, which serves it.
 
 use quick_error::quick_error;
 use schemars::JsonSchema;
@@ -8,10 +9,10 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest list that is read, in bytes.
-pub const MAX_LENGTH: usize = 4 << 20;
+/// The largest accepted encoded list.
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 
-// Documentation comments on these types and their fields would go into the schemas that programs print.
+// Doc comments on these types and their fields become part of the JSON schemas that programs print.
 
 /// The whole list, or what changed in it.
 #[allow(missing_docs)]
@@ -32,7 +33,7 @@
     #[serde(default)]
     pub az: String,
     /// Told to staff alone: whatever stands here makes no list a bad one.
-    #[serde(default, deserialize_with = "any_text")]
+    #[serde(default, deserialize_with = "text_or_empty")]
     #[schemars(with = "Value")]
     pub model: String,
     #[serde(default)]
@@ -55,7 +56,7 @@
     Gone,
 }
 
-fn any_text<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
+fn text_or_empty<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
     Ok(match Value::deserialize(from)? {
         Value::String(text) => text,
         _ => String::new(),
@@ -67,13 +68,13 @@
 }
 
 impl List {
-    /// Reads a list. One that cannot be what discovery means is rejected, with all its entries.
+    /// Parses and validates a list. An invalid entry rejects the whole list.
     ///
     /// # Errors
     ///
-    /// It is too long, is no list in JSON, or fails [`List::check`].
+    /// `text` is longer than [`MAX_LIST_BYTES`], is not a JSON list, or fails [`List::check`].
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
-        if text.len() > MAX_LENGTH {
+        if text.len() > MAX_LIST_BYTES {
             return Err(ListError::TooLong(text.len()));
         }
         let list: List = serde_json::from_slice(text)?;
@@ -81,11 +82,12 @@
         Ok(list)
     }
 
-    /// Checks that each entry stands for one server, and with figures that mean something.
+    /// Checks that no server is listed twice and that each `capacity_hint` is a finite number of zero or
+    /// more.
     ///
     /// # Errors
     ///
-    /// The first entry for which this is not so.
+    /// The first entry that violates this.
     pub fn check(&self) -> Result<(), ListError> {
         let mut names = BTreeSet::new();
         for t in &self.targets {
@@ -101,40 +103,40 @@
 }
 
 quick_error! {
-    /// Why a text is no list, or a list cannot be meant.
+    /// Why a list cannot be parsed or is invalid.
     #[derive(Debug)]
     pub enum ListError {
-        /// The text has so many bytes.
+        /// The text has `length` bytes, more than [`MAX_LIST_BYTES`].
         TooLong(length: usize) {
-            display("the list has {length} bytes: {MAX_LENGTH} at most")
+            display("the list has {length} bytes: {MAX_LIST_BYTES} at most")
         }
-        /// The text is no list in JSON.
+        /// The text is not a JSON list.
         Json(error: serde_json::Error) {
             from()
             display("{error}")
         }
-        /// Two entries stand for one server.
+        /// Two entries have the same `uid`.
         Duplicate(uid: String) {
             display("{uid:?} is listed twice")
         }
-        /// An entry's capacity is no number, or below 0.
+        /// The `capacity_hint` of an entry is not finite or is negative.
         CapacityHint(uid: String, hint: f64) {
             display("{uid:?} has a capacity_hint of {hint}")
         }
     }
 }
 
-/// The list as it stands, merged from full lists and changes.
+/// The current list, merged from full lists and changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Roster {
-    /// The version of the latest list or changes that were merged.
+    /// The version of the last merged list or changes.
     pub rev: u64,
-    /// The entries by their `uid`; none of them is [`State::Gone`].
+    /// The entries by `uid`; none of them is [`State::Gone`].
     pub targets: BTreeMap<String, Target>,
 }
 
 impl Roster {
-    /// Merges a full list or changes. Whether a version is newer than the one held is for the caller to say.
+    /// Merges a full list or changes. The caller checks that the version is newer than [`Roster::rev`].
     pub fn apply(&mut self, list: &List) {
         self.rev = list.rev;
         if list.all {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// The full list.
+    /// Returns the full list at the current version.
     pub fn full_list(&self) -> List {
         List { rev: self.rev, all: true, targets: self.targets.values().cloned().collect() }
     }
--- a/crates/gateway-protocol/src/list/tests.rs
+++ b/crates/gateway-protocol/src/list/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn unknown_fields_are_ignored_and_missing_ones_have_their_usual_value() {
+fn ignores_unknown_fields_and_fills_in_defaults() {
     let text =
         r#"{"rev":3,"all":true,"more":[],"targets":[{"uid":"s","state":"Ready","model":7,"colour":"red"}]}"#;
     let list = List::parse(text.as_bytes()).unwrap();
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_meant_is_rejected() {
-    let doubled = List { rev: 1, all: true, targets: vec![target(1, State::Ready); 2] };
+fn rejects_invalid_lists() {
+    let duplicated = List { rev: 1, all: true, targets: vec![target(1, State::Ready); 2] };
     for (text, why) in [
-        (serde_json::to_string(&doubled).unwrap(), "listed twice"),
+        (serde_json::to_string(&duplicated).unwrap(), "listed twice"),
         (r#"{"rev":1,"all":true,"targets":[{"uid":"s","state":"Sleeping"}]}"#.to_string(), "unknown variant"),
         (
             r#"{"rev":1,"all":true,"targets":[{"uid":"s","state":"Ready","capacity_hint":-1}]}"#.to_string(),
             "capacity_hint of -1",
         ),
-        (" ".repeat(MAX_LENGTH + 1), "at most"),
+        (" ".repeat(MAX_LIST_BYTES + 1), "at most"),
         (r#"{"rev":-1,"all":true,"targets":[]}"#.to_string(), "invalid value"),
     ] {
         let error = List::parse(text.as_bytes()).unwrap_err().to_string();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_written_list_is_read_again_and_rejected_if_truncated_anywhere() {
+fn parses_what_was_encoded_and_rejects_any_truncation() {
     run((changes(), any::<prop::sample::Index>()), |(list, cut)| {
         let text = serde_json::to_vec(&list).unwrap();
         assert_eq!(List::parse(&text).unwrap(), list);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn no_bytes_end_the_reading_but_with_a_list_or_a_reason() {
+fn corrupted_bytes_give_an_error_or_a_valid_list() {
     run(
         (changes(), prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)),
         |(list, flips)| {
@@ -88,9 +88,9 @@
     );
 }
 
-/// A reader of changes ends with the list of one who reads the full list.
+/// A reader that merges changes must end with the same list as a reader of the full list.
 #[test]
-fn changes_merge_to_the_full_list() {
+fn merged_changes_equal_the_full_list() {
     run(prop::collection::vec(changes(), 1..20), |lists| {
         let (mut merged, mut model) = (Roster::default(), BTreeMap::new());
         for list in lists {
--- a/crates/gateway-protocol/src/registration.rs
+++ b/crates/gateway-protocol/src/registration.rs
@@ -1,31 +1,32 @@
-//! Registrations: what roll servers and operators send to a registry, and its answers.
+//! Registrations: the requests that roll servers and operators send to a registry, and the registry's
+//! responses.
 
 use crate::list::Target;
 use serde::{Deserialize, Serialize};
 
-/// The path of registrations at a registry's address for registrars.
+/// The URL path of registrations at the registry's address for registrars.
 pub const REGISTRATIONS_PATH: &str = "/v1/registrations";
 
-/// A server announces itself.
+/// The body with which a server registers itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Where it listens: address and port.
+    /// Address and port on which the server listens.
     pub endpoint: String,
-    /// Its zone.
+    /// The zone of the server.
     #[serde(default)]
     pub az: String,
-    /// Its kind of machine.
+    /// The machine model.
     #[serde(default)]
     pub model: String,
-    /// Its cell.
+    /// The cell of the server.
     #[serde(default)]
     pub pod_group: u32,
-    /// Its size beside others.
+    /// The capacity of the server relative to other servers.
     #[serde(default = "one")]
     pub capacity_hint: f64,
-    /// Its start, as Unix time in milliseconds: it tells starts of one server apart.
+    /// The start time of the server, as Unix time in milliseconds. Identifies the incarnation of the server.
     pub boot_ms: u64,
-    /// How long it is listed without a renewal.
+    /// The length of the lease: how long the server stays listed without a renewal.
     pub lease_ms: u64,
 }
 
@@ -33,7 +34,7 @@
     1.0
 }
 
-/// All registrations, at one version.
+/// All registrations at one version of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Registrations {
     /// The version of the list.
@@ -50,6 +51,6 @@
     pub target: Target,
     /// The length of the lease.
     pub lease_ms: u64,
-    /// What is left of the lease.
+    /// The remaining time of the lease; 0 if the lease has expired.
     pub lease_left_ms: u64,
 }
--- a/crates/gateway-protocol/src/status.rs
+++ b/crates/gateway-protocol/src/status.rs
@@ -1,9 +1,9 @@
-//! A gateway's status, as it reports it at `/-/status` for people and their tools.
+//! The status that a gateway reports at `/-/status` to operators and their tools.
 
 use serde::{Deserialize, Serialize};
 
-/// The status of a gateway. Tools also read that of an older or newer one: fields that are missing have their defaults,
-/// unknown ones are ignored.
+/// The status of a gateway. Tools can read the status of an older or newer gateway: missing fields get their
+/// default values, unknown fields are ignored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
@@ -11,43 +11,43 @@
     pub name: String,
     /// The version of the program.
     pub version: String,
-    /// Since the start of the process.
+    /// Milliseconds since the start of the process.
     pub uptime_ms: u64,
     /// Whether requests can be served.
     pub ready: bool,
-    /// Whether operators have clients sent away.
+    /// Whether an operator has put the gateway into draining, which sends clients away.
     pub draining: bool,
-    /// Whether a new process has taken over.
+    /// Whether a new process has taken over from this one.
     pub successor: bool,
-    /// Requests taken but not ended.
+    /// Requests that were accepted and have not ended.
     pub outstanding: u64,
-    /// Roll servers in the list.
+    /// The number of roll servers in the list.
     pub discovered: usize,
-    /// Roll servers in the list that are avoided.
+    /// The number of roll servers in the list that the gateway has ejected.
     pub ejected: usize,
     /// The names of roll servers that operators have disabled.
     pub out_by_hand: Vec<String>,
     /// The list in use.
     pub list: ListAge,
-    /// How full the roll servers look to the gateway.
+    /// The gateway's estimate of how full the roll servers are.
     pub fullness: Fullness,
     /// Latencies by class and outcome.
     pub latency: Vec<Latency>,
-    /// Lines of the log that were lost.
+    /// The number of log lines that were lost.
     pub log_lost: u64,
 }
 
-/// How full the roll servers look to the gateway.
+/// The gateway's estimate of how full the roll servers are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fullness {
-    /// The part of the capacity of roll servers that is used: 1 while answers are in time.
+    /// The share of the roll servers' capacity that the gateway uses; 1 while responses arrive in time.
     pub open: f64,
-    /// Attempts that may be in flight at once; below 1 the gateway pauses between two.
+    /// The limit of attempts in flight; below 1 the gateway pauses between attempts.
     pub room: f64,
     /// Requests that wait for capacity.
     pub waiting: usize,
-    /// Retries that may be sent now.
+    /// The number of retries that may be sent now.
     pub repeats: f64,
 }
 
@@ -55,39 +55,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ListAge {
-    /// The version, as discovery numbers it.
+    /// The version of the list, as numbered by discovery.
     pub version: u64,
-    /// Since discovery last sent it or had nothing newer.
+    /// Milliseconds since discovery last sent the list or confirmed that there is none newer.
     pub age_ms: u64,
 }
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RequestOutcome {
-    /// With an answer that the client can use.
+    /// The client received a response that it can use.
     Succeeded,
-    /// With a rejection by the gateway.
+    /// The gateway rejected the request.
     Declined,
-    /// Without an answer, or with a failure.
+    /// The client received no response, or a failure.
     #[default]
     Aborted,
 }
 
-/// How long requests of a class took that ended so, from their last byte to the last of their answer.
+/// The latency of the requests of one class with one outcome, from the last byte of the request to the last
+/// byte of its response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Latency {
     /// The class of the requests.
     pub class: String,
-    /// How they ended.
+    /// The outcome of the requests.
     pub outcome: RequestOutcome,
-    /// How many they were.
+    /// The number of requests.
     pub count: u64,
-    /// The median.
+    /// The median latency.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// The 99th percentile of the latency.
     pub p99_ms: f64,
-    /// The maximum.
+    /// The maximum latency.
     pub most_ms: f64,
 }
--- a/crates/gateway-protocol/src/watch.rs
+++ b/crates/gateway-protocol/src/watch.rs
@@ -1,7 +1,8 @@
-//! One caller's side of the list protocol: calls for the list over one persistent connection.
+//! The client of the list protocol: requests the list, and watches it by long polls, over one persistent
+//! connection.
 
 use crate::call_schedule::{retry_after, CallFailure};
-use crate::list::{List, MAX_LENGTH};
+use crate::list::{List, MAX_LIST_BYTES};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -15,33 +16,35 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long an answer that may not wait may take.
+/// Timeout for the response to a call for the full list, which does not wait for an update.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after its wait the answer to a watch may take. What it misses counts as known 2 s after the wait, and by half
-/// a second later a pause, a new connection and an answer have to be over.
+/// Timeout for the response to a watch, counted from the end of its wait. An update that the watch misses
+/// counts as known 2 s after the wait; within another half second a pause, a new connection and a response
+/// must be complete.
 pub const WATCH_ANSWER_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The header that names the registries that a list came through, the first one first.
-pub const LIST_PATH: &str = "list-path";
+/// The response header with the ids of the registries that a list passed through, in order, separated by
+/// commas.
+pub const LIST_PATH_HEADER: &str = "list-path";
 
-/// The answer to a call.
+/// The response to a successful call.
 pub struct ListAnswer {
-    /// The full list, or what is new.
+    /// The full list, or the changes since the requested version.
     pub list: List,
-    /// The registries that it came through, as far as they say so.
+    /// The registries that the list passed through, from [`LIST_PATH_HEADER`]; empty without this header.
     pub path: String,
 }
 
-/// A call that brought no list.
+/// A call that did not return a list.
 #[derive(Debug)]
 pub struct WatchError {
-    /// What went wrong, in words.
+    /// The error message.
     pub what: String,
-    /// What the next call depends on.
+    /// The kind of failure, which determines the delay before the next call.
     pub failure: CallFailure,
 }
 
 impl WatchError {
-    /// An answer that is none, in these words.
+    /// A failure that is neither a rejection nor a timeout, with `what` as its message.
     pub fn other(what: impl fmt::Display) -> Self {
         WatchError { what: what.to_string(), failure: CallFailure::Other }
     }
@@ -59,19 +62,20 @@
     }
 }
 
-/// Makes one call at a time. After a call that failed the next one opens a new connection, unless it was rejected. To be
-/// used on a local runtime.
+/// Makes one call at a time and reuses the connection. After a failed call the next call opens a new
+/// connection, unless the service rejected the call. Must be used on a local runtime.
 #[derive(Default)]
 pub struct Client {
     idle: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl Client {
-    /// Calls for what is newer than `rev`, and waits so long for it; without a version, for the full list.
+    /// Requests the changes after version `rev` with a long poll of at most `wait`, or the full list if `rev`
+    /// is `None`.
     ///
     /// # Errors
     ///
-    /// The call was rejected, timed out, or brought no list.
+    /// The call was rejected or timed out, the connection failed, or the response is not a valid list.
     pub async fn call(
         &mut self,
         address: SocketAddr,
@@ -89,7 +93,7 @@
         }
     }
 
-    /// The next call opens a connection of its own.
+    /// Drops the connection; the next call opens a new one.
     pub fn disconnect(&mut self) {
         self.idle = None;
     }
@@ -106,15 +110,20 @@
             let hint = answer.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()).and_then(retry_after);
             let rejected = matches!(answer.status().as_u16(), 429 | 503);
             let what = format!("status {}", answer.status());
-            // A rejected caller comes back on the same connection.
-            let rest = Limited::new(answer.into_body(), MAX_LENGTH).collect().await;
+            // Reads the rest of the body so that the retry can use the same connection.
+            let rest = Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
             self.idle = rest.is_ok().then_some(connection);
             let failure = if rejected { CallFailure::Rejected(hint) } else { CallFailure::Other };
             return Err(WatchError { what, failure });
         }
-        let path =
-            answer.headers().get(LIST_PATH).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string();
-        let body = Limited::new(answer.into_body(), MAX_LENGTH).collect().await.map_err(WatchError::other)?;
+        let path = answer
+            .headers()
+            .get(LIST_PATH_HEADER)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default()
+            .to_string();
+        let body =
+            Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await.map_err(WatchError::other)?;
         let list = List::parse(&body.to_bytes()).map_err(WatchError::other)?;
         self.idle = Some(connection);
         Ok(ListAnswer { list, path })
@@ -125,7 +134,7 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (connection, io) = http1::handshake(TokioIo::new(stream)).await?;
-    // Ends when the sending half is dropped.
+    // This task ends when `connection` is dropped.
     tokio::task::spawn_local(io);
     Ok(connection)
 }
--- a/crates/registry/src/http/readers.rs
+++ b/crates/registry/src/http/readers.rs
@@ -3,7 +3,7 @@
 use super::answer::{json, text, wrong_method, Answer};
 use crate::service::Registry;
 use gateway_protocol::admission::CallKind;
-use gateway_protocol::watch::LIST_PATH;
+use gateway_protocol::watch::LIST_PATH_HEADER;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Method, Request, StatusCode};
@@ -51,7 +51,7 @@
     }
     let mut answer = json(registry.read(call.since, call.wait).await);
     let path = registry.path().and_then(|path| HeaderValue::try_from(path).ok());
-    path.map(|path| answer.headers_mut().insert(LIST_PATH, path));
+    path.map(|path| answer.headers_mut().insert(LIST_PATH_HEADER, path));
     answer
 }
 
