--- a/crates/registry/src/disk.rs
+++ b/crates/registry/src/disk.rs
@@ -1,9 +1,11 @@
-//! The list on disk: a snapshot, and a log of the changes since.
+//! The list on disk: a snapshot and a write-ahead log of the changes since the snapshot.
 //!
-//! Both are records of JSON (see [`record`]). A change counts once it is written and synced. The end of the log may be
-//! torn by a crash and is truncated; what is damaged before it ends the start, since the list would go on from something
-//! that nobody confirmed. The snapshot is written beside the old one and replaces it at once; records that it holds
-//! already are skipped, so that a crash between the two steps of a snapshot does no harm.
+//! Both consist of JSON records (see [`record`]). A change is durable once it is written and synced. A crash
+//! may leave a torn record at the end of the log, which is truncated at the next start. Damage before the end
+//! makes the start fail, since the list would otherwise continue from a state that was never confirmed to a
+//! caller. A new snapshot is written to a temporary file and renamed over the old one. Log records that the
+//! snapshot already contains are skipped, so a crash between the rename and the truncation of the log is
+//! harmless.
 
 mod error;
 mod record;
@@ -13,7 +15,7 @@
 use crate::store::Change;
 use error::ContentError;
 use gateway_protocol::list::Target;
-use record::{header, next, single_payload, Next, HEADER_LENGTH, MAX_PAYLOAD};
+use record::{header, next_record, single_payload, Next, HEADER_BYTES, MAX_PAYLOAD_BYTES};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -21,30 +23,33 @@
 
 const SNAPSHOT: &str = "snapshot";
 const LOG: &str = "log";
-/// From so many records on the log gives way to a snapshot.
-const MAX_RECORDS: usize = 4096;
+/// A snapshot replaces the log when the log has this many records.
+const SNAPSHOT_RECORDS: usize = 4096;
 
+/// The JSON payload of one log record: the change and the version that it creates.
 #[derive(Serialize, Deserialize)]
 struct Record {
     rev: u64,
     change: Change,
 }
 
-/// The list as it is on disk, each entry with the length of its lease in milliseconds.
+/// The list as stored on disk. Each entry has the length of its lease in milliseconds.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SavedList {
     pub rev: u64,
     pub entries: Vec<(Target, u64)>,
 }
 
-/// The list's folder, open for changes.
+/// The folder of the list, open for appending changes.
 pub struct Disk {
     dir: PathBuf,
     log: File,
-    /// The length of the log in bytes as far as it is confirmed.
-    confirmed: u64,
+    /// The length of the log up to the last synced record.
+    durable_bytes: u64,
+    /// The number of records in the log.
     records: usize,
-    /// What a failed write left behind could not be truncated: nothing more may follow it.
+    /// Whether a failed write may have left a partial record behind `durable_bytes`. It must be truncated
+    /// before the next append.
     torn: bool,
 }
 
@@ -62,18 +67,18 @@
     }
 }
 
-/// How much of a log is complete.
+/// The complete part of a log.
 struct Replayed {
     bytes: usize,
     records: usize,
 }
 
-/// Applies the records of the log to what the snapshot holds.
+/// Applies the complete records of `log` to `list`, which was read from the snapshot.
 fn replay(list: &mut SavedList, log: &[u8]) -> Result<Replayed, ContentError> {
     let mut complete = Replayed { bytes: 0, records: 0 };
     loop {
         let at = complete.bytes;
-        let payload = match next(&log[at..]) {
+        let payload = match next_record(&log[at..]) {
             Next::Record(payload) => payload,
             Next::End | Next::Torn => return Ok(complete),
             Next::Damaged => return Err(ContentError::LogDamaged(at)),
@@ -85,7 +90,7 @@
         if record.rev == list.rev + 1 {
             list.apply(record);
         }
-        complete.bytes += HEADER_LENGTH + payload.len();
+        complete.bytes += HEADER_BYTES + payload.len();
         complete.records += 1;
     }
 }
@@ -104,7 +109,8 @@
 }
 
 impl Disk {
-    /// Opens the list in a folder; `first` is the version of a list that begins there.
+    /// Opens the list in the folder `dir`, which is created if missing. `first` is the initial version of a
+    /// new list.
     pub fn open(dir: &Path, first: u64) -> Result<(Self, SavedList), DiskError> {
         let io = |e: io::Error| DiskError::Io(dir.to_path_buf(), e);
         let content = |e: ContentError| DiskError::Content(dir.to_path_buf(), e);
@@ -122,70 +128,71 @@
         let mut options = OpenOptions::new();
         let log = options.create(true).truncate(false).read(true).write(true).open(dir.join(LOG));
         let log = log.map_err(io)?;
-        let mut disk = Disk { dir: dir.to_path_buf(), log, confirmed: bytes as u64, records, torn: false };
+        let mut disk =
+            Disk { dir: dir.to_path_buf(), log, durable_bytes: bytes as u64, records, torn: false };
         disk.truncate().map_err(io)?;
         if is_new {
-            // The first version is on disk before anyone hears of it.
+            // The initial version must be durable before a reader receives it.
             disk.snapshot(&list).map_err(io)?;
         }
         Ok((disk, list))
     }
 
-    /// Removes what is behind the last confirmed record.
+    /// Truncates the log after the last durable record.
     fn truncate(&mut self) -> io::Result<()> {
         self.torn = true;
-        self.log.set_len(self.confirmed)?;
-        self.log.seek(SeekFrom::Start(self.confirmed))?;
+        self.log.set_len(self.durable_bytes)?;
+        self.log.seek(SeekFrom::Start(self.durable_bytes))?;
         self.log.sync_data()?;
         self.torn = false;
         Ok(())
     }
 
-    /// Confirms a change: it is on disk when this returns, or nothing of it is.
+    /// Appends a change to the log and syncs it. If this fails, nothing of the change takes effect.
     pub fn append(&mut self, rev: u64, change: &Change) -> io::Result<()> {
         if self.torn {
             self.truncate()?;
         }
         let payload = serde_json::to_vec(&Record { rev, change: change.clone() })?;
-        if payload.len() > MAX_PAYLOAD {
+        if payload.len() > MAX_PAYLOAD_BYTES {
             return Err(io::Error::other("the entry is too long"));
         }
         let mut record = header(&payload).to_vec();
         record.extend(payload);
         let written = self.log.write_all(&record).and_then(|()| self.log.sync_data());
         if let Err(e) = written {
-            // If that fails too, the next append does it before it writes.
+            // If this truncation fails too, the next append truncates before it writes.
             let _ = self.truncate();
             return Err(e);
         }
-        self.confirmed += record.len() as u64;
+        self.durable_bytes += record.len() as u64;
         self.records += 1;
         Ok(())
     }
 
-    /// Whether the log has grown so long that a snapshot ought to replace it.
-    pub fn wants_snapshot(&self) -> bool {
-        self.records >= MAX_RECORDS
+    /// Whether the log is long enough that a snapshot should replace it.
+    pub fn needs_snapshot(&self) -> bool {
+        self.records >= SNAPSHOT_RECORDS
     }
 
-    /// Replaces snapshot and log by the list as it stands.
+    /// Writes `list` as the new snapshot and empties the log.
     pub fn snapshot(&mut self, list: &SavedList) -> io::Result<()> {
         let payload = serde_json::to_vec(list)?;
-        let beside = self.dir.join("snapshot.new");
-        let mut file = File::create(&beside)?;
+        let temporary = self.dir.join("snapshot.new");
+        let mut file = File::create(&temporary)?;
         file.write_all(&header(&payload))?;
         file.write_all(&payload)?;
         file.sync_all()?;
-        fs::rename(&beside, self.dir.join(SNAPSHOT))?;
+        fs::rename(&temporary, self.dir.join(SNAPSHOT))?;
         File::open(&self.dir)?.sync_all()?;
-        // From here on the records are in the snapshot.
-        (self.confirmed, self.records) = (0, 0);
+        // The snapshot now contains all records of the log.
+        (self.durable_bytes, self.records) = (0, 0);
         self.truncate()
     }
 }
 
-/// The first version of a list that begins now: later than any that an older list of ours, whose disk is
-/// lost, can have reached.
+/// The initial version of a new list. It is the current time, so that it is later than any version of an
+/// earlier list whose disk was lost.
 pub fn first_version(unix_ms: u64) -> u64 {
     unix_ms
 }
--- a/crates/registry/src/disk/error.rs
+++ b/crates/registry/src/disk/error.rs
@@ -1,49 +1,49 @@
-//! Why what is on disk cannot be opened.
+//! Errors when the list is opened from disk.
 
 use quick_error::quick_error;
 use std::io;
 use std::path::PathBuf;
 
 quick_error! {
-    /// What was read from disk cannot be gone on from.
+    /// Why the stored files are not a valid list.
     #[derive(Debug)]
     pub enum ContentError {
-        /// A record of the log is damaged, before the end that a crash may tear.
+        /// A record of the log is damaged in a way that a crash during a write cannot cause.
         LogDamaged(at: usize) {
             display("the log is damaged at byte {at}")
         }
-        /// A record of the log is none, though its checksum holds.
+        /// The payload of a log record is not a valid change, though its checksum is correct.
         LogRecord(at: usize, error: serde_json::Error) {
             display("the log at byte {at}: {error}")
         }
-        /// A version is not in the log, but later ones are.
+        /// The log lacks a version but contains later ones.
         VersionMissing(version: u64, at: usize) {
             display("the log lacks version {version} at byte {at}")
         }
-        /// The checksum of the snapshot does not hold.
+        /// The checksum or length of the snapshot is wrong.
         SnapshotDamaged {
             display("the snapshot is damaged")
         }
-        /// The snapshot is none, though its checksum holds.
+        /// The snapshot is not a valid list, though its checksum is correct.
         Snapshot(error: serde_json::Error) {
             display("the snapshot: {error}")
         }
-        /// The snapshot is lost.
+        /// The log has records but the snapshot is missing.
         NoSnapshot {
-            display("there is a log and no snapshot")
+            display("there is a log but no snapshot")
         }
     }
 }
 
 quick_error! {
-    /// Why the list cannot be opened on disk.
+    /// Why the list cannot be opened from disk.
     #[derive(Debug)]
     pub enum DiskError {
-        /// A file or the folder cannot be used.
+        /// A file or the folder cannot be read or written.
         Io(path: PathBuf, error: io::Error) {
             display("{}: {error}", path.display())
         }
-        /// The files in the folder cannot be gone on from.
+        /// The files in the folder are not a valid list.
         Content(dir: PathBuf, error: ContentError) {
             display("{}: {error}", dir.display())
         }
--- a/crates/registry/src/disk/record.rs
+++ b/crates/registry/src/disk/record.rs
@@ -1,14 +1,14 @@
-//! Records of the log and the snapshot as bytes: a header (length and checksum of the payload, and a checksum of the two)
-//! and a payload.
+//! The encoding of records in the log and the snapshot: a header followed by a payload. The header holds the
+//! length and the CRC-32 of the payload, and a CRC-32 of these two fields, each as a little-endian `u32`.
 
-/// The length of a header in bytes.
-pub const HEADER_LENGTH: usize = 12;
-/// The longest payload of a record in bytes. A record is one entry; anything longer is damage.
-pub const MAX_PAYLOAD: usize = 64 << 10;
+/// The length of a record header.
+pub const HEADER_BYTES: usize = 12;
+/// The longest payload of a log record. A record holds one entry; a longer one is treated as damage.
+pub const MAX_PAYLOAD_BYTES: usize = 64 << 10;
 
-/// The header of a payload.
-pub fn header(payload: &[u8]) -> [u8; HEADER_LENGTH] {
-    let mut header = [0; HEADER_LENGTH];
+/// Encodes the header of a payload.
+pub fn header(payload: &[u8]) -> [u8; HEADER_BYTES] {
+    let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&(payload.len() as u32).to_le_bytes());
     header[4..8].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
     let own = crc32fast::hash(&header[..8]);
@@ -16,34 +16,34 @@
     header
 }
 
-/// The payload of what is one header and one payload of any length; none if it is damaged.
+/// Returns the payload of a file that consists of one record of any length, or `None` if the file is damaged.
 pub fn single_payload(bytes: &[u8]) -> Option<&[u8]> {
-    let (head, payload) = bytes.split_at_checked(HEADER_LENGTH)?;
+    let (head, payload) = bytes.split_at_checked(HEADER_BYTES)?;
     (head == header(payload)).then_some(payload)
 }
 
-/// What the rest of a log begins with.
+/// What was found at the start of the remaining bytes of a log.
 pub enum Next<'a> {
     /// A complete record with this payload.
     Record(&'a [u8]),
-    /// Nothing: the log ends here.
+    /// The end of the log.
     End,
-    /// What a crash leaves of a record that was being written.
+    /// A partial record, as left by a crash during a write.
     Torn,
-    /// What no crash leaves.
+    /// Damage that a crash during a write cannot cause.
     Damaged,
 }
 
-/// The next record in the rest of a log.
-pub fn next(rest: &[u8]) -> Next<'_> {
+/// Decodes the record at the start of `rest`, the remaining bytes of a log.
+pub fn next_record(rest: &[u8]) -> Next<'_> {
     if rest.is_empty() {
         return Next::End;
     }
-    // A file may have grown before its bytes were written.
+    // After a crash a file may have its new length but zeros instead of the written bytes.
     let unwritten = rest.iter().all(|b| *b == 0);
-    let Some((head, rest)) = rest.split_at_checked(HEADER_LENGTH) else { return Next::Torn };
+    let Some((head, rest)) = rest.split_at_checked(HEADER_BYTES) else { return Next::Torn };
     let (length, sum) = (little_endian(&head[..4]) as usize, little_endian(&head[4..8]));
-    if crc32fast::hash(&head[..8]) != little_endian(&head[8..]) || length > MAX_PAYLOAD {
+    if crc32fast::hash(&head[..8]) != little_endian(&head[8..]) || length > MAX_PAYLOAD_BYTES {
         return if unwritten { Next::Torn } else { Next::Damaged };
     }
     match rest.get(..length) {
--- a/crates/registry/src/http.rs
+++ b/crates/registry/src/http.rs
@@ -1,4 +1,5 @@
-//! The three addresses in HTTP/1.1: for readers, registrars and operators. Accepts connections and serves them.
+//! The HTTP/1.1 server for the three APIs: for readers, registrars and operators. Each API has its own
+//! address.
 
 mod answer;
 mod operators;
@@ -20,28 +21,29 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long a caller may take for a head, also for the next one on a connection.
+/// The longest time for receiving a request head, which includes the idle time before it on a kept
+/// connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long an answer may stand in the socket with nothing of it taken.
+/// The longest time that sent data may stay unacknowledged by the caller before the connection is closed.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two checks whether connections have ended, and after an accept that failed.
+/// The interval of checks whether connections have ended, and the pause after a failed accept.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Connections at one address; more wait in its queue.
+/// The largest number of connections at one address; further connections wait in the listen queue.
 const MAX_CONNECTIONS: usize = 8192;
 
-/// Whom an address is for. The log shows the name.
+/// The API that is served at an address. The log shows the name of the variant.
 #[derive(Clone, Copy, Debug)]
-pub enum Side {
+pub enum Api {
     Readers,
     Registrars,
     Operators,
 }
 
-/// Takes calls at one address until `closing`, and then until those in progress have their answer.
+/// Serves one API at the address of `listener` until `closing` is set and all calls in progress are answered.
 pub async fn serve(
     listener: TcpListener,
     registry: Rc<Registry>,
-    side: Side,
+    api: Api,
     mut closing: watch::Receiver<bool>,
 ) {
     let connections = Rc::new(Cell::new(0));
@@ -55,14 +57,14 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of descriptors, or a connection that was reset in the queue.
+            // The process has no free file descriptor, or the connection was reset in the listen queue.
             sleep(POLL_INTERVAL).await;
             continue;
         };
         connections.set(connections.get() + 1);
         let (registry, connections, closing) = (registry.clone(), connections.clone(), closing.clone());
         spawn_local(async move {
-            serve_connection(stream, registry, side, closing, UNREAD_TIMEOUT).await;
+            serve_connection(stream, registry, api, closing, UNREAD_TIMEOUT).await;
             connections.set(connections.get() - 1);
         });
     }
@@ -74,19 +76,20 @@
 async fn serve_connection(
     stream: TcpStream,
     registry: Rc<Registry>,
-    side: Side,
+    api: Api,
     mut closing: watch::Receiver<bool>,
     unread_timeout: Duration,
 ) {
-    // Without it an answer is only slower.
+    // If setting the option fails, responses are only slower.
     let _ = stream.set_nodelay(true);
-    // A caller that takes nothing of its answer, or whose machine is gone, does not hold its connection for ever.
+    // A caller that does not read its response, or whose machine is down, must not hold its connection
+    // forever.
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(unread_timeout));
     let service = service_fn(|request| async {
-        Ok::<_, Infallible>(match side {
-            Side::Readers => readers::answer(&registry, request).await,
-            Side::Registrars => registrars::answer(&registry, request).await,
-            Side::Operators => operators::answer(&registry, &request),
+        Ok::<_, Infallible>(match api {
+            Api::Readers => readers::handle(&registry, request).await,
+            Api::Registrars => registrars::handle(&registry, request).await,
+            Api::Operators => operators::handle(&registry, &request),
         })
     });
     let connection = http1::Builder::new()
@@ -94,7 +97,7 @@
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    // An error is the caller's: it left, or sent what is no HTTP.
+    // Errors are caused by the caller, which disconnected or sent invalid HTTP, and are ignored.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = closing.wait_for(|closing| *closing) => {}
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -1,21 +1,21 @@
-//! The address for operators: readiness, figures and the log.
+//! The API for operators: readiness, metrics and the log level.
 
-use super::answer::{json, text, wrong_method, Answer};
+use super::answer::{json, method_not_allowed, text, HttpResponse};
 use crate::service::Registry;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use percent_encoding::percent_decode_str;
 
-pub fn answer(registry: &Registry, request: &Request<Incoming>) -> Answer {
+pub fn handle(registry: &Registry, request: &Request<Incoming>) -> HttpResponse {
     let path = request.uri().path();
     if !matches!(path, "/-/ready" | "/-/metrics" | "/-/log") {
         return text(StatusCode::NOT_FOUND, "no such call");
     }
     if path == "/-/log" {
-        return log(request);
+        return handle_log(request);
     }
     if request.method() != Method::GET {
-        return wrong_method("GET");
+        return method_not_allowed("GET");
     }
     if path == "/-/ready" {
         return match registry.path() {
@@ -23,14 +23,14 @@
             None => text(StatusCode::SERVICE_UNAVAILABLE, "there is no list yet"),
         };
     }
-    match serde_json::to_vec(&registry.figures()) {
-        Ok(figures) => json(figures),
+    match serde_json::to_vec(&registry.metrics()) {
+        Ok(metrics) => json(metrics),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
     }
 }
 
-/// The log's level: shown, or changed.
-fn log(request: &Request<Incoming>) -> Answer {
+/// Handles `/-/log`: returns the log options and counts, or changes a level.
+fn handle_log(request: &Request<Incoming>) -> HttpResponse {
     let Some(log) = program_support::log::get() else {
         return text(StatusCode::NOT_FOUND, "this process has no log of its own");
     };
@@ -48,6 +48,6 @@
             Ok(()) => text(StatusCode::OK, "changed"),
             Err(e) => text(StatusCode::BAD_REQUEST, e.to_string()),
         },
-        _ => wrong_method("GET, POST"),
+        _ => method_not_allowed("GET, POST"),
     }
 }
--- a/crates/registry/src/http/readers.rs
+++ b/crates/registry/src/http/readers.rs
@@ -1,6 +1,6 @@
-//! The address for readers: the list and its changes.
+//! The API for readers: the full list, and long polls for its changes.
 
-use super::answer::{json, text, wrong_method, Answer};
+use super::answer::{json, method_not_allowed, text, HttpResponse};
 use crate::service::Registry;
 use gateway_protocol::admission::CallKind;
 use gateway_protocol::watch::LIST_PATH_HEADER;
@@ -10,19 +10,19 @@
 use quick_error::quick_error;
 use std::time::Duration;
 
-/// The longest that a watch may wait, in milliseconds.
+/// The longest time that a watch may wait for an update.
 const MAX_WATCH_WAIT_MS: u64 = 60_000;
 
-/// What a reader asks for.
+/// The parsed query of a reader's call.
 struct ReadCall {
-    /// The version that it has, if any.
+    /// The version that the reader has; `None` requests the full list.
     since: Option<u64>,
-    /// How long it waits for a newer one.
+    /// How long to wait for a newer version.
     wait: Duration,
 }
 
 quick_error! {
-    /// A value in a query that is none.
+    /// Why a query is invalid.
     #[derive(Debug)]
     enum QueryError {
         Number(key: String, value: String) {
@@ -31,12 +31,12 @@
     }
 }
 
-pub async fn answer(registry: &Registry, request: Request<Incoming>) -> Answer {
+pub async fn handle(registry: &Registry, request: Request<Incoming>) -> HttpResponse {
     if request.uri().path() != "/v1/endpoints" {
         return text(StatusCode::NOT_FOUND, "no such call");
     }
     if request.method() != Method::GET {
-        return wrong_method("GET");
+        return method_not_allowed("GET");
     }
     let call = match parse_query(request.uri().query().unwrap_or("")) {
         Ok(call) => call,
@@ -46,8 +46,8 @@
         return text(StatusCode::SERVICE_UNAVAILABLE, "there is no list yet");
     }
     let kind = if call.since.is_none() { CallKind::FullList } else { CallKind::Watch };
-    if let Err(turn) = registry.wait_for_turn(kind).await {
-        return rejected(turn);
+    if let Err(retry_after) = registry.wait_for_admission(kind).await {
+        return rejected(retry_after);
     }
     let mut answer = json(registry.read(call.since, call.wait).await);
     let path = registry.path().and_then(|path| HeaderValue::try_from(path).ok());
@@ -55,12 +55,12 @@
     answer
 }
 
-/// The answer to a call that is to come again after `turn`.
-fn rejected(turn: Duration) -> Answer {
+/// The response to a rejected call, which should be retried after `retry_after`.
+fn rejected(retry_after: Duration) -> HttpResponse {
     let mut answer = text(StatusCode::SERVICE_UNAVAILABLE, "too many calls: come again in your turn");
-    // Finer than whole seconds, so that those who come back are an even stream.
-    let turn = HeaderValue::try_from(format!("{:.3}", turn.as_secs_f64())).ok();
-    turn.map(|turn| answer.headers_mut().insert(RETRY_AFTER, turn));
+    // Milliseconds instead of whole seconds, so that the retries arrive evenly spaced.
+    let retry_after = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64())).ok();
+    retry_after.map(|retry_after| answer.headers_mut().insert(RETRY_AFTER, retry_after));
     answer
 }
 
@@ -72,7 +72,7 @@
         match key {
             "since" => since = Some(number()?),
             "timeout_ms" => wait_ms = number()?.min(MAX_WATCH_WAIT_MS),
-            // Whatever later readers ask beside.
+            // Unknown keys, as later readers may send, are ignored.
             _ => {}
         }
     }
--- a/crates/registry/src/http/registrars.rs
+++ b/crates/registry/src/http/registrars.rs
@@ -1,6 +1,6 @@
-//! The address for registrars: roll servers and operators read and change registrations.
+//! The API for registrars, with which roll servers and operators read and change registrations.
 
-use super::answer::{json, text, wrong_method, Answer};
+use super::answer::{json, method_not_allowed, text, HttpResponse};
 use crate::service::{ChangeError, Registry};
 use crate::store::Refusal;
 use gateway_protocol::list::{List, ListError, State, Target};
@@ -16,25 +16,25 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The largest body of a call, in bytes.
-const MAX_BODY: usize = 64 << 10;
-/// A body comes with its head or soon after.
+/// The largest accepted request body.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// The longest time between the head of a request and the end of its body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// The lengths of a lease that a server may ask for, in milliseconds.
+/// The range of lease lengths that a server may request.
 const LEASES_MS: RangeInclusive<u64> = 100..=3_600_000;
-/// The lengths of a name that a server may have, in bytes.
-const NAME_LENGTHS: RangeInclusive<usize> = 1..=256;
+/// The range of lengths for the name of a server.
+const NAME_LENGTH_BYTES: RangeInclusive<usize> = 1..=256;
 
 quick_error! {
-    /// A body that does not say what its call needs.
+    /// Why a request body is invalid.
     #[derive(Debug)]
     enum BodyError {
-        /// It is not the JSON that is wanted.
+        /// The body is not the expected JSON.
         Json(error: serde_json::Error) {
             from()
             display("{error}")
         }
-        /// The endpoint is no address.
+        /// The endpoint is not an address with a port.
         Endpoint(endpoint: String) {
             display("endpoint is {endpoint:?}: an address and port are wanted")
         }
@@ -42,25 +42,25 @@
         Lease(lease_ms: u64) {
             display("lease_ms is {lease_ms}: {} to {} is wanted", LEASES_MS.start(), LEASES_MS.end())
         }
-        /// Readers would reject a list with this entry.
+        /// Readers would reject a list that contains this entry.
         Entry(error: ListError) {
             from()
             display("{error}")
         }
-        /// The call counts for one start only, and names none.
-        NoStart {
+        /// A renewal must name the incarnation of the server, and the body does not.
+        MissingBootMs {
             display("boot_ms is wanted")
         }
     }
 }
 
-/// Which start of a server calls.
+/// The body of a call that names an incarnation of a server.
 #[derive(Deserialize)]
-struct Start {
+struct Incarnation {
     boot_ms: u64,
 }
 
-pub async fn answer(registry: &Registry, request: Request<Incoming>) -> Answer {
+pub async fn handle(registry: &Registry, request: Request<Incoming>) -> HttpResponse {
     let (head, body) = request.into_parts();
     let Some(rest) = head.uri.path().strip_prefix(REGISTRATIONS_PATH) else {
         return text(StatusCode::NOT_FOUND, "no such call");
@@ -70,12 +70,12 @@
     let Some(uid) = uid else {
         return match (rest.is_empty(), &head.method) {
             (true, &Method::GET) => json(registry.registrations()),
-            (true, _) => wrong_method("GET"),
+            (true, _) => method_not_allowed("GET"),
             _ => text(StatusCode::NOT_FOUND, "no such call"),
         };
     };
     let uid = match percent_decode_str(uid).decode_utf8() {
-        Ok(uid) if NAME_LENGTHS.contains(&uid.len()) && more.is_none() => uid.into_owned(),
+        Ok(uid) if NAME_LENGTH_BYTES.contains(&uid.len()) && more.is_none() => uid.into_owned(),
         _ => return text(StatusCode::NOT_FOUND, "no such name"),
     };
     match read_body(body).await {
@@ -84,45 +84,45 @@
     }
 }
 
-/// The body of a call, or the answer to one whose body does not come.
-async fn read_body(body: Incoming) -> Result<Bytes, Answer> {
-    match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
+/// Reads a request body. The error is the response to a body that is too large, broken or late.
+async fn read_body(body: Incoming) -> Result<Bytes, HttpResponse> {
+    match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
-            Err(text(StatusCode::PAYLOAD_TOO_LARGE, format!("a body has {MAX_BODY} bytes at most")))
+            Err(text(StatusCode::PAYLOAD_TOO_LARGE, format!("a body has {MAX_BODY_BYTES} bytes at most")))
         }
         Ok(Err(e)) => Err(text(StatusCode::BAD_REQUEST, e.to_string())),
         Err(_) => Err(text(StatusCode::REQUEST_TIMEOUT, "the body did not come")),
     }
 }
 
-/// Carries out a call on the registration of one server.
-fn call(registry: &Registry, method: &Method, uid: String, verb: Option<&str>, body: &[u8]) -> Answer {
+/// Executes a call for the registration of one server.
+fn call(registry: &Registry, method: &Method, uid: String, verb: Option<&str>, body: &[u8]) -> HttpResponse {
     let done = match (verb, method) {
         (None, &Method::PUT) => parse_announcement(uid, body).map(|(target, lease_ms)| {
             change_answer(registry.change(|store| store.register(&target, lease_ms)))
         }),
-        (None, &Method::DELETE) => parse_start(body)
+        (None, &Method::DELETE) => parse_boot_ms(body)
             .map(|boot_ms| change_answer(registry.change(|store| store.remove(&uid, boot_ms).map(Some)))),
-        (None, _) => return wrong_method("PUT, DELETE"),
-        (Some("drain"), &Method::POST) => parse_start(body)
+        (None, _) => return method_not_allowed("PUT, DELETE"),
+        (Some("drain"), &Method::POST) => parse_boot_ms(body)
             .map(|boot_ms| change_answer(registry.change(|store| store.drain(&uid, boot_ms)))),
         (Some("renew"), &Method::POST) => renew(registry, &uid, body),
-        (Some("drain" | "renew"), _) => return wrong_method("POST"),
+        (Some("drain" | "renew"), _) => return method_not_allowed("POST"),
         (Some(_), _) => return text(StatusCode::NOT_FOUND, "no such call"),
     };
     done.unwrap_or_else(|e| text(StatusCode::BAD_REQUEST, e.to_string()))
 }
 
-fn renew(registry: &Registry, uid: &str, body: &[u8]) -> Result<Answer, BodyError> {
-    let boot_ms = parse_start(body)?.ok_or(BodyError::NoStart)?;
+fn renew(registry: &Registry, uid: &str, body: &[u8]) -> Result<HttpResponse, BodyError> {
+    let boot_ms = parse_boot_ms(body)?.ok_or(BodyError::MissingBootMs)?;
     Ok(match registry.renew(uid, boot_ms) {
         Ok(lease) => json(format!(r#"{{"lease_ms":{}}}"#, lease.as_millis())),
         Err(refusal) => refused(refusal),
     })
 }
 
-/// The entry that a server announces, and the length of its lease in milliseconds.
+/// Parses the entry that a server announces and the length of its lease in milliseconds.
 fn parse_announcement(uid: String, body: &[u8]) -> Result<(Target, u64), BodyError> {
     let announcement: Announcement = serde_json::from_slice(body)?;
     let Announcement { endpoint, az, model, pod_group, capacity_hint, boot_ms, lease_ms } = announcement;
@@ -134,22 +134,22 @@
     }
     let state = State::Ready;
     let target = Target { uid, endpoint, az, model, pod_group, state, capacity_hint, boot_ms };
-    // What readers would reject must not get in.
+    // An entry that readers would reject must not enter the list.
     let list = List { rev: 0, all: true, targets: vec![target.clone()] };
     list.check()?;
     Ok((target, lease_ms))
 }
 
-/// The start that calls; none if the body is empty, as an operator's is.
-fn parse_start(body: &[u8]) -> Result<Option<u64>, BodyError> {
+/// Parses the incarnation of the calling server. Returns `None` for an empty body, which operators send.
+fn parse_boot_ms(body: &[u8]) -> Result<Option<u64>, BodyError> {
     if body.is_empty() {
         return Ok(None);
     }
-    let start: Start = serde_json::from_slice(body)?;
-    Ok(Some(start.boot_ms))
+    let incarnation: Incarnation = serde_json::from_slice(body)?;
+    Ok(Some(incarnation.boot_ms))
 }
 
-fn change_answer(result: Result<u64, ChangeError>) -> Answer {
+fn change_answer(result: Result<u64, ChangeError>) -> HttpResponse {
     match result {
         Ok(version) => json(format!(r#"{{"rev":{version}}}"#)),
         Err(ChangeError::Refused(refusal)) => refused(refusal),
@@ -157,7 +157,7 @@
     }
 }
 
-fn refused(refusal: Refusal) -> Answer {
+fn refused(refusal: Refusal) -> HttpResponse {
     match refusal {
         Refusal::Unknown => text(StatusCode::NOT_FOUND, "no such registration"),
         Refusal::Stale { listed } => {
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,5 +1,5 @@
-//! sprucehatch-registry: the list of roll servers as a service of its own. Servers announce themselves under a
-//! lease; gateways read the list and watch it.
+//! sprucehatch-registry: the service registry of the roll servers. Servers register themselves under a lease;
+//! gateways read the list of servers and watch it.
 
 mod disk;
 mod follow;
@@ -10,8 +10,8 @@
 
 use clap::Parser;
 use disk::Disk;
-use http::Side;
-use options::{Arguments, Command, Options, Settings, Source};
+use http::Api;
+use options::{Arguments, Command, ListSource, Options, Settings};
 use program_support::config::{self, Errors};
 use program_support::log;
 use program_support::program::{finish, print};
@@ -26,7 +26,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-/// How long callers may take that are being answered when the registry ends.
+/// The longest wait at shutdown for calls that are being answered.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn main() -> ExitCode {
@@ -48,65 +48,66 @@
     runtime.block_on(run(options))
 }
 
-fn listen_for(kind: SignalKind) -> Result<Signal, Errors> {
+fn listen_for_signal(kind: SignalKind) -> Result<Signal, Errors> {
     signal(kind).map_err(|e| Errors::single(format!("cannot listen for signals: {e}")))
 }
 
 async fn run(options: Options) -> Result<(), Errors> {
-    let (mut term, mut int) = (listen_for(SignalKind::terminate())?, listen_for(SignalKind::interrupt())?);
+    let (mut term, mut int) =
+        (listen_for_signal(SignalKind::terminate())?, listen_for_signal(SignalKind::interrupt())?);
     let mut rng = fastrand::Rng::new();
     let id = format!("{:016x}", rng.u64(..));
     let (close, closing) = watch::channel(false);
-    let mut sides = vec![(options.readers, Side::Readers)];
+    let mut apis = vec![(options.readers, Api::Readers)];
     let (registry, followed) = match options.list {
-        Source::Own { dir, registrars, grace } => {
+        ListSource::Own { dir, registrars, grace } => {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let first = disk::first_version(now.as_millis() as u64);
             let (disk, list) = Disk::open(&dir, first).map_err(Errors::single)?;
             tracing::info!("version {}, {} entries", list.rev, list.entries.len());
-            sides.push((registrars, Side::Registrars));
+            apis.push((registrars, Api::Registrars));
             (Registry::new(disk, list, grace, id), None)
         }
-        Source::Another(address) => (Registry::follower(id), Some(address)),
+        ListSource::Follow(address) => (Registry::follower(id), Some(address)),
     };
     if let Some(calls) = options.calls_per_s {
-        registry.limit_calls(f64::from(calls));
+        registry.set_rate_limit(f64::from(calls));
     }
-    sides.extend(options.operators.map(|address| (address, Side::Operators)));
-    let serving = serve(sides, &registry, &closing).await?;
+    apis.extend(options.operators.map(|address| (address, Api::Operators)));
+    let serving = serve(apis, &registry, &closing).await?;
     spawn_local(registry.clone().publish_changes());
     match followed {
         Some(address) => drop(spawn_local(follow::follow(address, registry.clone(), rng.u64(..)))),
-        None => drop(spawn_local(registry.clone().expire())),
+        None => drop(spawn_local(registry.clone().run_expiry())),
     }
     tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
-    tracing::info!("ends: watchers are let go");
+    tracing::info!("shutting down; answering pending watches");
     close.send_replace(true);
     registry.close();
     let ended = async {
-        for side in serving {
-            let _ = side.await;
+        for api in serving {
+            let _ = api.await;
         }
     };
     if timeout(SHUTDOWN_TIMEOUT, ended).await.is_err() {
-        tracing::warn!("some callers did not take their answer");
+        tracing::warn!("shutdown timeout: some callers did not read their response");
     }
     Ok(())
 }
 
-/// Listens at all addresses, in their order, and serves them until `closing`.
+/// Listens at all addresses, in order, and serves their APIs until `closing` is set.
 async fn serve(
-    sides: Vec<(SocketAddr, Side)>,
+    apis: Vec<(SocketAddr, Api)>,
     registry: &Rc<Registry>,
     closing: &watch::Receiver<bool>,
 ) -> Result<Vec<JoinHandle<()>>, Errors> {
     let mut serving = Vec::new();
-    for (address, side) in sides {
+    for (address, api) in apis {
         let failed = |e: std::io::Error| Errors::single(format!("{address}: {e}"));
         let listener = TcpListener::bind(address).await.map_err(failed)?;
         let at = listener.local_addr().map_err(failed)?;
-        tracing::info!("{side:?} call at {at}");
-        serving.push(spawn_local(http::serve(listener, registry.clone(), side, closing.clone())));
+        tracing::info!("{api:?} call at {at}");
+        serving.push(spawn_local(http::serve(listener, registry.clone(), api, closing.clone())));
     }
     Ok(serving)
 }
--- a/crates/registry/src/options.rs
+++ b/crates/registry/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line and the configuration, read into checked options.
+//! Reads the command line and the configuration file into validated options.
 
 use clap::{Parser, Subcommand};
 use program_support::config::{self, Errors};
@@ -75,8 +75,8 @@
 }
 
 impl Settings {
-    /// These settings, and those of the file where these say nothing.
-    fn over(self, file: Settings) -> Settings {
+    /// These settings, completed by those of the configuration file where these are not set.
+    fn or_from_file(self, file: Settings) -> Settings {
         Settings {
             dir: self.dir.or(file.dir),
             follow: self.follow.or(file.follow),
@@ -90,30 +90,31 @@
     }
 }
 
-/// The options of a registry that runs.
+/// The validated options of a running registry.
 pub struct Options {
-    pub list: Source,
+    pub list: ListSource,
     pub readers: SocketAddr,
     pub operators: Option<SocketAddr>,
     pub calls_per_s: Option<u32>,
     pub log: log::Options,
 }
 
-/// Where the list comes from.
-pub enum Source {
-    /// A list of its own, kept in this folder; no lease ends within `grace` of the start.
+/// The source of the list.
+pub enum ListSource {
+    /// The registry keeps its own list in the folder `dir`. No lease expires within `grace` of the start.
     Own { dir: PathBuf, registrars: SocketAddr, grace: Duration },
-    /// The list of the registry whose readers call there.
-    Another(SocketAddr),
+    /// The registry follows the list of another registry, read from this address.
+    Follow(SocketAddr),
 }
 
-/// Reads the file, puts the settings of the command line over it, and checks both.
+/// Reads the configuration file, overrides it with the settings of the command line, and validates the
+/// result.
 pub fn read(file: Option<PathBuf>, settings: Settings) -> Result<Options, Errors> {
     let file = match file {
         Some(path) => config::load::<Settings>(&path, "")?.settings,
         None => Settings::default(),
     };
-    let settings = settings.over(file);
+    let settings = settings.or_from_file(file);
     let mut wrong = Vec::new();
     let mut address = |key: &str, text: &str| {
         let parsed = text.parse::<SocketAddr>();
@@ -126,20 +127,19 @@
     let operators = settings.operators.as_deref().map(|text| address("operators", text));
     let list = match (&settings.follow, settings.dir) {
         (Some(another), None) if settings.registrars.is_none() && settings.grace_ms.is_none() => {
-            Some(Source::Another(address("follow", another)))
+            Some(ListSource::Follow(address("follow", another)))
         }
         (Some(_), _) => {
             wrong.push("follow goes without dir, registrars and grace_ms".to_string());
             None
         }
-        (None, Some(dir)) => Some(Source::Own {
+        (None, Some(dir)) => Some(ListSource::Own {
             dir,
             registrars: address("registrars", settings.registrars.as_deref().unwrap_or(DEFAULT_REGISTRARS)),
             grace: Duration::from_millis(settings.grace_ms.unwrap_or(DEFAULT_GRACE_MS)),
         }),
         (None, None) => {
-            wrong
-                .push("dir, the folder that keeps the list, or follow is missing: one is wanted".to_string());
+            wrong.push("neither dir, the folder of the list, nor follow is set: one is wanted".to_string());
             None
         }
     };
--- a/crates/registry/src/service.rs
+++ b/crates/registry/src/service.rs
@@ -1,11 +1,11 @@
-//! The registry between its three addresses, its list and its disk.
+//! The registry service, which connects the three APIs with the list in memory and on disk.
 
 mod figures;
 
 use crate::disk::{Disk, SavedList};
 use crate::store::{Change, Refusal, Store, Update};
 use bytes::Bytes;
-use figures::{increment, Counts, Figures, Watcher};
+use figures::{increment, Counters, Metrics, WatcherGuard};
 use gateway_protocol::admission::{Admission, CallKind};
 use gateway_protocol::list::{List, Target};
 use gateway_protocol::registration::{Registration, Registrations};
@@ -18,78 +18,85 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{interval, sleep, timeout, Instant};
 
-/// Changes that come within this time of one another are published as one.
+/// The delay between a change and its publication to watchers. Changes within this time are published
+/// together.
 const PUBLISH_DELAY: Duration = Duration::from_millis(20);
-/// The longest that a call for the full list waits where calls are limited.
+/// The longest queueing delay of a call for the full list, if there is a rate limit.
 const MAX_WAIT_FULL_LIST: Duration = Duration::from_secs(1);
-/// The longest that a call of a reader with a list waits where calls are limited.
+/// The longest queueing delay of a watch, if there is a rate limit.
 const MAX_WAIT_WATCH: Duration = Duration::from_millis(250);
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a call that would change the list did not.
+/// Why a change of the list failed.
 #[derive(Debug)]
 pub enum ChangeError {
-    /// The list as it stands forbids it.
+    /// The current list does not allow the change.
     Refused(Refusal),
-    /// The disk did not take it. Readers are served all the same.
+    /// The change could not be written to disk. Readers are still served.
     Disk(io::Error),
 }
 
 quick_error! {
-    /// Why a follower does not take what another registry sent.
+    /// Why a follower rejects a list from another registry.
     #[derive(Debug)]
     pub enum FollowError {
-        /// The other follows this one, by way of these.
+        /// The list has already passed through this registry: the registries in `path` follow each other in a
+        /// loop.
         Loop(path: String) {
-            display("its list came through here: {path}")
+            display("registries follow each other in a loop, the list came through here: {path}")
         }
-        /// Changes to a version that this one does not have.
+        /// The changes are based on a version that this follower does not have.
         UnknownBase {
             display("changes to a list that is not held")
         }
-        /// An older version than this one has.
+        /// The received version is older than the present one.
         Older(received: u64, present: u64) {
             display("version {received} is older than {present}, which is held")
         }
     }
 }
 
-/// The list as a service. Without a disk it is a follower, whose list is another registry's.
+/// The registry service. Without a disk it is a follower, which serves the list of another registry.
 pub struct Registry {
     store: RefCell<Store>,
-    /// None at a follower.
+    /// `None` at a follower.
     disk: RefCell<Option<Disk>>,
-    /// The registries that the list came through, this one last; none while a follower has no list.
+    /// The ids of the registries that the list passed through, this one last; `None` while a follower has no
+    /// list.
     path: RefCell<Option<String>>,
+    /// The id of this registry, which other registries see in the path.
     id: String,
-    changed: Notify,
-    /// The version that watchers have been woken for.
+    /// Notified by each change that waits for publication.
+    change_notify: Notify,
+    /// The last version that was published to watchers.
     published: watch::Sender<u64>,
+    /// Set at shutdown; ends all watches.
     closing: watch::Sender<bool>,
-    /// Answers by the version that a reader comes with, all of the version that the list has now.
-    answers: RefCell<(u64, HashMap<Option<u64>, Bytes>)>,
-    last_change: Cell<Instant>,
-    /// When a follower last heard that its list is the latest.
-    confirmed: Cell<Instant>,
+    /// Cached encoded responses: the list version for which they are valid, and the responses by the version
+    /// that the reader has.
+    encoded_lists: RefCell<(u64, HashMap<Option<u64>, Bytes>)>,
+    last_change_at: Cell<Instant>,
+    /// When a follower last received the confirmation that its list is the latest.
+    confirmed_at: Cell<Instant>,
     started: Instant,
     admission: RefCell<Admission>,
-    counts: Counts,
+    counters: Counters,
 }
 
 impl Registry {
-    /// A registry with a list of its own. No lease ends within `grace`.
+    /// Creates a registry with its own list. No lease expires within `grace` from now.
     pub fn new(disk: Disk, list: SavedList, grace: Duration, id: String) -> Rc<Self> {
         let store = Store::new(list.rev, list.entries, grace, Instant::now());
-        Registry::with(store, Some(disk), Some(id.clone()), id)
+        Registry::build(store, Some(disk), Some(id.clone()), id)
     }
 
-    /// A registry that serves the list of another.
+    /// Creates a follower, which serves the list of another registry.
     pub fn follower(id: String) -> Rc<Self> {
         let store = Store::new(0, Vec::new(), Duration::ZERO, Instant::now());
-        Registry::with(store, None, None, id)
+        Registry::build(store, None, None, id)
     }
 
-    fn with(store: Store, disk: Option<Disk>, path: Option<String>, id: String) -> Rc<Self> {
+    fn build(store: Store, disk: Option<Disk>, path: Option<String>, id: String) -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Registry {
             published: watch::Sender::new(store.version()),
@@ -97,40 +104,42 @@
             disk: RefCell::new(disk),
             path: RefCell::new(path),
             id,
-            changed: Notify::new(),
+            change_notify: Notify::new(),
             closing: watch::Sender::new(false),
-            answers: RefCell::default(),
-            last_change: Cell::new(now),
-            confirmed: Cell::new(now),
+            encoded_lists: RefCell::default(),
+            last_change_at: Cell::new(now),
+            confirmed_at: Cell::new(now),
             started: now,
             admission: RefCell::new(Admission::new(0.0, MAX_WAIT_FULL_LIST, MAX_WAIT_WATCH)),
-            counts: Counts::default(),
+            counters: Counters::default(),
         })
     }
 
     // ---- Changes ----
 
-    /// Carries a call out: what it changes is on disk before this returns, and no one hears of it sooner.
+    /// Executes a change. `plan` computes the change from the current list, or `None` if nothing changes. The
+    /// change is durable on disk before it is visible to readers and before this returns the new version.
     pub fn change(
         &self,
         plan: impl FnOnce(&Store) -> Result<Option<Change>, Refusal>,
     ) -> Result<u64, ChangeError> {
         let mut store = self.store.borrow_mut();
         if let Some(change) = plan(&store).map_err(ChangeError::Refused)? {
-            self.confirm(&mut store, &change).map_err(ChangeError::Disk)?;
+            self.commit(&mut store, &change).map_err(ChangeError::Disk)?;
         }
         Ok(store.version())
     }
 
-    fn confirm(&self, store: &mut Store, change: &Change) -> io::Result<()> {
+    /// Writes a change to disk, applies it to the list and schedules its publication.
+    fn commit(&self, store: &mut Store, change: &Change) -> io::Result<()> {
         let mut disk = self.disk.borrow_mut();
         let Some(disk) = disk.as_mut() else {
             return Err(io::Error::other("a follower keeps no list of its own"));
         };
         let version = store.version() + 1;
         if let Err(e) = disk.append(version, change) {
-            increment(&self.counts.disk_failures);
-            tracing::error!("not on disk, the list stands at version {}: {e}", store.version());
+            increment(&self.counters.disk_failures);
+            tracing::error!("not on disk, the list stays at version {}: {e}", store.version());
             return Err(e);
         }
         let now = Instant::now();
@@ -147,20 +156,21 @@
             }
             Change::Remove { uid } => tracing::info!(version, server = uid, "gone"),
         }
-        if disk.wants_snapshot() {
+        if disk.needs_snapshot() {
             let list = SavedList { rev: version, entries: store.entries() };
             if let Err(e) = disk.snapshot(&list) {
-                increment(&self.counts.disk_failures);
-                tracing::error!("no snapshot, the log goes on: {e}");
+                increment(&self.counters.disk_failures);
+                tracing::error!("cannot write the snapshot, the log continues to grow: {e}");
             }
         }
-        self.last_change.set(now);
-        self.changed.notify_one();
+        self.last_change_at.set(now);
+        self.change_notify.notify_one();
         Ok(())
     }
 
-    /// Takes in what another registry answered to a call with the version `since`. `path` is whom it came through.
-    pub fn follow(&self, list: &List, path: &str, since: Option<u64>) -> Result<(), FollowError> {
+    /// Merges the list that another registry returned to a call with the version `since`. `path` holds the
+    /// ids of the registries that the list passed through.
+    pub fn apply_followed(&self, list: &List, path: &str, since: Option<u64>) -> Result<(), FollowError> {
         if path.split(',').any(|id| id == self.id) {
             return Err(FollowError::Loop(path.to_string()));
         }
@@ -168,61 +178,62 @@
             return Err(FollowError::UnknownBase);
         }
         let mut store = self.store.borrow_mut();
-        // One that lags behind may be asked after a restart of the one in between.
+        // After a restart of the followed registry its list may lag behind this one.
         if list.rev < store.version() {
             return Err(FollowError::Older(list.rev, store.version()));
         }
         let now = Instant::now();
         if store.merge(list) {
             tracing::info!(version = list.rev, path, "followed");
-            self.last_change.set(now);
+            self.last_change_at.set(now);
         }
         let own = if path.is_empty() { self.id.clone() } else { format!("{path},{}", self.id) };
         self.path.replace(Some(own));
-        self.confirmed.set(now);
+        self.confirmed_at.set(now);
         drop(store);
-        // Without a delay of its own: else followers of followers would add theirs up.
+        // Published without delay: otherwise the delays of chained followers would add up.
         self.publish();
         Ok(())
     }
 
-    /// The registries that the list comes through to readers; none while there is no list to read.
+    /// The ids of the registries that the list passed through, separated by commas; `None` while a follower
+    /// has no list.
     pub fn path(&self) -> Option<String> {
         self.path.borrow().clone()
     }
 
     pub fn renew(&self, uid: &str, boot_ms: u64) -> Result<Duration, Refusal> {
         let lease = self.store.borrow_mut().renew(uid, boot_ms, Instant::now())?;
-        increment(&self.counts.renewals);
+        increment(&self.counters.renewals);
         Ok(lease)
     }
 
-    /// Ends leases as time passes.
-    pub async fn expire(self: Rc<Self>) {
+    /// Removes entries whose leases have expired, until the program ends.
+    pub async fn run_expiry(self: Rc<Self>) {
         let mut every = interval(EXPIRY_INTERVAL);
         loop {
             let now = every.tick().await;
             let mut store = self.store.borrow_mut();
             let expiry = store.expired(now);
-            if self.counts.suspended.replace(expiry.suspended) == 0 && expiry.suspended > 0 {
+            if self.counters.suspended.replace(expiry.suspended) == 0 && expiry.suspended > 0 {
                 tracing::warn!(
-                    "{} leases ended together: the list is kept until most are heard",
+                    "{} leases expired together: their entries are kept until half of the leases are renewed",
                     expiry.suspended
                 );
             }
             for change in expiry.due {
-                if self.confirm(&mut store, &change).is_err() {
+                if self.commit(&mut store, &change).is_err() {
                     break;
                 }
-                increment(&self.counts.expiries);
+                increment(&self.counters.expiries);
             }
         }
     }
 
-    /// Wakes the watchers, once for changes that come close together.
+    /// Publishes changes to the watchers, with one publication for changes within [`PUBLISH_DELAY`].
     pub async fn publish_changes(self: Rc<Self>) {
         loop {
-            self.changed.notified().await;
+            self.change_notify.notified().await;
             sleep(PUBLISH_DELAY).await;
             self.publish();
         }
@@ -235,67 +246,75 @@
 
     // ---- Readers ----
 
-    /// Limits the calls of readers to so many a second from now on.
-    pub fn limit_calls(&self, calls_per_s: f64) {
+    /// Limits the calls of readers to `calls_per_s` a second.
+    pub fn set_rate_limit(&self, calls_per_s: f64) {
         self.admission.replace(Admission::new(calls_per_s, MAX_WAIT_FULL_LIST, MAX_WAIT_WATCH));
     }
 
-    /// Waits until the call may be answered, or rejects it with the time after which its caller is to come again.
-    pub async fn wait_for_turn(&self, call: CallKind) -> Result<(), Duration> {
+    /// Waits until the rate limit admits the call.
+    ///
+    /// # Errors
+    ///
+    /// The call is rejected: the delay after which the caller should retry.
+    pub async fn wait_for_admission(&self, call: CallKind) -> Result<(), Duration> {
         let now = self.started.elapsed();
         let admitted = self.admission.borrow_mut().admit(now, call);
         match admitted {
             Ok(at) if at > now => sleep(at - now).await,
             Ok(_) => {}
-            Err(turn) => {
-                increment(&self.counts.rejected);
-                return Err(turn);
+            Err(retry_after) => {
+                increment(&self.counters.rejected);
+                return Err(retry_after);
             }
         }
         Ok(())
     }
 
-    /// The answer to a reader with this version, once there is an update or its time is up.
+    /// Returns the encoded response to a reader that has version `since`: waits for a newer version, at most
+    /// for `wait`. Without `since` returns the full list at once.
     pub async fn read(&self, since: Option<u64>, wait: Duration) -> Bytes {
-        let Some(since) = since else { return self.answer(None) };
+        let Some(since) = since else { return self.encoded_list(None) };
         let (mut published, mut closing) = (self.published.subscribe(), self.closing.subscribe());
-        // Changes are published a little after they are confirmed, and who has just made one has its version already.
+        // Changes are published shortly after they are committed, so a caller that has just made a change may
+        // already have a version that is not yet published. Its watch must wait for the next change.
         let is_newer = |published: &u64| *published != since && self.store.borrow().version() != since;
         let ended = async {
-            let _watcher = Watcher::new(&self.counts);
+            let _watcher = WatcherGuard::new(&self.counters);
             tokio::select! {
                 _ = published.wait_for(is_newer) => {}
                 _ = closing.wait_for(|closing| *closing) => {}
             }
         };
-        // Else its time is up: there is nothing new.
+        // On timeout the response says that there are no changes.
         let _ = timeout(wait, ended).await;
-        self.answer(Some(since))
+        self.encoded_list(Some(since))
     }
 
-    /// The present answer to a reader with this version. Each is encoded once for all who get it.
-    fn answer(&self, since: Option<u64>) -> Bytes {
+    /// The current response to a reader with this version. Each response is encoded once and shared by all
+    /// readers.
+    fn encoded_list(&self, since: Option<u64>) -> Bytes {
         let store = self.store.borrow();
-        let (version, answers) = &mut *self.answers.borrow_mut();
+        let (version, encoded_lists) = &mut *self.encoded_lists.borrow_mut();
         if std::mem::replace(version, store.version()) != store.version() {
-            answers.clear();
+            encoded_lists.clear();
         }
         let encode = || {
-            increment(&self.counts.encodings);
+            increment(&self.counters.encodings);
             let list = match since.map(|since| store.since(since)) {
                 None => store.full_list(),
                 Some(Update::Full(list) | Update::Changes(list)) => list,
                 Some(Update::None) => List { rev: store.version(), all: false, targets: Vec::new() },
             };
-            // Cannot fail: the figures were checked when they came in, so that all have a form in JSON.
+            // Cannot fail: entries are validated on registration, so all their numbers can be encoded as
+            // JSON.
             Bytes::from(serde_json::to_vec(&list).unwrap_or_default())
         };
-        answers.entry(since).or_insert_with(encode).clone()
+        encoded_lists.entry(since).or_insert_with(encode).clone()
     }
 
     // ---- Operators ----
 
-    /// The entries, each with what is left of its lease.
+    /// Returns all entries with the remaining time of their leases, as JSON.
     pub fn registrations(&self) -> Vec<u8> {
         let (store, now) = (self.store.borrow(), Instant::now());
         let entry = |(target, lease_ms): (Target, u64)| {
@@ -304,29 +323,29 @@
         };
         let registrations = store.entries().into_iter().map(entry).collect();
         let all = Registrations { rev: store.version(), registrations };
-        // Cannot fail: texts and numbers always have a form in JSON.
+        // Cannot fail: strings and finite numbers can always be encoded as JSON.
         serde_json::to_vec(&all).unwrap_or_default()
     }
 
-    pub fn figures(&self) -> Figures {
-        let (store, counts) = (self.store.borrow(), &self.counts);
+    pub fn metrics(&self) -> Metrics {
+        let (store, counters) = (self.store.borrow(), &self.counters);
         let follows = self.disk.borrow().is_none();
-        Figures {
+        Metrics {
             version: store.version(),
             entries: store.full_list().targets.len(),
-            watchers: counts.watchers.get(),
-            renewals: counts.renewals.get(),
-            expiries: counts.expiries.get(),
-            suspended: counts.suspended.get(),
-            encodings: counts.encodings.get(),
-            disk_failures: counts.disk_failures.get(),
-            rejected: counts.rejected.get(),
-            age_ms: self.last_change.get().elapsed().as_millis() as u64,
-            confirmed_ms: follows.then(|| self.confirmed.get().elapsed().as_millis() as u64),
+            watchers: counters.watchers.get(),
+            renewals: counters.renewals.get(),
+            expiries: counters.expiries.get(),
+            suspended: counters.suspended.get(),
+            encodings: counters.encodings.get(),
+            disk_failures: counters.disk_failures.get(),
+            rejected: counters.rejected.get(),
+            age_ms: self.last_change_at.get().elapsed().as_millis() as u64,
+            confirmed_ms: follows.then(|| self.confirmed_at.get().elapsed().as_millis() as u64),
         }
     }
 
-    /// Lets all watchers go with an answer.
+    /// Ends all watches with a response, at shutdown.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
--- a/crates/registry/src/service/figures.rs
+++ b/crates/registry/src/service/figures.rs
@@ -1,11 +1,11 @@
-//! What a registry counts, and the figures that operators read.
+//! The counters of a registry, and the metrics that operators read.
 
 use serde::Serialize;
 use std::cell::Cell;
 
-/// Counts since the start.
+/// Counters since the start, and the current numbers of watchers and suspended expiries.
 #[derive(Default)]
-pub struct Counts {
+pub struct Counters {
     pub renewals: Cell<u64>,
     pub expiries: Cell<u64>,
     pub encodings: Cell<u64>,
@@ -19,40 +19,40 @@
     count.set(count.get() + 1);
 }
 
-/// What operators read, by the names that they know.
+/// The metrics, serialized under the names that operators use.
 #[derive(Serialize)]
-pub struct Figures {
+pub struct Metrics {
     pub version: u64,
     pub entries: usize,
     pub watchers: usize,
     pub renewals: u64,
     pub expiries: u64,
-    /// Leases that have ended but are not acted on, since most ended together.
+    /// Expired leases whose entries are kept, since most leases expired together.
     #[serde(rename = "held")]
     pub suspended: usize,
-    /// Answers put into bytes; each serves all who wait for it.
+    /// Responses that were encoded; each is shared by all readers that wait for it.
     pub encodings: u64,
     pub disk_failures: u64,
-    /// Calls of readers that were rejected until their turn.
+    /// Calls of readers that were rejected with a retry delay.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// How long ago the list last changed.
+    /// The time since the last change of the list.
     pub age_ms: u64,
-    /// At a follower: how long ago its list was last known to be the latest.
+    /// At a follower, the time since its list was last confirmed to be the latest.
     pub confirmed_ms: Option<u64>,
 }
 
-/// Counts a reader that waits for an update, until it is dropped.
-pub struct Watcher<'a>(&'a Counts);
+/// Counts a waiting reader in [`Counters::watchers`] until the guard is dropped.
+pub struct WatcherGuard<'a>(&'a Counters);
 
-impl<'a> Watcher<'a> {
-    pub fn new(counts: &'a Counts) -> Self {
-        counts.watchers.set(counts.watchers.get() + 1);
-        Watcher(counts)
+impl<'a> WatcherGuard<'a> {
+    pub fn new(counters: &'a Counters) -> Self {
+        counters.watchers.set(counters.watchers.get() + 1);
+        WatcherGuard(counters)
     }
 }
 
-impl Drop for Watcher<'_> {
+impl Drop for WatcherGuard<'_> {
     fn drop(&mut self) {
         self.0.watchers.set(self.0.watchers.get() - 1);
     }
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -1,50 +1,50 @@
-//! The list and its leases: what calls and time do to them. No input or output and no clock: times come in.
+//! The list and its leases in memory. Does no input or output and reads no clock: the caller passes the time.
 //!
-//! A call is first planned, which changes nothing; what it would change goes to disk and is applied then. So
-//! nothing is sent to anyone that a crash could take back.
+//! A call is first planned, which computes its change without changing anything. The caller writes the change
+//! to disk and then applies it. Therefore readers never receive a change that a crash could undo.
 
 mod history;
 mod leases;
 
 use gateway_protocol::list::{List, Roster, State, Target};
 use history::History;
-use leases::{Ended, Leases};
+use leases::{Expired, Leases};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A change to the list, as it goes to disk.
+/// A change of the list, as stored on disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// The entry is as given from now on, under a lease of this length.
+    /// Adds or replaces an entry, with a new lease of this length.
     Put { target: Target, lease_ms: u64 },
-    /// The entry is off the list.
+    /// Removes an entry from the list.
     Remove { uid: String },
 }
 
-/// Why a call changes nothing.
+/// Why a call is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No such start of a server is listed.
+    /// The server, or this incarnation of it, is not listed.
     Unknown,
-    /// A later start of the same server is listed.
+    /// A later incarnation of the same server is listed, with this `boot_ms`.
     Stale { listed: u64 },
 }
 
-/// What the passing of time asks for.
+/// The result of a check for expired leases.
 #[derive(Debug, Default, PartialEq)]
 pub struct Expiry {
-    /// Removals of entries whose leases have ended.
+    /// Removals of entries whose leases have expired.
     pub due: Vec<Change>,
-    /// Leases that have ended but are not acted on, since too many ended together.
+    /// The number of expired leases whose entries are kept, since too many leases expired together.
     pub suspended: usize,
 }
 
-/// What a reader with some version needs to have the present one.
+/// What a reader with a given version needs to have the current version.
 #[derive(Debug, PartialEq)]
 pub enum Update {
-    /// Nothing: it has the present version.
+    /// Nothing: the reader has the current version.
     None,
     /// The entries that changed.
     Changes(List),
@@ -52,7 +52,7 @@
     Full(List),
 }
 
-/// The list, its leases and its latest changes.
+/// The list, its leases and the history of its latest changes.
 pub struct Store {
     roster: Roster,
     leases: Leases,
@@ -60,12 +60,13 @@
 }
 
 impl Store {
-    /// Goes on from what was on disk. Leases begin anew, and none ends within `grace`: a registry that was
-    /// down heard no renewals.
+    /// Creates the store from the entries on disk, each with the length of its lease in milliseconds. All
+    /// leases start anew and none expires within `grace`, since the registry received no renewals while it
+    /// was down.
     pub fn new(version: u64, entries: Vec<(Target, u64)>, grace: Duration, now: Instant) -> Self {
         let (mut targets, mut leases) = (BTreeMap::new(), Leases::default());
         for (target, lease_ms) in entries {
-            leases.begin(&target.uid, Duration::from_millis(lease_ms), grace, now);
+            leases.grant(&target.uid, Duration::from_millis(lease_ms), grace, now);
             targets.insert(target.uid.clone(), target);
         }
         Store { roster: Roster { rev: version, targets }, leases, history: History::after(version) }
@@ -79,20 +80,20 @@
         self.roster.full_list()
     }
 
-    /// All entries with the length of their lease, as they go into a snapshot.
+    /// All entries with the length of their leases in milliseconds, as stored in a snapshot.
     pub fn entries(&self) -> Vec<(Target, u64)> {
         let targets = self.roster.targets.values();
         targets.map(|target| (target.clone(), self.leases.length_ms(&target.uid))).collect()
     }
 
-    /// How long each entry's lease still runs; none if it has ended.
+    /// The remaining time of an entry's lease; `None` if it has expired.
     pub fn remaining(&self, uid: &str, now: Instant) -> Option<Duration> {
         self.leases.remaining(uid, now)
     }
 
     // ---- Calls ----
 
-    /// The entry, if the caller is the start that is listed, or a later one.
+    /// Returns the entry if `boot_ms` is the listed incarnation or a later one.
     fn listed(&self, uid: &str, boot_ms: u64) -> Result<&Target, Refusal> {
         let listed = self.roster.targets.get(uid).ok_or(Refusal::Unknown)?;
         if listed.boot_ms > boot_ms {
@@ -101,7 +102,8 @@
         Ok(listed)
     }
 
-    /// A server announces itself. A repeated call changes nothing, and no drain is undone by the same start.
+    /// Plans the registration of a server. A repeated call changes nothing, and a call of the same
+    /// incarnation does not undo a drain.
     pub fn register(&self, target: &Target, lease_ms: u64) -> Result<Option<Change>, Refusal> {
         let mut target = Target { state: State::Ready, ..target.clone() };
         match self.listed(&target.uid, target.boot_ms) {
@@ -117,11 +119,12 @@
         Ok(Some(Change::Put { target, lease_ms }))
     }
 
-    /// A server, or an operator (without a start), wants nothing new for it.
+    /// Plans the draining of a server, so that it gets no new requests. Operators pass no `boot_ms`, which
+    /// means any incarnation.
     pub fn drain(&self, uid: &str, boot_ms: Option<u64>) -> Result<Option<Change>, Refusal> {
         let listed = self.listed(uid, boot_ms.unwrap_or(u64::MAX))?;
         if boot_ms.is_some_and(|boot| boot != listed.boot_ms) {
-            // A start that never registered has nothing to drain.
+            // An incarnation that never registered cannot be drained.
             return Err(Refusal::Unknown);
         }
         if listed.state == State::Terminating {
@@ -131,7 +134,7 @@
         Ok(Some(Change::Put { target, lease_ms: self.leases.length_ms(uid) }))
     }
 
-    /// A server, or an operator, takes the entry off the list.
+    /// Plans the removal of a server from the list. Operators pass no `boot_ms`, which means any incarnation.
     pub fn remove(&self, uid: &str, boot_ms: Option<u64>) -> Result<Change, Refusal> {
         let listed = self.listed(uid, boot_ms.unwrap_or(u64::MAX))?;
         if boot_ms.is_some_and(|boot| boot != listed.boot_ms) {
@@ -140,7 +143,7 @@
         Ok(Change::Remove { uid: uid.to_string() })
     }
 
-    /// The lease runs anew. No new version.
+    /// Renews the lease and returns its length. Does not create a new version.
     pub fn renew(&mut self, uid: &str, boot_ms: u64, now: Instant) -> Result<Duration, Refusal> {
         if self.listed(uid, boot_ms)?.boot_ms != boot_ms {
             return Err(Refusal::Unknown);
@@ -148,27 +151,28 @@
         self.leases.renew(uid, now).ok_or(Refusal::Unknown)
     }
 
-    /// What leases that have ended ask for. When most end at once the list is kept until some are renewed.
+    /// Returns the removals of entries whose leases have expired. While more than half of the leases are
+    /// expired at once, all entries are kept.
     pub fn expired(&self, now: Instant) -> Expiry {
-        match self.leases.ended(now) {
-            Ended::Most(suspended) => Expiry { due: Vec::new(), suspended },
-            Ended::Each(uids) => {
+        match self.leases.expired(now) {
+            Expired::Suspended(suspended) => Expiry { due: Vec::new(), suspended },
+            Expired::Entries(uids) => {
                 let due = uids.into_iter().map(|uid| Change::Remove { uid: uid.to_string() });
                 Expiry { due: due.collect(), suspended: 0 }
             }
         }
     }
 
-    /// A change that is on disk takes effect as the next version.
+    /// Applies a change that is on disk, as the next version.
     pub fn apply(&mut self, change: &Change, now: Instant) {
         let (uid, target) = match change {
             Change::Put { target, lease_ms } => {
-                self.leases.begin(&target.uid, Duration::from_millis(*lease_ms), Duration::ZERO, now);
+                self.leases.grant(&target.uid, Duration::from_millis(*lease_ms), Duration::ZERO, now);
                 (&target.uid, target.clone())
             }
             Change::Remove { uid } => {
                 self.leases.remove(uid);
-                (uid, gone(uid))
+                (uid, gone_entry(uid))
             }
         };
         let version = self.version() + 1;
@@ -176,15 +180,15 @@
         self.history.extend(version, [uid.clone()], self.roster.targets.len());
     }
 
-    /// Merges a full list, or changes, of another registry. Whether anything is new.
+    /// Merges a full list, or changes, of another registry. Returns whether the version changed.
     pub fn merge(&mut self, list: &List) -> bool {
         let before = self.roster.clone();
         self.roster.apply(list);
         if before.rev == 0 {
-            // Nothing is known of what came before the first list.
+            // The changes before the first list are unknown.
             self.history = History::after(list.rev);
         } else {
-            // What changed, also between two full lists.
+            // The changed entries, found by comparison so that this also works between two full lists.
             let uids: BTreeSet<&String> = before.targets.keys().chain(self.roster.targets.keys()).collect();
             let changed =
                 uids.into_iter().filter(|uid| before.targets.get(*uid) != self.roster.targets.get(*uid));
@@ -195,22 +199,22 @@
 
     // ---- Readers ----
 
-    /// What is new since a version: the entries that changed, or the full list for a reader that comes with a version
-    /// older than the history, or from a history that is not this one.
+    /// The update since a version: the entries that changed, or the full list if the version is older than
+    /// the history or newer than the current version and so not of this history.
     pub fn since(&self, version: u64) -> Update {
         if version == self.version() {
             return Update::None;
         }
         let changed = self.history.changed_after(version).filter(|_| version < self.version());
         let Some(changed) = changed else { return Update::Full(self.full_list()) };
-        let target = |uid: &String| self.roster.targets.get(uid).cloned().unwrap_or_else(|| gone(uid));
+        let target = |uid: &String| self.roster.targets.get(uid).cloned().unwrap_or_else(|| gone_entry(uid));
         let targets = changed.into_iter().map(target).collect();
         Update::Changes(List { rev: self.version(), all: false, targets })
     }
 }
 
-/// The entry that says that a server is off the list.
-fn gone(uid: &str) -> Target {
+/// An entry with [`State::Gone`], which tells readers that a server was removed.
+fn gone_entry(uid: &str) -> Target {
     Target {
         uid: uid.to_string(),
         endpoint: String::new(),
--- a/crates/registry/src/store/history.rs
+++ b/crates/registry/src/store/history.rs
@@ -1,35 +1,36 @@
-//! Which entry each of the latest versions changed, for readers that come with an older one.
+//! The entries that the latest versions changed, for readers that have an older version.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// Changes that are kept for readers who come with an older version, at least.
-pub(super) const MIN_LENGTH: usize = 1024;
+/// The smallest number of changes that the history keeps before it drops the oldest.
+pub(super) const MIN_CHANGES: usize = 1024;
 
 /// The latest changes, oldest first.
 pub struct History {
-    /// Versions and the `uid` of the entry that each changed.
+    /// The version and the `uid` of the changed entry.
     changes: VecDeque<(u64, String)>,
-    /// The version before the first of the changes.
+    /// The version before the oldest change; readers with an older version need the full list.
     oldest: u64,
 }
 
 impl History {
-    /// A history that begins after this version.
+    /// An empty history that begins after this version.
     pub fn after(version: u64) -> Self {
         History { changes: VecDeque::new(), oldest: version }
     }
 
-    /// Records that `version` changed these entries; keeps at least two changes for each of `listed` entries.
+    /// Records that `version` changed these entries. Drops the oldest changes beyond the larger of
+    /// [`MIN_CHANGES`] and twice the number of `listed` entries.
     pub fn extend(&mut self, version: u64, uids: impl IntoIterator<Item = String>, listed: usize) {
         self.changes.extend(uids.into_iter().map(|uid| (version, uid)));
-        while self.changes.len() > MIN_LENGTH.max(2 * listed) {
+        while self.changes.len() > MIN_CHANGES.max(2 * listed) {
             if let Some((version, _)) = self.changes.pop_front() {
                 self.oldest = version;
             }
         }
     }
 
-    /// The entries that changed after this version; none if the history does not go back so far.
+    /// The entries that changed after this version; `None` if the history does not go back that far.
     pub fn changed_after(&self, version: u64) -> Option<BTreeSet<&String>> {
         if version < self.oldest {
             return None;
--- a/crates/registry/src/store/leases.rs
+++ b/crates/registry/src/store/leases.rs
@@ -1,66 +1,66 @@
-//! The leases of the entries, and which of them have ended.
+//! The leases of the entries and their expiry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lists up to this size have no guard against many leases that end together.
-const MAX_UNGUARDED: usize = 3;
+/// Up to this number of leases there is no protection against mass expiry.
+const MAX_UNGUARDED_LEASES: usize = 3;
 
 struct Lease {
     length: Duration,
-    ends_at: Instant,
+    expires_at: Instant,
 }
 
-/// Leases that have ended.
+/// The expired leases.
 #[derive(Debug, PartialEq)]
-pub enum Ended<'a> {
-    /// Those of these entries.
-    Each(Vec<&'a str>),
-    /// So many at once that they are not acted on: most of the list.
-    Most(usize),
+pub enum Expired<'a> {
+    /// The `uid`s of the entries whose leases have expired.
+    Entries(Vec<&'a str>),
+    /// The number of expired leases if more than half have expired at once: their entries are kept.
+    Suspended(usize),
 }
 
-/// A lease for each entry, by its `uid`.
+/// The leases by the `uid` of their entry.
 #[derive(Default)]
 pub struct Leases(BTreeMap<String, Lease>);
 
 impl Leases {
-    /// A lease that ends at its length from now, or `min_remaining` from now if that is later.
-    pub fn begin(&mut self, uid: &str, length: Duration, min_remaining: Duration, now: Instant) {
-        self.0.insert(uid.to_string(), Lease { length, ends_at: now + length.max(min_remaining) });
+    /// Grants a lease that expires after `length`, or after `min_remaining` if that is longer.
+    pub fn grant(&mut self, uid: &str, length: Duration, min_remaining: Duration, now: Instant) {
+        self.0.insert(uid.to_string(), Lease { length, expires_at: now + length.max(min_remaining) });
     }
 
     pub fn remove(&mut self, uid: &str) {
         self.0.remove(uid);
     }
 
-    /// The lease runs anew: its length. None if there is no such lease.
+    /// Renews a lease and returns its length; `None` if there is no such lease.
     pub fn renew(&mut self, uid: &str, now: Instant) -> Option<Duration> {
         let lease = self.0.get_mut(uid)?;
-        // Renewals that cross on their way never shorten it.
-        lease.ends_at = lease.ends_at.max(now + lease.length);
+        // Renewals that arrive out of order must not shorten the lease.
+        lease.expires_at = lease.expires_at.max(now + lease.length);
         Some(lease.length)
     }
 
-    /// The length in milliseconds, as it goes to disk; 0 without a lease.
+    /// The length of the lease in milliseconds, as stored on disk; 0 without a lease.
     pub fn length_ms(&self, uid: &str) -> u64 {
         self.0.get(uid).map_or(0, |lease| lease.length.as_millis() as u64)
     }
 
-    /// How long the lease still runs; none if it has ended.
+    /// The remaining time of the lease; `None` if it has expired.
     pub fn remaining(&self, uid: &str, now: Instant) -> Option<Duration> {
-        self.0.get(uid)?.ends_at.checked_duration_since(now)
+        self.0.get(uid)?.expires_at.checked_duration_since(now)
     }
 
-    /// The leases that have ended. When most end at once it is more likely that this registry, or the network, was away
-    /// than that the fleet is gone.
-    pub fn ended(&self, now: Instant) -> Ended<'_> {
-        let ended: Vec<&str> =
-            self.0.iter().filter(|(_, lease)| lease.ends_at <= now).map(|(uid, _)| uid.as_str()).collect();
-        if self.0.len() > MAX_UNGUARDED && ended.len() * 2 > self.0.len() {
-            return Ended::Most(ended.len());
+    /// The expired leases. If more than half are expired at once, an outage of this registry or of the
+    /// network is more likely than the loss of most servers, so the entries are kept.
+    pub fn expired(&self, now: Instant) -> Expired<'_> {
+        let expired: Vec<&str> =
+            self.0.iter().filter(|(_, lease)| lease.expires_at <= now).map(|(uid, _)| uid.as_str()).collect();
+        if self.0.len() > MAX_UNGUARDED_LEASES && expired.len() * 2 > self.0.len() {
+            return Expired::Suspended(expired.len());
         }
-        Ended::Each(ended)
+        Expired::Entries(expired)
     }
 }
--- a/crates/registry/src/store/tests.rs
+++ b/crates/registry/src/store/tests.rs
@@ -9,53 +9,56 @@
         az: "a".to_string(),
         state: State::Ready,
         boot_ms,
-        ..gone(uid)
+        ..gone_entry(uid)
     }
 }
 
-const LEASE: u64 = 1000;
+const LEASE_MS: u64 = 1000;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 fn put(store: &mut Store, target: &Target, now: Instant) {
-    let change = store.register(target, LEASE).unwrap().expect("something new");
+    let change = store.register(target, LEASE_MS).unwrap().expect("something new");
     store.apply(&change, now);
 }
 
 #[test]
-fn a_repeated_call_and_a_renewal_make_no_new_version() {
+fn repeated_calls_and_renewals_create_no_new_version() {
     let now = Instant::now();
     let mut store = Store::new(7, Vec::new(), ms(0), now);
     put(&mut store, &target("s", 1, 5), now);
     assert_eq!(store.version(), 8);
-    assert_eq!(store.register(&target("s", 1, 5), LEASE), Ok(None));
-    assert_eq!(store.renew("s", 5, now + ms(400)), Ok(ms(LEASE)));
+    assert_eq!(store.register(&target("s", 1, 5), LEASE_MS), Ok(None));
+    assert_eq!(store.renew("s", 5, now + ms(400)), Ok(ms(LEASE_MS)));
     let drained = store.drain("s", Some(5)).unwrap().unwrap();
     store.apply(&drained, now);
-    assert_eq!((store.drain("s", Some(5)), store.register(&target("s", 1, 5), LEASE)), (Ok(None), Ok(None)));
+    assert_eq!(
+        (store.drain("s", Some(5)), store.register(&target("s", 1, 5), LEASE_MS)),
+        (Ok(None), Ok(None))
+    );
     assert_eq!(store.version(), 9);
 }
 
 #[test]
-fn an_old_start_ends_nothing_of_a_new_one() {
+fn calls_of_an_old_incarnation_do_not_affect_a_newer_one() {
     let now = Instant::now();
     let mut store = Store::new(0, Vec::new(), ms(0), now);
     put(&mut store, &target("s", 1, 5), now);
     put(&mut store, &target("s", 2, 6), now);
     let stale = Refusal::Stale { listed: 6 };
-    assert_eq!(store.register(&target("s", 1, 5), LEASE), Err(stale.clone()));
+    assert_eq!(store.register(&target("s", 1, 5), LEASE_MS), Err(stale.clone()));
     assert_eq!(store.renew("s", 5, now), Err(stale.clone()));
     assert_eq!(store.drain("s", Some(5)), Err(stale.clone()));
     assert_eq!(store.remove("s", Some(5)), Err(stale));
-    assert_eq!(store.renew("s", 7, now), Err(Refusal::Unknown), "a start that never registered");
+    assert_eq!(store.renew("s", 7, now), Err(Refusal::Unknown), "an incarnation that never registered");
     assert_eq!(store.remove("t", None), Err(Refusal::Unknown));
-    assert!(store.remove("s", None).is_ok(), "an operator names no start");
+    assert!(store.remove("s", None).is_ok(), "an operator names no incarnation");
 }
 
 #[test]
-fn a_late_renewal_shortens_nothing_and_a_server_that_does_not_renew_goes() {
+fn out_of_order_renewal_does_not_shorten_a_lease_and_expired_leases_are_removed() {
     let now = Instant::now();
     let mut store = Store::new(0, Vec::new(), ms(0), now);
     put(&mut store, &target("s", 1, 5), now);
@@ -67,33 +70,33 @@
 }
 
 #[test]
-fn a_restart_gives_grace_and_most_leases_ending_at_once_end_nothing() {
+fn leases_get_grace_after_a_restart_and_mass_expiry_removes_nothing() {
     let now = Instant::now();
-    let entries = (0..10).map(|n| (target(&format!("s{n}"), n, 5), LEASE)).collect();
+    let entries = (0..10).map(|n| (target(&format!("s{n}"), n, 5), LEASE_MS)).collect();
     let mut store = Store::new(0, entries, ms(5000), now);
     assert_eq!(store.expired(now + ms(4999)), Expiry::default());
     assert_eq!(store.expired(now + ms(5000)), Expiry { due: Vec::new(), suspended: 10 });
     for n in 0..5 {
         store.renew(&format!("s{n}"), 5, now + ms(5000)).unwrap();
     }
-    assert_eq!(store.expired(now + ms(5001)).due.len(), 5, "half are renewed: the others are gone");
+    assert_eq!(store.expired(now + ms(5001)).due.len(), 5, "half are renewed: the others expire");
 }
 
 #[test]
-fn a_version_that_is_too_old_or_not_of_this_history_gets_the_full_list() {
+fn version_that_is_too_old_or_not_of_this_history_gets_the_full_list() {
     let now = Instant::now();
-    let mut store = Store::new(100, vec![(target("s", 1, 5), LEASE)], ms(0), now);
+    let mut store = Store::new(100, vec![(target("s", 1, 5), LEASE_MS)], ms(0), now);
     put(&mut store, &target("t", 2, 5), now);
     assert!(matches!(store.since(99), Update::Full(l) if l.targets.len() == 2));
     assert!(matches!(store.since(102), Update::Full(_)));
     assert!(matches!(store.since(100), Update::Changes(l) if l.targets == [target("t", 2, 5)]));
     assert_eq!(store.since(101), Update::None);
-    for n in 0..2 * history::MIN_LENGTH as u64 {
+    for n in 0..2 * history::MIN_CHANGES as u64 {
         put(&mut store, &target("t", 2, 6 + n), now);
     }
     assert!(matches!(store.since(100), Update::Full(_)));
     let Update::Changes(last) = store.since(store.version() - 9) else { panic!("kept") };
-    assert_eq!(last.targets.len(), 1, "what changed often is sent once");
+    assert_eq!(last.targets.len(), 1, "an entry that changed often is sent once");
 }
 
 #[derive(Clone, Debug)]
@@ -103,9 +106,9 @@
     Drain(u8, Option<u64>),
     Remove(u8, Option<u64>),
     Pass(u64),
-    /// The registry starts again from what is on disk.
+    /// The registry restarts from its entries and version.
     Restart,
-    /// A reader, of so many, asks.
+    /// The reader with this index calls for updates.
     Read(usize),
 }
 
@@ -123,21 +126,21 @@
     ]
 }
 
-/// Readers who merge changes have the list of one who reads the full list, versions only grow, and the list is
-/// what a plain map says.
-fn play(steps: Vec<Step>) {
+/// Checks after each step that readers that merge changes have the full list, that versions never decrease,
+/// and that the list equals a simple map as its model.
+fn run_steps(steps: Vec<Step>) {
     let mut now = Instant::now();
     let mut store = Store::new(10, Vec::new(), ms(0), now);
     let mut model: BTreeMap<String, Target> = BTreeMap::new();
     let mut readers = vec![Roster::default(); 3];
-    // Follows the store by its answers; the last reader reads from it.
+    // Follows the store; the last reader reads from this follower.
     let mut follower = Store::new(0, Vec::new(), ms(0), now);
     for step in steps {
         let before = store.version();
         let name = |s: &u8| format!("s{s}");
         let change = match &step {
             Step::Register(s, port, boot) => {
-                store.register(&target(&name(s), *port, *boot), LEASE).ok().flatten()
+                store.register(&target(&name(s), *port, *boot), LEASE_MS).ok().flatten()
             }
             Step::Renew(s, boot) => {
                 let known = model.get(&name(s)).is_some_and(|t| t.boot_ms == *boot);
@@ -194,11 +197,11 @@
 }
 
 #[test]
-fn readers_of_changes_have_what_readers_of_the_full_list_have() {
+fn readers_that_merge_changes_have_the_full_list() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let run = runner.run(&vec(step(), 1..80), |steps| {
-        play(steps);
+        run_steps(steps);
         Ok(())
     });
     run.unwrap_or_else(|e| panic!("{e}"));
--- a/crates/registry/tests/golden_folder.rs
+++ b/crates/registry/tests/golden_folder.rs
@@ -1,9 +1,10 @@
-//! A folder that an earlier version wrote is read to the same list, gone on with, and written alike today.
+//! The format on disk must stay compatible: a folder written by an earlier version must be read as the same
+//! list, accept further changes, and be written with the same bytes today.
 //!
-//! `golden/empty` is a folder as the very first start leaves it, `golden/list` one with a snapshot and a log that came
-//! of it by the calls below, `golden/list.json` what its readers get, and `golden/appended.txt` the record of one
-//! more call. None may change. `GOLDEN=write cargo test -p sprucehatch-registry --test golden_folder` writes all but
-//! the first anew: only after a change of the format that is meant.
+//! `golden/empty` is a folder after the very first start. `golden/list` has a snapshot and a log, created
+//! from it by the calls below. `golden/list.json` is the list that its readers get, and `golden/appended.txt`
+//! the record of one more call. None may change. `GOLDEN=write cargo test -p sprucehatch-registry --test
+//! golden_folder` rewrites all but the first, which is only valid after an intended change of the format.
 
 use gateway_test_support::golden::assert_golden;
 use gateway_test_support::{folder, logged, Client};
@@ -16,10 +17,10 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sprucehatch-registry");
 const FILES: [&str; 2] = ["snapshot", "log"];
-/// Bytes before the payload of a record.
-const HEADER: usize = 12;
-/// With so many records in the log a snapshot takes its place.
-const RECORDS: u64 = 4096;
+/// The length of a record header.
+const HEADER_BYTES: usize = 12;
+/// A snapshot replaces the log when the log has this many records.
+const SNAPSHOT_RECORDS: u64 = 4096;
 
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
@@ -29,16 +30,16 @@
     std::env::var("GOLDEN").is_ok_and(|what| what == "write")
 }
 
-/// A folder, gone at the end.
-struct Kept(PathBuf);
+/// A folder for one test, removed when dropped.
+struct TestFolder(PathBuf);
 
-impl Kept {
+impl TestFolder {
     fn copy(name: &str) -> Self {
-        let kept = Kept(folder());
+        let folder_copy = TestFolder(folder());
         for file in FILES {
-            fs::copy(golden(name).join(file), kept.0.join(file)).expect("a copy");
+            fs::copy(golden(name).join(file), folder_copy.0.join(file)).expect("a copy");
         }
-        kept
+        folder_copy
     }
 
     fn read(&self, file: &str) -> Vec<u8> {
@@ -46,7 +47,7 @@
     }
 }
 
-impl Drop for Kept {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -104,9 +105,10 @@
     }
 }
 
-/// Calls that lead from the empty folder to the golden list: a snapshot, and a log with a record of each kind.
+/// Makes the calls that lead from the empty folder to the golden one: a snapshot, and a log with records of
+/// each kind.
 fn fill(registry: &mut Registry) {
-    for start in 0..RECORDS {
+    for start in 0..SNAPSHOT_RECORDS {
         registry.register(1 + start % 3, 1 + start);
     }
     registry.call("POST", "s-2/drain", "");
@@ -115,59 +117,59 @@
 }
 
 #[test]
-fn the_same_calls_write_the_same_bytes() {
-    let kept = Kept::copy("empty");
-    let mut registry = Registry::start(&kept.0);
+fn same_calls_write_the_same_bytes() {
+    let folder_copy = TestFolder::copy("empty");
+    let mut registry = Registry::start(&folder_copy.0);
     fill(&mut registry);
     drop(registry);
     for file in FILES {
         if writes() {
             fs::create_dir_all(golden("list")).expect("a folder");
-            fs::copy(kept.0.join(file), golden("list").join(file)).expect("a copy");
+            fs::copy(folder_copy.0.join(file), golden("list").join(file)).expect("a copy");
         }
-        assert!(kept.read(file) == fs::read(golden("list").join(file)).expect("committed"), "{file}");
+        assert!(folder_copy.read(file) == fs::read(golden("list").join(file)).expect("committed"), "{file}");
     }
-    assert!(kept.read("snapshot").len() > 200 && kept.read("log").len() > 3 * HEADER);
+    assert!(folder_copy.read("snapshot").len() > 200 && folder_copy.read("log").len() > 3 * HEADER_BYTES);
 }
 
 #[test]
-fn an_earlier_folder_is_read_to_the_same_list_and_gone_on_with() {
-    let kept = Kept::copy("list");
-    let before = kept.read("log");
-    let mut registry = Registry::start(&kept.0);
+fn folder_of_an_earlier_version_is_read_and_extended() {
+    let folder_copy = TestFolder::copy("list");
+    let before = folder_copy.read("log");
+    let mut registry = Registry::start(&folder_copy.0);
     assert_golden(env!("CARGO_MANIFEST_DIR"), "list.json", &registry.list());
     registry.register(5, 8);
-    let after = kept.read("log");
+    let after = folder_copy.read("log");
     assert!(after.starts_with(&before));
     let record = &after[before.len()..];
-    let (header, payload) = record.split_at(HEADER);
+    let (header, payload) = record.split_at(HEADER_BYTES);
     let hex: String = header.iter().map(|byte| format!("{byte:02x}")).collect();
     let text = format!("{hex}\n{}\n", std::str::from_utf8(payload).expect("JSON"));
     assert_golden(env!("CARGO_MANIFEST_DIR"), "appended.txt", &text);
     let list = registry.list();
     drop(registry);
-    assert_eq!(Registry::start(&kept.0).list(), list);
+    assert_eq!(Registry::start(&folder_copy.0).list(), list);
 }
 
-/// How the program ends on a folder that it does not take.
-fn refused(kept: &Kept) -> Output {
-    let output = command(&kept.0).output().expect("it runs");
+/// Runs the program on a folder that it must reject, and returns its output.
+fn refused(folder_copy: &TestFolder) -> Output {
+    let output = command(&folder_copy.0).output().expect("it runs");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     output
 }
 
 #[test]
-fn a_folder_of_another_program_is_refused() {
+fn rejects_a_folder_that_is_damaged_or_not_its_own() {
     for file in FILES {
-        let kept = Kept::copy("list");
-        let mut bytes = kept.read(file);
-        bytes[..HEADER].copy_from_slice(b"not of ours!");
-        fs::write(kept.0.join(file), bytes).expect("written");
-        let told = String::from_utf8(refused(&kept).stderr).expect("text");
+        let folder_copy = TestFolder::copy("list");
+        let mut bytes = folder_copy.read(file);
+        bytes[..HEADER_BYTES].copy_from_slice(b"not of ours!");
+        fs::write(folder_copy.0.join(file), bytes).expect("written");
+        let told = String::from_utf8(refused(&folder_copy).stderr).expect("text");
         assert!(told.contains("is damaged"), "{file}: {told}");
     }
-    let kept = Kept::copy("list");
-    fs::remove_file(kept.0.join("snapshot")).expect("it is there");
-    let told = String::from_utf8(refused(&kept).stderr).expect("text");
+    let folder_copy = TestFolder::copy("list");
+    fs::remove_file(folder_copy.0.join("snapshot")).expect("it is there");
+    let told = String::from_utf8(refused(&folder_copy).stderr).expect("text");
     assert!(told.contains("no snapshot"), "{told}");
 }
--- a/crates/registry/tests/golden_texts.rs
+++ b/crates/registry/tests/golden_texts.rs
@@ -1,4 +1,4 @@
-//! Keys of the settings, and the command line, stay as they were.
+//! The keys of the settings and the command line must not change.
 
 use gateway_test_support::golden::{assert_golden, schema_rules};
 use std::process::Command;
@@ -6,7 +6,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sprucehatch-registry");
 
 #[test]
-fn settings_and_command_line_are_as_they_were() {
+fn settings_and_command_line_are_unchanged() {
     let printed = |argument: &str| {
         let output = Command::new(PROGRAM).arg(argument).output().expect("it runs");
         assert!(output.status.success(), "{argument}");
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry as a program on loopback, with a gateway, servers and readers around it.
+//! Runs the registry as a process on loopback, with a gateway, servers and readers.
 
 use gateway_protocol::list::{List, State};
 use gateway_test_support::{ask, folder, Backend, Client, Gateway, Message, Setup, LIMIT};
@@ -19,7 +19,7 @@
 }
 
 impl Registry {
-    /// One that serves another's list.
+    /// Starts a registry that follows the one at `address`.
     fn following(address: SocketAddr) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-registry"));
         command.args(["--follow", &address.to_string(), "--readers", "127.0.0.1:0"]);
@@ -31,7 +31,7 @@
     }
 }
 
-/// A file for the configuration, in the folder of the list.
+/// Writes a configuration file into the folder of the list.
 fn file(dir: &Path, text: &str) -> PathBuf {
     let path = dir.join("registry.toml");
     std::fs::write(&path, text).expect("written");
@@ -50,7 +50,7 @@
 }
 
 const ANY_SERVER: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 impl Registry {
     fn of(mut command: Command) -> Self {
@@ -58,7 +58,7 @@
         let log = BufReader::new(child.stderr.take().expect("piped"));
         let (line, lines) = channel();
         thread::spawn(move || log.lines().map_while(Result::ok).for_each(|l| drop(line.send(l))));
-        Registry { child, readers: ANY, registrars: ANY, operators: ANY, log: lines }
+        Registry { child, readers: ANY_PORT, registrars: ANY_PORT, operators: ANY_PORT, log: lines }
     }
 
     fn start(dir: &Path, at: [SocketAddr; 3]) -> Self {
@@ -74,7 +74,7 @@
     }
 
     fn new(dir: &Path) -> Self {
-        Registry::start(dir, [ANY; 3])
+        Registry::start(dir, [ANY_PORT; 3])
     }
 
     fn address_after(&self, what: &str) -> SocketAddr {
@@ -98,7 +98,7 @@
         self.call("PUT", &format!("/v1/registrations/{uid}"), &body)
     }
 
-    /// A reader's call, not yet answered.
+    /// Sends a reader's call without waiting for the response.
     fn reader(&self, query: &str) -> Client {
         let mut reader = Client::to(self.readers);
         reader.send(&format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: r\r\n\r\n"));
@@ -106,7 +106,7 @@
     }
 
     fn list(&self, query: &str) -> List {
-        parsed(&self.reader(query).answer())
+        parse_list(&self.reader(query).answer())
     }
 
     fn figure(&self, name: &str) -> u64 {
@@ -128,28 +128,28 @@
     }
 }
 
-fn parsed(answer: &Message) -> List {
+fn parse_list(answer: &Message) -> List {
     assert_eq!(answer.status(), 200, "{answer:?}");
     List::parse(&answer.body).expect("a list")
 }
 
-/// A folder for the list, gone at the end.
-struct Kept(PathBuf);
+/// A folder for the list, removed when dropped.
+struct TestFolder(PathBuf);
 
-impl Drop for Kept {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-const LONG: u64 = 600_000;
+const LONG_LEASE_MS: u64 = 600_000;
 
 #[test]
-fn a_gateway_serves_what_registers_and_loses_no_request_over_drains_and_a_killed_registry() {
-    let kept = Kept(folder());
-    let mut registry = Registry::new(&kept.0);
+fn gateway_loses_no_request_over_drains_and_a_killed_registry() {
+    let folder_guard = TestFolder(folder());
+    let mut registry = Registry::new(&folder_guard.0);
     let (one, two) = (Backend::good(), Backend::good());
-    assert_eq!(registry.register("s-1", one.address, 1, LONG).status(), 200);
+    assert_eq!(registry.register("s-1", one.address, 1, LONG_LEASE_MS).status(), 200);
     let gateway = Gateway::at(registry.readers, Setup::default());
     let mut client = gateway.client();
     let mut served = |n: usize| {
@@ -157,25 +157,25 @@
             assert_eq!(client.ask(&ask("quote").text()).status(), 200);
         }
     };
-    // Until the list is in, a request waits for a server.
+    // Requests wait for a server until the gateway has the list.
     served(5);
-    registry.register("s-2", two.address, 1, LONG);
+    registry.register("s-2", two.address, 1, LONG_LEASE_MS);
     while two.untouched() {
         served(1);
     }
     let before = registry.list("").rev;
     let at = [registry.readers, registry.registrars, registry.operators];
-    // Killed outright: the gateway goes on with its list, and the registry with its own.
+    // After a SIGKILL the gateway continues with its list, and the restarted registry with the list on disk.
     registry.child.kill().expect("it runs");
     registry.child.wait().expect("it ends");
     served(20);
-    registry = Registry::start(&kept.0, at);
+    registry = Registry::start(&folder_guard.0, at);
     let after = registry.list("");
     assert_eq!((after.rev, after.targets.len()), (before, 2));
     assert_eq!(registry.call("POST", "/v1/registrations/s-1/drain", r#"{"boot_ms":1}"#).status(), 200);
     let drained = registry.list("");
     assert!(drained.rev > before && drained.targets[0].state == State::Terminating);
-    // The gateway calls again by itself; once it has heard, nothing goes to the drained one.
+    // The gateway reconnects by itself; once it has the update, it sends nothing to the drained server.
     while registry.figure("watchers") == 0 {
         served(1);
     }
@@ -191,10 +191,10 @@
 }
 
 #[test]
-fn bad_calls_say_why_and_change_nothing() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
-    registry.register("s-1", ANY, 5, LONG);
+fn invalid_calls_get_a_reason_and_change_nothing() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
+    registry.register("s-1", ANY_PORT, 5, LONG_LEASE_MS);
     let rev = registry.list("").rev;
     let good = r#"{"endpoint":"127.0.0.1:1","boot_ms":5,"lease_ms":1000}"#;
     let one = "/v1/registrations/s-1";
@@ -231,47 +231,46 @@
     {
         assert_eq!(registry.reader(query).answer().status(), status, "{query}");
     }
-    // A repeated call and a renewal are no changes either.
-    assert_eq!(registry.register("s-1", ANY, 5, LONG).status(), 200);
+    // A repeated call and a renewal create no new version either.
+    assert_eq!(registry.register("s-1", ANY_PORT, 5, LONG_LEASE_MS).status(), 200);
     assert_eq!(registry.call("POST", "/v1/registrations/s-1/renew", r#"{"boot_ms":5}"#).status(), 200);
     assert_eq!((registry.list("").rev, registry.figure("renewals")), (rev, 1));
 }
 
 #[test]
-fn hundreds_of_watchers_get_one_change_encoded_once_and_are_answered_at_the_end() {
-    let kept = Kept(folder());
-    let mut registry = Registry::new(&kept.0);
+fn change_is_encoded_once_for_all_watchers_and_watches_are_answered_at_shutdown() {
+    let folder_guard = TestFolder(folder());
+    let mut registry = Registry::new(&folder_guard.0);
     let rev = registry.list("").rev;
     let query = format!("?since={rev}&timeout_ms=60000");
     let mut watchers: Vec<Client> = (0..300).map(|_| registry.reader(&query)).collect();
     while registry.figure("watchers") < 300 {}
     let encodings = registry.figure("encodings");
-    registry.register("s-1", ANY, 5, LONG);
+    registry.register("s-1", ANY_PORT, 5, LONG_LEASE_MS);
     for w in &mut watchers {
-        let list = parsed(&w.answer());
+        let list = parse_list(&w.answer());
         assert_eq!((list.all, list.rev, list.targets.len()), (false, rev + 1, 1));
     }
     assert_eq!(registry.figure("encodings"), encodings + 1);
-    // Who comes with a version from another history gets the full list, also if it is a later one.
+    // A reader with a version from another history gets the full list, also if its version is a later one.
     for other in [1, rev + 1000] {
         assert!(registry.list(&format!("?since={other}&timeout_ms=60000")).all);
     }
-    // Nothing new within the time: an answer that says so.
+    // Without a change the watch ends with an empty list of changes.
     let list = registry.list(&format!("?since={}&timeout_ms=10", rev + 1));
     assert_eq!((list.all, list.rev, list.targets.len()), (false, rev + 1, 0));
     let mut waits = registry.reader(&format!("?since={}&timeout_ms=60000", rev + 1));
     while registry.figure("watchers") == 0 {}
     registry.signal("-TERM");
-    assert_eq!(parsed(&waits.answer()).rev, rev + 1);
+    assert_eq!(parse_list(&waits.answer()).rev, rev + 1);
     assert!(registry.child.wait().expect("it ends").success());
 }
 
-/// A gateway reads at a follower of a follower, and goes on over the loss of either and of the first registry.
 #[test]
-fn readers_that_come_all_at_once_get_turns_one_after_the_other_and_full_lists_go_first() {
+fn rate_limit_spreads_retries_of_simultaneous_readers_and_prefers_full_lists() {
     let dir = folder();
-    // Each call takes half a second of its time: three wait no longer than a second.
-    let registry = Registry::with(&dir, [ANY; 3], &["--calls-per-s", "2"]);
+    // At 2 calls a second, three calls wait no longer than 1 s.
+    let registry = Registry::with(&dir, [ANY_PORT; 3], &["--calls-per-s", "2"]);
     assert_eq!(registry.register("s-1", ANY_SERVER, 7, 60_000).status(), 200);
     let calls: Vec<Client> = (0..12).map(|_| registry.reader("")).collect();
     let answers: Vec<Message> = calls.into_iter().map(|mut call| call.answer()).collect();
@@ -279,22 +278,24 @@
     let mut turns: Vec<f64> =
         answers.iter().filter_map(|answer| answer.header("retry-after")?.parse().ok()).collect();
     turns.sort_by(f64::total_cmp);
-    // A busy machine makes the calls come later, and more of them are served.
+    // On a busy machine the calls arrive later, and more of them are served.
     assert!((3..12).contains(&served) && served + turns.len() == 12, "{served} served, {turns:?}");
-    assert!(turns.windows(2).all(|two| two[1] > two[0]), "each has its own: {turns:?}");
+    assert!(turns.windows(2).all(|two| two[1] > two[0]), "all delays differ: {turns:?}");
     assert_eq!(registry.figure("turned_away"), turns.len() as u64);
-    // The queue is as long as it may be for full lists, so that a watch has to wait for its turn.
+    // The queue is longer than the limit for watches, so a watch is rejected.
     let (first, watch) = (registry.reader(""), registry.reader("?since=1&timeout_ms=1"));
     let status = |mut call: Client| call.answer().status();
     assert!(status(watch) == 503 || status(first) == 200, "full lists go first");
 }
 
+/// A gateway reads from a follower of a follower and continues after the loss of either and of the first
+/// registry.
 #[test]
-fn followers_serve_the_list_on_and_keep_it_while_the_one_they_follow_is_gone() {
-    let kept = Kept(folder());
-    let mut first = Registry::new(&kept.0);
+fn followers_serve_the_list_and_keep_it_while_the_followed_registry_is_down() {
+    let folder_guard = TestFolder(folder());
+    let mut first = Registry::new(&folder_guard.0);
     let (one, two) = (Backend::good(), Backend::good());
-    first.register("s-1", one.address, 1, LONG);
+    first.register("s-1", one.address, 1, LONG_LEASE_MS);
     let second = Registry::following(first.readers);
     let third = Registry::following(second.readers);
     let fallbacks = vec![second.readers];
@@ -306,10 +307,10 @@
         }
     };
     served(5);
-    // The same versions, and a path that tells through whom they came.
+    // The versions are the same, and the path names the three registries that the list passed through.
     let rev = first.list("").rev;
     let answer = third.reader("").answer();
-    assert_eq!(parsed(&answer).rev, rev);
+    assert_eq!(parse_list(&answer).rev, rev);
     assert_eq!(answer.header("list-path").expect("a path").split(',').count(), 3);
     let at = [first.readers, first.registrars, first.operators];
     first.child.kill().expect("it runs");
@@ -318,13 +319,13 @@
     assert_eq!(second.list("").rev, rev);
     let before = second.figure("confirmed_ms");
     while second.figure("confirmed_ms") <= before {}
-    first = Registry::start(&kept.0, at);
-    first.register("s-2", two.address, 1, LONG);
+    first = Registry::start(&folder_guard.0, at);
+    first.register("s-2", two.address, 1, LONG_LEASE_MS);
     while two.untouched() {
         served(1);
     }
     assert_eq!(third.list("").rev, rev + 1);
-    // The gateway's own list address goes: its other one serves.
+    // The gateway's first list address is down: it uses the fallback.
     drop(third);
     first.call("DELETE", "/v1/registrations/s-1", "");
     while gateway.figure("/list/version") < rev + 2 {
@@ -334,12 +335,12 @@
     assert_eq!(gateway.figure("/discovered"), 1);
 }
 
-/// All that watched a registry which was killed call the next one together.
+/// After a kill all watchers call the restarted registry at the same time.
 #[test]
-fn hundreds_that_reconnect_after_a_kill_watch_on_from_their_version() {
-    let kept = Kept(folder());
-    let mut registry = Registry::new(&kept.0);
-    registry.register("s-1", ANY, 1, LONG);
+fn watchers_continue_from_their_version_after_the_registry_was_killed() {
+    let folder_guard = TestFolder(folder());
+    let mut registry = Registry::new(&folder_guard.0);
+    registry.register("s-1", ANY_PORT, 1, LONG_LEASE_MS);
     let rev = registry.list("").rev;
     let query = format!("?since={rev}&timeout_ms=60000");
     let watchers: Vec<Client> = (0..300).map(|_| registry.reader(&query)).collect();
@@ -348,24 +349,25 @@
     registry.child.kill().expect("it runs");
     registry.child.wait().expect("it ends");
     drop(watchers);
-    registry = Registry::start(&kept.0, at);
+    registry = Registry::start(&folder_guard.0, at);
     let mut watchers: Vec<Client> = (0..300).map(|_| registry.reader(&query)).collect();
     while registry.figure("watchers") < 300 {}
-    assert_eq!(registry.figure("encodings"), 0, "nobody needs the full list again");
-    registry.register("s-2", ANY, 1, LONG);
+    assert_eq!(registry.figure("encodings"), 0, "no watcher needs the full list again");
+    registry.register("s-2", ANY_PORT, 1, LONG_LEASE_MS);
     for w in &mut watchers {
-        assert_eq!(parsed(&w.answer()).targets.len(), 1);
+        assert_eq!(parse_list(&w.answer()).targets.len(), 1);
     }
     assert_eq!(registry.figure("encodings"), 1);
 }
 
-/// One that asks and asks and reads nothing: the others are served, and what it asked for is not heaped up.
+/// A reader sends many requests and reads no response: other readers are served, and the pending responses do
+/// not pile up in memory.
 #[test]
-fn a_reader_that_takes_nothing_delays_none_and_costs_little() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
+fn reader_that_reads_nothing_does_not_delay_others_or_use_much_memory() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
     for n in 0..200 {
-        registry.register(&format!("s-{n}"), ANY, 1, LONG);
+        registry.register(&format!("s-{n}"), ANY_PORT, 1, LONG_LEASE_MS);
     }
     let mut stuck = Client::to(registry.readers);
     stuck.send(&"GET /v1/endpoints HTTP/1.1\r\nHost: r\r\n\r\n".repeat(3000));
@@ -380,9 +382,9 @@
 }
 
 #[test]
-fn readers_that_leave_or_end_their_half_are_forgotten() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
+fn watchers_that_disconnect_or_half_close_are_removed() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
     let query = format!("?since={}&timeout_ms=60000", registry.list("").rev);
     let (left, half, stays) = (registry.reader(&query), registry.reader(&query), registry.reader(&query));
     while registry.figure("watchers") < 3 {}
@@ -393,17 +395,17 @@
     while registry.figure("watchers") > 0 {}
 }
 
-/// A server starts again under its name at another address while the lease of its old start still runs.
+/// A server restarts under its name at another address while the lease of its old incarnation is still valid.
 #[test]
-fn a_new_start_takes_over_and_the_old_one_can_end_nothing() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
+fn new_incarnation_takes_over_and_calls_of_the_old_one_are_rejected() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
     let (old, new) = (Backend::good(), Backend::good());
-    registry.register("s-1", old.address, 1, LONG);
+    registry.register("s-1", old.address, 1, LONG_LEASE_MS);
     let gateway = Gateway::at(registry.readers, Setup { ops: true, ..Setup::default() });
     let mut client = gateway.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
-    assert_eq!(registry.register("s-1", new.address, 2, LONG).status(), 200);
+    assert_eq!(registry.register("s-1", new.address, 2, LONG_LEASE_MS).status(), 200);
     let rev = registry.list("").rev;
     for (method, path) in [
         ("POST", "/v1/registrations/s-1/renew"),
@@ -412,7 +414,7 @@
     ] {
         assert_eq!(registry.call(method, path, r#"{"boot_ms":1}"#).status(), 409, "{method} {path}");
     }
-    assert_eq!(registry.register("s-1", old.address, 1, LONG).status(), 409);
+    assert_eq!(registry.register("s-1", old.address, 1, LONG_LEASE_MS).status(), 409);
     while gateway.figure("/list/version") < rev {}
     let _ = old.requests.try_iter().count();
     for _ in 0..10 {
@@ -421,13 +423,14 @@
     assert!(old.untouched() && !new.untouched() && registry.list("").rev == rev);
 }
 
-/// A file that may not grow stands in for a full disk.
+/// A file size limit simulates a full disk.
 #[test]
-fn a_full_disk_refuses_changes_and_serves_readers_and_nothing_confirmed_is_lost() {
-    let kept = Kept(folder());
-    let program = command(&kept.0, [ANY; 3], &[]);
+fn full_disk_rejects_changes_serves_readers_and_loses_nothing_confirmed() {
+    let folder_guard = TestFolder(folder());
+    let program = command(&folder_guard.0, [ANY_PORT; 3], &[]);
     let mut shell = Command::new("/bin/sh");
-    // 8 blocks of 512 bytes; a write beyond is an error, not a signal.
+    // The limit is 8 blocks of 512 bytes; with XFSZ ignored a write beyond it fails with an error, not a
+    // signal.
     shell.args(["-c", "trap '' XFSZ; ulimit -f 8; exec \"$0\" \"$@\""]).arg(program.get_program());
     shell.args(program.get_args());
     let mut registry = Registry::of(shell);
@@ -435,46 +438,46 @@
     registry.registrars = registry.address_after("Registrars call at ");
     registry.operators = registry.address_after("Operators call at ");
     let mut confirmed = 0;
-    while registry.register(&format!("s-{confirmed}"), ANY, 1, LONG).status() == 200 {
+    while registry.register(&format!("s-{confirmed}"), ANY_PORT, 1, LONG_LEASE_MS).status() == 200 {
         confirmed += 1;
         assert!(confirmed < 1000, "the disk never fills");
     }
     assert!(confirmed > 0);
     let before = registry.list("");
-    assert_eq!(registry.register("late", ANY, 1, LONG).status(), 507);
+    assert_eq!(registry.register("late", ANY_PORT, 1, LONG_LEASE_MS).status(), 507);
     assert_eq!(registry.call("DELETE", "/v1/registrations/s-0", "").status(), 507);
     assert_eq!(registry.call("POST", "/v1/registrations/s-0/renew", r#"{"boot_ms":1}"#).status(), 200);
     assert_eq!((registry.list(""), registry.figure("disk_failures")), (before.clone(), 3));
     drop(registry);
-    let registry = Registry::new(&kept.0);
+    let registry = Registry::new(&folder_guard.0);
     assert_eq!((registry.list(""), before.targets.len()), (before, confirmed));
-    assert_eq!(registry.register("late", ANY, 1, LONG).status(), 200, "there is room again");
+    assert_eq!(registry.register("late", ANY_PORT, 1, LONG_LEASE_MS).status(), 200, "there is room again");
 }
 
-/// A watch that begins between two changes, before the first has been published.
+/// A watch begins between two changes, before the first is published.
 #[test]
-fn a_watch_from_the_version_of_a_change_just_made_waits_for_the_next() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
+fn watch_from_an_unpublished_version_waits_for_the_next_change() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
     let mut rev = registry.list("").rev;
     for n in 0..10 {
-        registry.register("s-1", ANY, n, LONG);
+        registry.register("s-1", ANY_PORT, n, LONG_LEASE_MS);
         rev += 1;
         let mut reader = registry.reader(&format!("?since={rev}&timeout_ms=60000"));
-        registry.register("s-2", ANY, n, LONG);
+        registry.register("s-2", ANY_PORT, n, LONG_LEASE_MS);
         rev += 1;
-        let list = parsed(&reader.answer());
+        let list = parse_list(&reader.answer());
         assert_eq!((list.rev, list.all), (rev, false));
         assert_eq!(list.targets.iter().map(|t| t.uid.as_str()).collect::<Vec<_>>(), ["s-2"]);
     }
 }
 
 #[test]
-fn a_server_that_renews_no_more_leaves_the_list() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
-    registry.register("s-1", ANY, 5, LONG);
-    registry.register("s-2", ANY, 5, 100);
+fn server_without_renewals_is_removed_from_the_list() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
+    registry.register("s-1", ANY_PORT, 5, LONG_LEASE_MS);
+    registry.register("s-2", ANY_PORT, 5, 100);
     let mut rev = 0;
     loop {
         let list = registry.list(&format!("?since={rev}&timeout_ms=60000"));
@@ -488,10 +491,10 @@
 }
 
 #[test]
-fn bad_options_and_a_damaged_log_end_the_start_with_a_message() {
-    let kept = Kept(folder());
+fn start_fails_with_a_message_for_invalid_options_or_a_damaged_log() {
+    let folder_guard = TestFolder(folder());
     let run = |dir: &Path, more: &[&str]| {
-        let out = command(dir, [ANY; 3], more).output().expect("it runs");
+        let out = command(dir, [ANY_PORT; 3], more).output().expect("it runs");
         assert!(!out.status.success());
         String::from_utf8(out.stderr).expect("text")
     };
@@ -503,25 +506,25 @@
         (&["--follow", "127.0.0.1:1"], "follow goes without dir, registrars and grace_ms"),
         (&["more"], "unrecognized subcommand 'more'"),
     ] {
-        let text = run(&kept.0, more);
+        let text = run(&folder_guard.0, more);
         assert!(text.contains(expected), "{more:?}: {text}");
     }
-    let registry = Registry::new(&kept.0);
-    registry.register("s-1", ANY, 5, LONG);
-    registry.register("s-2", ANY, 5, LONG);
+    let registry = Registry::new(&folder_guard.0);
+    registry.register("s-1", ANY_PORT, 5, LONG_LEASE_MS);
+    registry.register("s-2", ANY_PORT, 5, LONG_LEASE_MS);
     drop(registry);
-    let log = kept.0.join("log");
+    let log = folder_guard.0.join("log");
     let mut text = std::fs::read(&log).expect("a log");
     text[20] ^= 1;
     OpenOptions::new().write(true).open(&log).and_then(|mut f| f.write_all(&text)).expect("written");
-    assert!(run(&kept.0, &[]).contains("the log is damaged at byte 0"));
+    assert!(run(&folder_guard.0, &[]).contains("the log is damaged at byte 0"));
 }
 
 #[test]
-fn the_configuration_is_checked_completely_and_the_command_line_overrides_it() {
-    let kept = Kept(folder());
+fn check_config_reports_all_errors_and_the_command_line_overrides_the_file() {
+    let folder_guard = TestFolder(folder());
     let check = |text: &str, more: &[&str]| {
-        let path = file(&kept.0, text);
+        let path = file(&folder_guard.0, text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-registry"));
         let out = command.arg("check-config").arg("--config").arg(path).args(more).output().expect("it runs");
         let text = [out.stdout, out.stderr].concat();
@@ -541,13 +544,13 @@
     let wrong = "dir = \"list\"\nreaders = \"nowhere\"\n";
     assert_eq!(check(wrong, &[]).0, Some(1));
     assert_eq!(check(wrong, &["--readers", "127.0.0.1:0"]).0, Some(0));
-    assert!(!kept.0.join("list").exists(), "nothing was started");
+    assert!(!folder_guard.0.join("list").exists(), "nothing was started");
 }
 
 #[test]
-fn the_level_of_the_log_changes_while_the_registry_runs() {
-    let kept = Kept(folder());
-    let registry = Registry::new(&kept.0);
+fn log_level_can_be_changed_at_run_time() {
+    let folder_guard = TestFolder(folder());
+    let registry = Registry::new(&folder_guard.0);
     let call = |method: &str, path: &str| {
         Client::to(registry.operators).ask(&format!("{method} {path} HTTP/1.1\r\nHost: r\r\n\r\n"))
     };
