--- a/crates/program-support/src/config.rs
+++ b/crates/program-support/src/config.rs
@@ -1,10 +1,10 @@
-//! Reading a configuration: TOML, or the platform's JSON. All faults are reported at once, each with file, key, value
-//! and what is wanted there.
+//! Reads configuration files, in TOML or in the platform's JSON. All errors are reported at once, each with
+//! the file, the key, the value and the expected value.
 //!
-//! The types of a program say what its configuration holds; their JSON schema is generated, and what a file says is
-//! checked against it before it is read into the types. The keywords used are those that the generator writes for
-//! such types. Rejected for the programs, and used as the judge in the tests: a complete validator of JSON schema,
-//! which brings more code than the gateway itself.
+//! The types of a program define its configuration. Their JSON schema is generated, and the content of a file
+//! is checked against it before it is deserialized. The check supports the schema keywords that the generator
+//! writes for such types. A complete JSON schema validator would add more code than the gateway itself has,
+//! so it is used only in the tests, to verify this check.
 
 mod check;
 mod expectation;
@@ -24,20 +24,20 @@
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
-/// A configuration as a program reads it.
+/// A loaded configuration.
 pub struct Loaded<T> {
-    /// The program's types.
+    /// The configuration in the types of the program.
     pub settings: T,
-    /// What the file said, with the defaults under it.
+    /// The content of the file, on top of the defaults.
     pub value: Value,
 }
 
-/// Reads a TOML or JSON file into the program's types, on top of `defaults`, and checks all of it. For files that staff
-/// write: unknown keys are rejected.
+/// Reads a TOML or JSON file into the types of a program, on top of `defaults` (TOML), and validates all of
+/// it. Unknown keys are rejected, since these files are written by operators.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or holds faults; each is named with the file.
+/// The file cannot be read, or its content is invalid. Each message names the file.
 pub fn load<T>(path: &Path, defaults: &str) -> Result<Loaded<T>, Errors>
 where
     T: JsonSchema + serde::de::DeserializeOwned,
@@ -46,11 +46,11 @@
     from_text(&text, FileFormat::of(path), defaults).map_err(|wrong| wrong.in_file(path))
 }
 
-/// As [`load`], of a text.
+/// Like [`load`], for the content of a file.
 ///
 /// # Errors
 ///
-/// The faults of the text.
+/// All errors in the text.
 pub fn from_text<T>(text: &[u8], form: FileFormat, defaults: &str) -> Result<Loaded<T>, Errors>
 where
     T: JsonSchema + serde::de::DeserializeOwned,
@@ -60,11 +60,11 @@
     from_value(value)
 }
 
-/// As [`load`], of what a text says.
+/// Like [`load`], for a parsed file with the defaults already merged.
 ///
 /// # Errors
 ///
-/// The faults of the value.
+/// All errors in the value.
 pub fn from_value<T>(value: Value) -> Result<Loaded<T>, Errors>
 where
     T: JsonSchema + serde::de::DeserializeOwned,
@@ -74,11 +74,12 @@
     Ok(Loaded { settings, value })
 }
 
-/// The one file that holds the configuration, of those that the command line and the environment name.
+/// Returns the path of the configuration file, from the command line (`argument`) or the environment
+/// (`variable`).
 ///
 /// # Errors
 ///
-/// Both name one, and not the same.
+/// Both are set, to different paths.
 pub fn configuration_path(argument: Option<PathBuf>, variable: &str) -> Result<Option<PathBuf>, Errors> {
     let from_environment = std::env::var_os(variable).filter(|v| !v.is_empty()).map(PathBuf::from);
     match (argument, from_environment) {
--- a/crates/program-support/src/config/check.rs
+++ b/crates/program-support/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a value against a schema and reports all faults at once.
+//! Checks a value against a schema and reports all errors at once.
 
 use super::expectation::{describe, fault};
 use super::key_path::join;
@@ -7,12 +7,12 @@
 use schemars::Schema;
 use serde_json::{Map, Value};
 
-/// What becomes of keys that a schema does not name.
+/// How keys that are not in the schema are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownKeys {
-    /// They are faults: for files that staff write.
+    /// Unknown keys are errors. For files that operators write.
     Rejected,
-    /// They are ignored: for files that the platform writes.
+    /// Unknown keys are ignored. For files that the platform writes.
     Ignored,
 }
 
@@ -20,16 +20,16 @@
 ///
 /// # Errors
 ///
-/// All faults of the value.
+/// All errors in the value.
 pub fn check(schema: &Schema, value: &Value, unknown: UnknownKeys) -> Result<(), Errors> {
     check_at(schema, value, "", unknown)
 }
 
-/// As [`check`], of a part that lies under the key `path`.
+/// Like [`check`], for a part of a configuration under the key `path`.
 ///
 /// # Errors
 ///
-/// All faults of the value, with their paths from the root.
+/// All errors in the value, with their paths from the root.
 pub fn check_at(schema: &Schema, value: &Value, path: &str, unknown: UnknownKeys) -> Result<(), Errors> {
     let mut check = Check { unknown, faults: Vec::new() };
     check.value(schema.as_value(), value, path);
@@ -40,7 +40,7 @@
     }
 }
 
-/// A check that goes down a value and its schema.
+/// A recursive check of a value against its schema, which collects the errors.
 struct Check {
     unknown: UnknownKeys,
     faults: Vec<String>,
@@ -51,7 +51,7 @@
         if let Some(alternatives) = alternatives(schema) {
             return self.alternatives(schema, alternatives, value, path);
         }
-        if !has_type(schema, value) || !is_within(schema, value) {
+        if !has_type(schema, value) || !is_within_bounds(schema, value) {
             self.faults.push(fault(schema, value, path));
             return;
         }
@@ -68,7 +68,7 @@
     }
 
     fn alternatives(&mut self, schema: &Value, alternatives: &[Value], value: &Value, path: &str) {
-        if alternatives.iter().any(|one| fits(one, value, self.unknown)) {
+        if alternatives.iter().any(|one| is_valid(one, value, self.unknown)) {
             return;
         }
         let present: Vec<&Value> = alternatives.iter().filter(|schema| !is_null(schema)).collect();
@@ -104,13 +104,13 @@
     }
 }
 
-fn fits(schema: &Value, value: &Value, unknown: UnknownKeys) -> bool {
+fn is_valid(schema: &Value, value: &Value, unknown: UnknownKeys) -> bool {
     let mut check = Check { unknown, faults: Vec::new() };
     check.value(schema, value, "");
     check.faults.is_empty()
 }
 
-/// Whether the value is of a type that is wanted.
+/// Whether the value has a type that the schema allows.
 fn has_type(schema: &Value, value: &Value) -> bool {
     let is = |name: &str| match name {
         "null" => value.is_null(),
@@ -119,7 +119,7 @@
         "array" => value.is_array(),
         "object" => value.is_object(),
         "number" => value.is_number(),
-        // The types take no 1.0 for a whole number, though JSON schema does.
+        // JSON schema allows 1.0 as an integer, but the types of the programs do not.
         "integer" => value.is_u64() || value.is_i64(),
         _ => false,
     };
@@ -130,8 +130,8 @@
     }
 }
 
-/// Whether the value is within its bounds, or one of the words.
-fn is_within(schema: &Value, value: &Value) -> bool {
+/// Whether the value is within its bounds, or one of the values of an enumeration.
+fn is_within_bounds(schema: &Value, value: &Value) -> bool {
     if schema.get("const").is_some_and(|only| only != value) {
         return false;
     }
--- a/crates/program-support/src/config/expectation.rs
+++ b/crates/program-support/src/config/expectation.rs
@@ -1,12 +1,12 @@
-//! What a schema expects, in words, and the report of a value that does not meet it.
+//! Describes the value that a schema expects, and reports a value that does not match.
 
 use super::schema::{alternatives, is_null};
 use serde_json::Value;
 
-/// The longest part of a value that a report shows, in bytes.
-const MAX_SHOWN: usize = 80;
+/// The longest part of a value that an error message shows.
+const MAX_SHOWN_BYTES: usize = 80;
 
-/// What a schema expects: `a whole number from 1 to 100`.
+/// Describes the value that a schema expects, for example `a whole number from 1 to 100`.
 pub(super) fn describe(schema: &Value) -> String {
     if let Some(alternatives) = alternatives(schema) {
         let each: Vec<String> = alternatives.iter().filter(|schema| !is_null(schema)).map(describe).collect();
@@ -30,7 +30,7 @@
     }
 }
 
-/// The type that is wanted, beside null.
+/// The expected type other than null.
 fn type_name(schema: &Value) -> Option<&str> {
     match schema.get("type") {
         Some(Value::String(name)) => Some(name),
@@ -56,12 +56,12 @@
     }
 }
 
-/// The report that the value at `path` is not what the schema expects. A long value is cut short.
+/// The error message for a value at `path` that does not match the schema. A long value is truncated.
 pub(super) fn fault(schema: &Value, value: &Value, path: &str) -> String {
     let path = if path.is_empty() { "the whole" } else { path };
     let mut shown = value.to_string();
-    if shown.len() > MAX_SHOWN {
-        let end = (0..=MAX_SHOWN).rev().find(|n| shown.is_char_boundary(*n)).unwrap_or(0);
+    if shown.len() > MAX_SHOWN_BYTES {
+        let end = (0..=MAX_SHOWN_BYTES).rev().find(|n| shown.is_char_boundary(*n)).unwrap_or(0);
         shown.truncate(end);
         shown.push('…');
     }
--- a/crates/program-support/src/config/file.rs
+++ b/crates/program-support/src/config/file.rs
@@ -1,4 +1,4 @@
-//! Reading a configuration file as bytes, and its text as a value.
+//! Reads a configuration file as bytes, and parses its text.
 
 use super::wrong::Errors;
 use serde_json::Value;
@@ -7,22 +7,23 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// The longest file, in bytes. A configuration may hold a list of some hundred servers; what is longer is no configuration.
-const MAX_LENGTH: u64 = 16 << 20;
-/// How often a file that changes under the reader is read again.
+/// The largest accepted file. A configuration may contain a list of several hundred servers; a longer file is
+/// not a configuration.
+const MAX_FILE_BYTES: u64 = 16 << 20;
+/// How often a file is read until it does not change during the read.
 const READ_ATTEMPTS: usize = 5;
 
-/// The form of a file, by the end of its name.
+/// The format of a file, determined by its extension.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileFormat {
-    /// TOML, as staff write it.
+    /// TOML, written by operators.
     Toml,
-    /// JSON, as the platform writes it.
+    /// JSON, written by the platform.
     Json,
 }
 
 impl FileFormat {
-    /// TOML if the name ends in `.toml`, else JSON.
+    /// Returns TOML if the name ends in `.toml`, else JSON.
     pub fn of(file: &Path) -> Self {
         if file.extension().is_some_and(|e| e.eq_ignore_ascii_case("toml")) {
             FileFormat::Toml
@@ -31,18 +32,18 @@
         }
     }
 
-    /// What the text says, in whichever form.
+    /// Parses a text in this format.
     ///
     /// # Errors
     ///
-    /// The text is not of this form; a fault of TOML names its line.
+    /// The text is not valid in this format. A TOML error names its line.
     pub fn parse(self, text: &[u8]) -> Result<Value, Errors> {
         match self {
             FileFormat::Json => serde_json::from_slice(text).map_err(|e| Errors::single(e.to_string())),
             FileFormat::Toml => {
                 let text =
                     std::str::from_utf8(text).map_err(|e| Errors::single(format!("not UTF-8: {e}")))?;
-                // The parser's own error draws line, column and position on several lines: one line says it here.
+                // The parser's own error message has several lines with the line, column and position.
                 toml::from_str(text).map_err(|e| {
                     let at = e.span().map_or(0, |span| span.start).min(text.len());
                     let line = text.as_bytes()[..at].iter().filter(|b| **b == b'\n').count() + 1;
@@ -53,30 +54,32 @@
     }
 }
 
-/// Reads a file that may be replaced meanwhile. One that is written anew in place is read again until it no
-/// longer changes.
+/// Reads a file that may be replaced during the read. A file that is rewritten in place is read again until
+/// it no longer changes.
 ///
 /// # Errors
 ///
-/// It cannot be read, is no file, is longer than 16 MiB, or changes at each attempt.
+/// The file cannot be read, is not a regular file, is longer than 16 MiB, or changes during each attempt.
 pub fn read(path: &Path) -> Result<Vec<u8>, Errors> {
     let named = |e: std::io::Error| Errors::single(e.to_string()).in_file(path);
-    let state = |m: &Metadata| (m.ino(), m.len(), m.mtime(), m.mtime_nsec());
+    let fingerprint = |m: &Metadata| (m.ino(), m.len(), m.mtime(), m.mtime_nsec());
     for _ in 0..READ_ATTEMPTS {
         let file = File::open(path).map_err(named)?;
         let before = file.metadata().map_err(named)?;
         if !before.is_file() {
             return Err(Errors::single("not a file").in_file(path));
         }
-        if before.len() > MAX_LENGTH {
-            return Err(Errors::single(format!("{} bytes: {MAX_LENGTH} at most", before.len())).in_file(path));
+        if before.len() > MAX_FILE_BYTES {
+            return Err(
+                Errors::single(format!("{} bytes: {MAX_FILE_BYTES} at most", before.len())).in_file(path)
+            );
         }
         let mut text = Vec::new();
-        file.take(MAX_LENGTH + 1).read_to_end(&mut text).map_err(named)?;
+        file.take(MAX_FILE_BYTES + 1).read_to_end(&mut text).map_err(named)?;
         let after = fs::metadata(path).map_err(named)?;
-        if state(&before) == state(&after) && text.len() as u64 == after.len() {
+        if fingerprint(&before) == fingerprint(&after) && text.len() as u64 == after.len() {
             return Ok(text);
         }
     }
-    Err(Errors::single("it changes while it is read").in_file(path))
+    Err(Errors::single("the file changes while it is read").in_file(path))
 }
--- a/crates/program-support/src/config/merge.rs
+++ b/crates/program-support/src/config/merge.rs
@@ -1,10 +1,10 @@
-//! Values over one another: a file over the defaults, and one version of a configuration beside the next.
+//! Merges a file into the defaults, and compares two versions of a configuration.
 
 use super::key_path::join;
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
-/// Puts `over` on top of `base`: tables are merged, all else is replaced.
+/// Merges `over` into `base`: tables are merged, all other values are replaced.
 pub fn overlay(base: &mut Value, over: Value) {
     match (base, over) {
         (Value::Object(base), Value::Object(over)) => {
@@ -16,7 +16,7 @@
     }
 }
 
-/// The keys whose values differ, as paths. A list counts as one value.
+/// Returns the paths of the keys whose values differ. A list counts as one value.
 pub fn differences(before: &Value, after: &Value) -> Vec<String> {
     let mut paths = Vec::new();
     collect_differences("", Some(before), Some(after), &mut paths);
@@ -27,7 +27,7 @@
     if before == after {
         return;
     }
-    // A table that is absent differs in each of its keys.
+    // A missing table differs in each of its keys.
     let is_table = |value: Option<&Value>| matches!(value, Some(Value::Object(_)) | None);
     if !is_table(before) || !is_table(after) {
         paths.push(path.to_string());
--- a/crates/program-support/src/config/schema.rs
+++ b/crates/program-support/src/config/schema.rs
@@ -1,10 +1,11 @@
-//! The JSON schema of a configuration, generated from the types of a program, and questions to it.
+//! Generates the JSON schema of a configuration from the types of a program, and queries it.
 
 use schemars::generate::SchemaSettings;
 use schemars::{JsonSchema, Schema};
 use serde_json::Value;
 
-/// The schema of a configuration: all definitions inline, and the bounds of each whole number in it.
+/// Generates the schema of a configuration, with all definitions inlined and with explicit bounds for
+/// integers.
 pub fn schema<T: JsonSchema>() -> Schema {
     let settings = SchemaSettings::draft2020_12().with(|s| s.inline_subschemas = true);
     let mut schema = settings.into_generator().into_root_schema_for::<T>();
@@ -12,12 +13,12 @@
     schema
 }
 
-/// Writes the bounds that formats of whole numbers mean: validators may ignore formats.
+/// Adds the bounds that integer formats imply, since validators may ignore formats.
 fn add_bounds(schema: &mut Schema) {
     schemars::transform::transform_subschemas(&mut add_bounds, schema);
     let maximum = match schema.get("format").and_then(Value::as_str) {
         Some("uint32") => u64::from(u32::MAX),
-        // TOML has no larger ones.
+        // TOML has no larger integers.
         Some("uint64" | "uint") => i64::MAX as u64,
         _ => return,
     };
@@ -26,12 +27,12 @@
     }
 }
 
-/// The schemas of which one has to fit: those of an option, or of a choice of words.
+/// The schemas of which one must match: those of an optional value or of an enumeration.
 pub(super) fn alternatives(schema: &Value) -> Option<&Vec<Value>> {
     ["anyOf", "oneOf"].iter().find_map(|key| schema.get(key)?.as_array())
 }
 
-/// Whether the schema is that of an option's absence.
+/// Whether the schema is that of the missing value of an option.
 pub(super) fn is_null(schema: &Value) -> bool {
     schema.get("type") == Some(&"null".into())
 }
--- a/crates/program-support/src/config/tests.rs
+++ b/crates/program-support/src/config/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn all_faults_are_reported_at_once_with_key_value_and_range() {
+fn reports_all_errors_at_once_with_key_value_and_range() {
     assert_eq!(wrong(&good()), Vec::<String>::new());
     let bad = json!({"pool": {"per_server": 0, "idle_ms": -1, "warm": "yes", "fast": 1}, "zones": ["a", "b", "c", "d"],
         "plans": [{"name": "", "rate": 11.5, "level": "middle"}, {"rate": "much"}, 5], "levels": {"odd\nname": "loud"}});
@@ -91,10 +91,10 @@
         &json!({"listen": "a", "plans": [{"name": "n", "rate": 1}], "x": 1}),
         UnknownKeys::Ignored,
     );
-    assert_eq!(lenient, Ok(()), "the platform may say more");
+    assert_eq!(lenient, Ok(()), "unknown keys of the platform are ignored");
 }
 
-/// Values near a good one: one part of it, or several, replaced, removed or added to.
+/// Generates variants of a valid configuration in which parts are replaced, removed or added.
 fn changed() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -158,15 +158,16 @@
     result.unwrap_or_else(|e| panic!("{e}"));
 }
 
-/// A complete validator of JSON schema is the judge of what is accepted, and the types take all that is.
+/// The check must accept the same values as a complete JSON schema validator, and the types must accept all
+/// of them.
 #[test]
-fn what_is_checked_is_what_the_schema_says_and_what_the_types_take() {
+fn check_agrees_with_the_schema_validator_and_the_types() {
     let schema = schema::<File>();
-    let judge = jsonschema::validator_for(schema.as_value()).expect("a schema");
+    let validator = jsonschema::validator_for(schema.as_value()).expect("a schema");
     let (good, bad) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
     run(changed(), |value| {
         let passes = check(&schema, &value, UnknownKeys::Ignored).is_ok();
-        assert_eq!(passes, judge.is_valid(&value), "{value}");
+        assert_eq!(passes, validator.is_valid(&value), "{value}");
         if passes {
             good.set(good.get() + 1);
             if let Err(e) = File::deserialize(&value) {
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn a_file_goes_over_the_defaults_and_errors_name_it() {
+fn file_overrides_the_defaults_and_errors_name_the_file() {
     let defaults = "listen = \"a:1\"\nzones = [\"x\"]\n[pool]\nidle_ms = 5\nwarm = true\n";
     let text = "zones = []\n[pool]\nidle_ms = 6\n[[plans]]\nname = \"n\"\nrate = 1\n";
     let loaded = from_text::<File>(text.as_bytes(), FileFormat::Toml, defaults).unwrap();
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn differences_are_listed_by_key() {
+fn lists_differences_by_key() {
     let mut after = good();
     after["pool"]["idle_ms"] = 8.into();
     after["zones"] = json!([]);
--- a/crates/program-support/src/config/wrong.rs
+++ b/crates/program-support/src/config/wrong.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a configuration, and with whatever else ends a program.
+//! Error messages about a configuration, or about anything else that ends a program.
 
 use std::fmt;
 use std::path::Path;
 
-/// What is wrong with a configuration, or ended a program: one line for each fault.
+/// One or more error messages about a configuration, or about what ended a program. Each message is one line.
 #[derive(Debug, PartialEq)]
 pub struct Errors(pub Vec<String>);
 
 impl Errors {
-    /// One fault.
+    /// A single error.
     pub fn single(what: impl fmt::Display) -> Self {
         Errors(vec![what.to_string()])
     }
 
-    /// The same faults, each with the file's name.
+    /// Prefixes each message with the path of the file.
     pub fn in_file(self, file: &Path) -> Self {
         Errors(self.0.into_iter().map(|what| format!("{}: {what}", file.display())).collect())
     }
--- a/crates/program-support/src/lib.rs
+++ b/crates/program-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs share around their work: how a configuration is read and checked, the log, and the end of a program.
+//! Code shared by the programs of the workspace: configuration files, logging, and the end of a process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/program-support/src/log.rs
+++ b/crates/program-support/src/log.rs
@@ -1,9 +1,10 @@
 //! The log: lines of text or JSON on standard error.
 //!
-//! Lines go through a queue of fixed length to a thread of their own, so that a reader that is slow, gone or full
-//! holds up nobody: lines that find the queue full, or cannot be written, are lost and counted. Lines of one kind
-//! (one place in the source) at level `info` and above are limited to a rate, and how many were suppressed is logged
-//! with the next one; `debug` and `trace` are asked for and are not limited.
+//! Lines pass through a bounded queue to a separate thread, so that a slow, stuck or closed standard error
+//! does not block the program. Lines that do not fit into the queue or cannot be written are lost and
+//! counted. Lines of one kind (one place in the source) at level `info` and above are rate limited, and the
+//! number of suppressed lines is logged before the next line of the kind. Lines at `debug` and `trace` are
+//! enabled on purpose and are not limited.
 
 mod counts;
 mod former_modules;
@@ -32,11 +33,11 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::{reload, Registry};
 
-/// Modules that may have a level of their own by an operator's call.
+/// The largest number of modules that can have their own level after an operator's call.
 const MAX_MODULES: usize = 32;
-/// The longest path of such a module, in bytes.
-const MAX_MODULE_LENGTH: usize = 128;
-/// How long the last lines may take to get out at the end of the process.
+/// The longest path of such a module.
+const MAX_MODULE_BYTES: usize = 128;
+/// The longest wait for the last lines to be written at the end of the process.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -67,63 +68,63 @@
         Targets::new().with_default(LevelFilter::from(self.level)).with_targets(modules)
     }
 
-    /// The same options with present module paths, and which former paths they held.
+    /// Returns the options with current module paths, and the former paths that were replaced.
     fn with_current_modules(mut self) -> (Self, Vec<RenamedModule>) {
-        let renamed = former_modules::rename(&mut self.modules);
+        let renamed = former_modules::replace_former_paths(&mut self.modules);
         (self, renamed)
     }
 }
 
 quick_error! {
-    /// Why the log does not begin or change.
+    /// Why the log cannot be started or changed.
     #[derive(Debug)]
     pub enum LogError {
-        /// The process has a subscriber for log lines already.
+        /// The process already has a tracing subscriber.
         Install(error: SetGlobalDefaultError) {
-            display("cannot begin the log: {error}")
+            display("cannot start the log: {error}")
             source(error)
         }
         /// [`start`] was called before.
         AlreadyStarted {
-            display("the log has begun already")
+            display("the log has already been started")
         }
-        /// The filter of the levels is gone.
+        /// The level filter no longer exists.
         Reload(error: reload::Error) {
             display("cannot change the level: {error}")
             source(error)
         }
-        /// A level that is none.
+        /// The text is not a log level.
         Level(error: LevelError) {
             from()
             display("{error}")
             source(error)
         }
-        /// A module path that no line can show, or one too many.
+        /// The module path is invalid, or too many modules have their own level.
         Module(module: String) {
             display("module is {module:?}: a path as the lines show it is wanted, {MAX_MODULES} of them at most")
         }
     }
 }
 
-/// Counts of lines since the start.
+/// The number of lines since the start, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LineCounts {
-    /// Handed to whoever reads the log.
+    /// Written to the output.
     pub written: u64,
-    /// Lost: nobody read, or the write failed.
+    /// Lost because the queue was full or the write failed.
     pub lost: u64,
-    /// Suppressed by the rate limit, as one of too many of a kind.
+    /// Suppressed by the rate limit.
     #[serde(rename = "left_out")]
     pub suppressed: u64,
 }
 
-/// The log's options and counts, as operators are shown them.
+/// The options and line counts of the log, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
-    /// The options in force.
+    /// The current options.
     #[serde(flatten)]
     pub options: Options,
-    /// The lines so far.
+    /// The number of lines so far.
     pub lines: LineCounts,
 }
 
@@ -132,25 +133,25 @@
     filter: reload::Handle<Targets, Registry>,
     options: Mutex<Options>,
     counts: Arc<Counts>,
-    dropped: ErrorCounter,
+    dropped_lines: ErrorCounter,
 }
 
 static LOG: OnceLock<Log> = OnceLock::new();
 
-/// Begins the log on standard error. To be called once, by a program.
+/// Starts the log on standard error. A program calls this once.
 ///
 /// # Errors
 ///
-/// The process has a log already.
+/// The process already has a log.
 pub fn start(options: &Options) -> Result<&'static Log, LogError> {
-    begin(options, io::stderr())
+    install(options, io::stderr())
 }
 
-fn begin(options: &Options, to: impl Write + Send + 'static) -> Result<&'static Log, LogError> {
+fn install(options: &Options, to: impl Write + Send + 'static) -> Result<&'static Log, LogError> {
     let (options, renamed) = options.clone().with_current_modules();
     let counts = Arc::new(Counts::default());
     let queue = LineQueue::new(to, counts.clone());
-    let dropped = queue.dropped();
+    let dropped_lines = queue.dropped_lines();
     let (filter, handle) = reload::Layer::new(options.filter());
     let lines = tracing_subscriber::fmt::layer().with_writer(queue).with_ansi(false);
     let registry = Registry::default().with(filter).with(RateLimit::new(counts.clone()));
@@ -162,7 +163,7 @@
         }
     };
     installed.map_err(LogError::Install)?;
-    let log = Log { filter: handle, options: Mutex::new(options), counts, dropped };
+    let log = Log { filter: handle, options: Mutex::new(options), counts, dropped_lines };
     if LOG.set(log).is_err() {
         return Err(LogError::AlreadyStarted);
     }
@@ -176,16 +177,16 @@
 }
 
 impl Log {
-    /// The options in force. Modules have their present paths, whatever the settings said.
+    /// The current options. Former module paths of the settings are replaced by current ones.
     pub fn options(&self) -> Options {
         self.options.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Takes other levels; the format is fixed at the start.
+    /// Sets the levels from other options. The format is fixed at the start and does not change.
     ///
     /// # Errors
     ///
-    /// The filter is gone; the options in force stay.
+    /// The level filter no longer exists; the options stay unchanged.
     pub fn set_options(&self, to: Options) -> Result<(), LogError> {
         let (to, renamed) = to.with_current_modules();
         self.replace(to)?;
@@ -201,11 +202,11 @@
         Ok(())
     }
 
-    /// Takes a level, of one module or of all others, as an operator words it.
+    /// Sets the level of one module, or the default level without a module, as text from an operator.
     ///
     /// # Errors
     ///
-    /// The level or the module is none, or too many modules have a level of their own.
+    /// The level or the module path is invalid, or too many modules have their own level.
     pub fn set_level(&self, level: Option<&str>, module: Option<&str>) -> Result<(), LogError> {
         let level: Level = level.unwrap_or_default().parse()?;
         let mut options = self.options();
@@ -217,31 +218,32 @@
         }
         self.replace(options)?;
         renamed.iter().for_each(RenamedModule::warn);
-        tracing::warn!(target: TARGET, %level, module, "the level of the log was changed");
+        tracing::warn!(target: TARGET, %level, module, "log level changed");
         Ok(())
     }
 
-    /// The options in force and the lines so far.
+    /// The current options and the number of lines so far.
     pub fn status(&self) -> Status {
         Status { options: self.options(), lines: self.lines() }
     }
 
-    /// The lines so far.
+    /// The number of lines so far.
     pub fn lines(&self) -> LineCounts {
         let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
         LineCounts {
             written: get(&self.counts.written),
-            lost: get(&self.counts.failed) + self.dropped.dropped_lines() as u64,
+            lost: get(&self.counts.failed) + self.dropped_lines.dropped_lines() as u64,
             suppressed: get(&self.counts.suppressed),
         }
     }
 
-    /// Waits a moment for the last lines to get out: a reader that is stuck does not hold up the end.
+    /// Waits until all lines are written, at most 300 ms so that a stuck reader does not delay the end of the
+    /// process.
     pub fn flush(&self) {
         let end = Instant::now() + FLUSH_TIMEOUT;
         let out = || {
             let lines = self.lines();
-            lines.written + lines.lost >= self.counts.made.load(Ordering::Relaxed)
+            lines.written + lines.lost >= self.counts.queued.load(Ordering::Relaxed)
         };
         while !out() && Instant::now() < end {
             thread::sleep(FLUSH_POLL_INTERVAL);
@@ -250,12 +252,13 @@
 }
 
 impl Options {
-    /// Gives the modules at `paths` this level, if `module`, as the operator named them, can be meant.
+    /// Sets the level of the modules at `paths`. `module` is the path that the operator gave, which is
+    /// validated.
     fn set_modules(&mut self, module: &str, paths: &[String], level: Level) -> Result<(), LogError> {
         let added = paths.iter().filter(|path| !self.modules.contains_key(*path)).count();
         let fits = added == 0 || self.modules.len() + added <= MAX_MODULES;
-        let plain = module.bytes().all(|b| b.is_ascii_alphanumeric() || b"_:".contains(&b));
-        if !fits || !plain || !(1..=MAX_MODULE_LENGTH).contains(&module.len()) {
+        let is_path = module.bytes().all(|b| b.is_ascii_alphanumeric() || b"_:".contains(&b));
+        if !fits || !is_path || !(1..=MAX_MODULE_BYTES).contains(&module.len()) {
             return Err(LogError::Module(module.to_string()));
         }
         self.modules.extend(paths.iter().map(|path| (path.clone(), level)));
--- a/crates/program-support/src/log/counts.rs
+++ b/crates/program-support/src/log/counts.rs
@@ -1,16 +1,16 @@
-//! Counts of the log's lines, on their way through the queue to the writer.
+//! Counters of log lines, from the queue to the writer.
 
 use std::sync::atomic::AtomicU64;
 
-/// Lines since the start, by what became of them.
+/// The number of lines since the start, by outcome.
 #[derive(Default)]
 pub(super) struct Counts {
-    /// Passed to the queue.
-    pub(super) made: AtomicU64,
-    /// Written by the log's thread.
+    /// Passed to the queue, which may have dropped them.
+    pub(super) queued: AtomicU64,
+    /// Written by the thread of the log.
     pub(super) written: AtomicU64,
-    /// Not written by the log's thread, since the write failed.
+    /// Not written by the thread of the log because the write failed.
     pub(super) failed: AtomicU64,
-    /// Kept back by the rate limit.
+    /// Suppressed by the rate limit.
     pub(super) suppressed: AtomicU64,
 }
--- a/crates/program-support/src/log/former_modules.rs
+++ b/crates/program-support/src/log/former_modules.rs
@@ -1,10 +1,10 @@
-//! Module paths as they were before crates were renamed: settings and calls that hold them still work.
+//! Maps the module paths of renamed crates: settings and calls with former paths still work.
 
 use super::level::Level;
 use super::rate_limit::TARGET;
 use std::collections::BTreeMap;
 
-/// The former first segment of a module path, and the present one.
+/// The former first segment of a module path and the current one.
 const FORMER_MODULES: [(&str, &str); 6] = [
     ("granitethread", "sprucehatch_gateway"),
     ("granitehub", "gateway_decisions"),
@@ -14,7 +14,7 @@
     ("shell", "program_support"),
 ];
 
-/// A former module path that was met, and what it stands for now.
+/// A former module path that was found in settings or in a call, and the current paths for it.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct RenamedModule {
     pub(super) former: String,
@@ -22,7 +22,7 @@
 }
 
 impl RenamedModule {
-    /// Logs the warning that asks for the present path.
+    /// Logs a warning that the current path should be used.
     pub(super) fn warn(&self) {
         let current = self.current.join(", ");
         tracing::warn!(
@@ -34,10 +34,10 @@
     }
 }
 
-/// The present paths of a former one; none if the path is a present one.
+/// Returns the current paths for a former path, or `None` if `path` is not a former path.
 ///
-/// The first segment decides. A level counts for all paths that begin with the one it was given for, so the name of a
-/// crate alone also stands for the crates whose names began with it.
+/// Only the first segment is compared. A level applies to all paths that begin with its path, so a crate name
+/// alone also stands for the crates whose former names begin with it.
 pub(super) fn current_paths(path: &str) -> Option<RenamedModule> {
     let (first, rest) = match path.split_once("::") {
         Some((first, rest)) => (first, Some(rest)),
@@ -54,11 +54,12 @@
     Some(RenamedModule { former: path.to_string(), current })
 }
 
-/// Puts present paths in the place of former ones, and says which these were. Where several give a path its level, the
-/// longest counts, and a present path before a former one.
-pub(super) fn rename(modules: &mut BTreeMap<String, Level>) -> Vec<RenamedModule> {
+/// Replaces former paths by current ones and returns the replaced paths. If several paths set the level of
+/// one current path, a current path takes precedence over former ones, and a longer former path over a
+/// shorter one.
+pub(super) fn replace_former_paths(modules: &mut BTreeMap<String, Level>) -> Vec<RenamedModule> {
     let mut renamed: Vec<RenamedModule> = modules.keys().filter_map(|path| current_paths(path)).collect();
-    // `granitehub_protocol` says more of `gateway_protocol` than `granitehub` does.
+    // Longest first: `granitehub_protocol` is more specific for `gateway_protocol` than `granitehub`.
     renamed.sort_by_key(|module| std::cmp::Reverse(module.former.len()));
     for module in &renamed {
         let Some(level) = modules.remove(&module.former) else { continue };
--- a/crates/program-support/src/log/level.rs
+++ b/crates/program-support/src/log/level.rs
@@ -1,4 +1,4 @@
-//! The levels of the log, as settings and operators word them.
+//! The log levels, under the names that settings and operators use.
 
 use quick_error::quick_error;
 use schemars::JsonSchema;
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-#[allow(missing_docs)] // The words are those of every log; a comment at one would change the printed schema.
+#[allow(missing_docs)] // The names are the usual ones, and doc comments would change the printed schema.
 pub enum Level {
     Off,
     Error,
@@ -31,10 +31,10 @@
 ];
 
 quick_error! {
-    /// A text names no level.
+    /// Why a text is not a level.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum LevelError {
-        /// The text is none of the names.
+        /// The text is not the name of a level.
         Unknown(text: String) {
             display("level is {text:?}: off, error, warn, info, debug or trace is wanted")
         }
--- a/crates/program-support/src/log/output.rs
+++ b/crates/program-support/src/log/output.rs
@@ -1,4 +1,4 @@
-//! The way of log lines out of the process: a bounded queue that never blocks, and a thread that writes.
+//! The output of log lines: a bounded non-blocking queue and a thread that writes its lines.
 
 use super::counts::Counts;
 use std::io::{self, Write};
@@ -8,24 +8,25 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that may wait for whoever reads the log.
+/// The largest number of lines that wait to be written.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// The entry of the queue. A line that finds the queue full is dropped and counted.
+/// The sending side of the queue. If the queue is full, a line is dropped and counted.
 pub(super) struct LineQueue {
     queue: NonBlocking,
     counts: Arc<Counts>,
 }
 
 impl LineQueue {
-    /// A queue and the thread that writes its lines to `to`.
+    /// Creates the queue and the thread that writes its lines to `to`.
     pub(super) fn new(to: impl Write + Send + 'static, counts: Arc<Counts>) -> Self {
         let (queue, worker) = NonBlockingBuilder::default()
             .lossy(true)
             .buffered_lines_limit(QUEUE_CAPACITY)
             .thread_name("log")
             .finish(CountingWriter { to, counts: counts.clone() });
-        // The guard would wait for a reader that is stuck, and print once its wait is over; `Log::flush` bounds the wait.
+        // Dropping the guard would wait for a stuck reader and print a message after the wait. `Log::flush`
+        // bounds the wait instead.
         #[expect(
             clippy::mem_forget,
             reason = "the writing thread ends with the process, not with this call"
@@ -34,8 +35,8 @@
         LineQueue { queue, counts }
     }
 
-    /// The count of lines that found the queue full.
-    pub(super) fn dropped(&self) -> ErrorCounter {
+    /// The counter of lines that were dropped because the queue was full.
+    pub(super) fn dropped_lines(&self) -> ErrorCounter {
         self.queue.error_counter()
     }
 }
@@ -43,14 +44,14 @@
 impl<'a> MakeWriter<'a> for LineQueue {
     type Writer = NonBlocking;
 
-    /// Called once a line, which is then written in one call.
+    /// Called once per line, which is then written in one call.
     fn make_writer(&'a self) -> NonBlocking {
-        self.counts.made.fetch_add(1, Ordering::Relaxed);
+        self.counts.queued.fetch_add(1, Ordering::Relaxed);
         self.queue.clone()
     }
 }
 
-/// Writes lines on the log's own thread and counts them.
+/// Writes lines on the thread of the log and counts them.
 struct CountingWriter<W> {
     to: W,
     counts: Arc<Counts>,
@@ -61,12 +62,13 @@
         let written = self.to.write_all(line);
         let count = if written.is_ok() { &self.counts.written } else { &self.counts.failed };
         count.fetch_add(1, Ordering::Relaxed);
-        // The next line is attempted all the same: a reader may come back.
+        // A failed write is not an error here: the next line is tried as well, since the reader may come
+        // back.
         Ok(line.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        // What fails was counted with its line.
+        // Failures are already counted with the failed line.
         let _ = self.to.flush();
         Ok(())
     }
--- a/crates/program-support/src/log/rate_limit.rs
+++ b/crates/program-support/src/log/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits log lines of one kind (one place in the source) to a rate.
+//! Rate limit for log lines, separate for each kind of line (one place in the source).
 
 use super::counts::Counts;
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
 use tracing_subscriber::layer::Context;
 use tracing_subscriber::Layer;
 
-/// The target of the log's lines about itself, which are not limited.
+/// The target of lines about the log itself, which are not limited.
 pub(super) const TARGET: &str = "log";
-/// Lines of one kind that may come at once.
+/// The largest burst of lines of one kind.
 pub(super) const BURST: f64 = 50.0;
-/// Lines of one kind that may come each second from then on.
+/// The sustained rate of lines of one kind.
 const LINES_PER_SECOND: f64 = 10.0;
 
-/// The layer that keeps back lines beyond the rate of their kind.
+/// The tracing layer that suppresses lines beyond the rate limit of their kind.
 pub(super) struct RateLimit {
     buckets: Mutex<HashMap<Identifier, TokenBucket>>,
     counts: Arc<Counts>,
@@ -30,7 +30,7 @@
     }
 }
 
-/// The token bucket of one kind of line: a line takes a token, and time brings new ones.
+/// The token bucket of one kind of line. Each line takes a token; tokens are refilled over time.
 pub(super) struct TokenBucket {
     pub(super) tokens: f64,
     pub(super) refilled_at: Instant,
@@ -42,7 +42,8 @@
         TokenBucket { tokens: BURST, refilled_at: now, suppressed: 0 }
     }
 
-    /// Whether one more line may come; if so, how many were suppressed since the last.
+    /// Takes a token for a line. Returns the number of lines suppressed since the last admitted one, or
+    /// `None` if this line is suppressed.
     pub(super) fn admit(&mut self, now: Instant) -> Option<u64> {
         let refill = now.saturating_duration_since(self.refilled_at).as_secs_f64() * LINES_PER_SECOND;
         (self.tokens, self.refilled_at) = ((self.tokens + refill).min(BURST), now);
@@ -58,7 +59,7 @@
 impl<S: Subscriber> Layer<S> for RateLimit {
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
         let metadata = event.metadata();
-        // The lines about suppressed ones are written from within this very call.
+        // Lines with `TARGET` are logged from within this function, below.
         if *metadata.level() > tracing::Level::INFO || metadata.target() == TARGET {
             return true;
         }
--- a/crates/program-support/src/log/tests.rs
+++ b/crates/program-support/src/log/tests.rs
@@ -1,10 +1,10 @@
-use super::former_modules::{current_paths, rename};
+use super::former_modules::{current_paths, replace_former_paths};
 use super::level::LEVELS;
 use super::rate_limit::{TokenBucket, BURST};
 use super::*;
 
 #[test]
-fn one_kind_of_line_is_limited_and_the_suppressed_lines_are_counted() {
+fn limits_lines_of_one_kind_and_counts_suppressed_lines() {
     let start = Instant::now();
     let mut bucket = TokenBucket::full(start);
     let admitted = (0..200).filter(|_| bucket.admit(start).is_some()).count();
@@ -12,11 +12,15 @@
     assert_eq!(bucket.admit(start + Duration::from_millis(150)), Some(150));
     assert_eq!(bucket.admit(start + Duration::from_millis(150)), None);
     let later = start + Duration::from_secs(3600);
-    assert_eq!((0..200).filter(|_| bucket.admit(later).is_some()).count(), BURST as usize, "no hoard");
+    assert_eq!(
+        (0..200).filter(|_| bucket.admit(later).is_some()).count(),
+        BURST as usize,
+        "no hoard of tokens: idle time gives at most one burst"
+    );
 }
 
 #[test]
-fn levels_are_read_as_they_are_written() {
+fn levels_parse_from_their_displayed_names() {
     for (name, level) in LEVELS {
         assert_eq!((name.parse(), level.to_string()), (Ok(level), name.to_string()));
     }
@@ -25,7 +29,7 @@
 }
 
 #[test]
-fn a_former_module_path_becomes_the_present_one_by_its_first_segment() {
+fn former_module_path_is_mapped_by_its_first_segment() {
     let current = |path: &str| current_paths(path).map(|renamed| renamed.current);
     for (former, present) in [
         ("granitethread", "sprucehatch_gateway"),
@@ -43,14 +47,14 @@
     {
         assert_eq!(current(present), None, "{present:?}");
     }
-    // A level counts for all paths that begin with its module's.
+    // A level applies to all paths that begin with its module path.
     let crates =
         ["gateway_decisions", "gateway_protocol", "sprucehatch_registry", "sprucehatch_simulator_adapter"];
     assert_eq!(current("granitehub").unwrap(), crates);
 }
 
 #[test]
-fn the_longest_former_path_counts_and_a_present_path_before_it() {
+fn longest_former_path_and_current_paths_take_precedence() {
     let levels = |modules: &[(&str, Level)]| -> BTreeMap<String, Level> {
         modules.iter().map(|(module, level)| (module.to_string(), *level)).collect()
     };
@@ -60,7 +64,7 @@
         ("sprucehatch_registry", Level::Off),
         ("tokio", Level::Warn),
     ]);
-    let renamed = rename(&mut modules);
+    let renamed = replace_former_paths(&mut modules);
     assert_eq!(
         renamed.iter().map(|r| r.former.as_str()).collect::<Vec<_>>(),
         ["granitehub_protocol", "granitehub"]
@@ -73,11 +77,11 @@
         ("tokio", Level::Warn),
     ]);
     assert_eq!(modules, expected);
-    assert_eq!(rename(&mut modules), [], "present paths stay as they are");
+    assert_eq!(replace_former_paths(&mut modules), [], "current paths are unchanged");
     assert_eq!(modules, expected);
 }
 
-/// What the log of this process has written.
+/// Collects the lines that the log of this process writes.
 #[derive(Clone, Default)]
 struct Written(Arc<Mutex<Vec<u8>>>);
 
@@ -106,14 +110,14 @@
     assert!(matches!(warnings[..], [one] if one.contains("WARN") && names(&one)), "{former}: {lines:?}");
 }
 
-/// The one test that begins a log: a process has one.
+/// The only test that starts a log, since a process can have only one.
 #[test]
-fn former_module_paths_of_settings_and_calls_set_the_level_and_are_warned_of_once() {
+fn former_module_paths_set_the_level_and_are_warned_about_once() {
     let (written, debug) = (Written::default(), |module: &str| Options {
         modules: BTreeMap::from([(module.to_string(), Level::Debug)]),
         ..Options::default()
     });
-    let log = begin(&debug("granitethread::pool"), written.clone()).expect("a log");
+    let log = install(&debug("granitethread::pool"), written.clone()).expect("a log");
     tracing::debug!(target: "sprucehatch_gateway::pool", "a line of the pool");
     tracing::debug!(target: "sprucehatch_gateway::driver", "a line of the driver");
     let lines = written.take(log);
@@ -139,10 +143,10 @@
     let lines = written.take(log);
     assert!(
         !lines.iter().any(|line| line.contains("former name")),
-        "no warning of a present path: {lines:?}"
+        "no warning about a current path: {lines:?}"
     );
     let wrong = log.set_level(Some("debug"), Some("no path")).unwrap_err().to_string();
     assert_eq!(wrong, "module is \"no path\": a path as the lines show it is wanted, 32 of them at most");
-    let again = begin(&Options::default(), written).err().expect("a process has one log").to_string();
-    assert!(again.starts_with("cannot begin the log: "), "{again}");
+    let again = install(&Options::default(), written).err().expect("a process has one log").to_string();
+    assert!(again.starts_with("cannot start the log: "), "{again}");
 }
