--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,10 +1,10 @@
-//! Events of the gateway's decisions, read from messages of the wire.
+//! Decodes messages of the simulator protocol into events for the gateway's decision logic.
 
 use crate::message::{Message, WireError};
 use gateway_decisions::{AttemptEnd, Event, Health, Node, Request, Scope, Via};
 use serde_json::Value;
 
-/// The event that a message means; none for messages that are not known.
+/// Decodes the event in a message; `None` for unknown messages.
 pub fn event(message: &Message) -> Result<Option<Event>, WireError> {
     Ok(Some(match message.name {
         "Fleet" => fleet(message)?,
@@ -42,7 +42,7 @@
     let none = Vec::new();
     let list = match message.value(4) {
         Value::Null => &none,
-        value => message.wanted(value.as_array(), 4, "nodes_list", "an array")?,
+        value => message.require(value.as_array(), 4, "nodes_list", "an array")?,
     };
     let nodes = list.iter().map(node).collect::<Result<_, WireError>>()?;
     Ok(Event::Fleet { seq: message.integer_or(2, "seq_no", 0)?, scope, nodes })
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The gateway's decisions on the simulator's wire: lines in, lines out, no decisions of its own.
+//! Connects the decision logic of the gateway to the simulator: reads batches of events from standard input
+//! and writes replies to standard output, one line each. Makes no decisions of its own.
 
 mod action;
 mod event;
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! A session on the wire: batches of messages in, one reply for each.
+//! A session with the simulator: reads batches of messages and writes one reply per batch.
 
 use crate::action::write_action;
 use crate::event::event;
@@ -11,22 +11,22 @@
 use std::str::Utf8Error;
 
 quick_error! {
-    /// Why a session ends before its input.
+    /// Why a session ends before the end of its input.
     #[derive(Debug)]
     pub enum SessionError {
         /// A line cannot be read.
         Read(line: u64, error: io::Error) {
             display("line {line}: {error}")
         }
-        /// A line is no text.
+        /// A line is not UTF-8.
         Text(line: u64, error: Utf8Error) {
             display("line {line}: {error}")
         }
-        /// A line is no batch.
+        /// A line is not a valid batch.
         Batch(line: u64, error: BatchError) {
             display("line {line}: {error}")
         }
-        /// Nobody takes the reply.
+        /// The reply cannot be written.
         Reply(error: io::Error) {
             display("reply: {error}")
         }
@@ -34,23 +34,23 @@
 }
 
 quick_error! {
-    /// Why a line is no batch.
+    /// Why a line is not a valid batch.
     #[derive(Debug)]
     pub enum BatchError {
-        /// The line is no JSON.
+        /// The line is not JSON.
         Json(error: serde_json::Error) {
             from()
             display("{error}")
         }
-        /// The time is missing.
+        /// The time `sim_time` is missing or invalid.
         Time {
             display("sim_time: a time is wanted")
         }
-        /// The messages are missing.
+        /// The array `input` with the messages is missing.
         Input {
             display("input: an array is wanted")
         }
-        /// A message, by its number from 1 on, cannot be read.
+        /// A message is invalid; messages are numbered from 1.
         Message(number: usize, error: MessageError) {
             display("message {number}: {error}")
         }
@@ -58,37 +58,38 @@
 }
 
 quick_error! {
-    /// Why a message cannot be carried out.
+    /// Why a message cannot be processed.
     #[derive(Debug)]
     pub enum MessageError {
-        /// It cannot be read.
+        /// The message cannot be decoded.
         Wire(error: WireError) {
             from()
             display("{error}")
         }
-        /// An instance cannot begin with these settings.
+        /// The settings of a new instance are invalid.
         Settings(reason: String) {
             display("Begin: env: {reason}")
         }
     }
 }
 
-/// One instance of the gateway, and the events that it has in this batch.
+/// A gateway instance and its events in the current batch.
 struct Instance {
     gateway: Gateway,
     events: Vec<Event>,
 }
 
-/// The instances that have begun and not ended, by their ids.
+/// The state of a session.
 #[derive(Default)]
 pub struct Session {
+    /// The running instances by their ids.
     instances: BTreeMap<u64, Instance>,
-    /// Used for one instance after the other, so that its memory is used again.
+    /// A buffer for the actions of one instance at a time, kept to reuse its memory.
     actions: Vec<Action>,
 }
 
 impl Session {
-    /// Serves the wire until the input ends.
+    /// Processes batches until the input ends.
     pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), SessionError> {
         let (mut bytes, mut reply) = (Vec::new(), String::new());
         for line in 1u64.. {
@@ -119,7 +120,7 @@
         Ok(())
     }
 
-    /// Begins or ends an instance, or adds an event to those of an instance.
+    /// Starts or ends an instance, or adds an event to an instance.
     fn message(&mut self, message: &Value, now: u64) -> Result<(), MessageError> {
         let message = Message::new(message)?;
         match message.name {
@@ -148,7 +149,7 @@
         Ok(())
     }
 
-    /// Has the instances handle their events, and writes what they do.
+    /// Lets the instances handle their events, and writes their actions as the reply.
     fn reply(&mut self, now: u64, reply: &mut String) {
         reply.push_str("{\"do\":[");
         for (id, instance) in self.instances.iter_mut().filter(|(_, instance)| !instance.events.is_empty()) {
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,15 +1,15 @@
-//! The adapter over a short transcript, as its caller sees it.
+//! Runs the adapter as a process with a short transcript and checks its output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const BEGIN: &str = r#"["Begin",3,7,{"az":0,"me":0,"siblings":2,"discovery":"automatic","tick":2000000,"new_key":1,
+const BEGIN_MESSAGE: &str = r#"["Begin",3,7,{"az":0,"me":0,"siblings":2,"discovery":"automatic","tick":2000000,"new_key":1,
 "extra":{"cost_after":false,"meter_period":2000000000,"most_units":2},"limits":{"cancelling":true,"try_limit":4},
 "obligations":{"answer_slack":8000000,"cold":17000000000,"cold_from":0.22,"fall":3000000000,"fall_multiple":3.0},
 "plans":[{"name":"basic","quota_rate":1.5,"depth":6.0,"value_factor":1.0}],
 "services":[{"name":"quote","on_time":750000000,"deadline":2500000000,"effect":"safe","points":2.0}]}]"#;
-const FLEET: &str = r#"["Fleet",3,1,"C",[["backend_a",0,0,0,"up",1,null]]]"#;
-const ASK: &str = r#"["NewRequest",3,"37f11c5a5d3a91c4",0,0,"u:x",8652250000,2,2,0,null]"#;
+const FLEET_MESSAGE: &str = r#"["Fleet",3,1,"C",[["backend_a",0,0,0,"up",1,null]]]"#;
+const NEW_REQUEST_MESSAGE: &str = r#"["NewRequest",3,"37f11c5a5d3a91c4",0,0,"u:x",8652250000,2,2,0,null]"#;
 
 fn run(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sprucehatch-simulator-adapter"))
@@ -20,7 +20,7 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
     for line in lines {
-        // An adapter that has stopped at an earlier line reads no more.
+        // The write fails if the adapter has already stopped at an earlier line.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn a_transcript_is_answered_line_by_line() {
+fn answers_a_transcript_line_by_line() {
     let end = r#"["AttemptEnd",3,"37f11c5a5d3a91c4",0,true,86,18500000,"pass",0,"backend_a",{"queue":3}]"#;
     let odd = r#"["Weather",3,"rain"]"#;
     let late = r#"["AttemptEnd",9,"37f11c5a5d3a91c4",0,true,0,1,"pass",0,"backend_z",null]"#;
     let out = run(&[
         batch(&[]),
-        batch(&[BEGIN, FLEET]),
-        batch(&[odd, ASK]),
+        batch(&[BEGIN_MESSAGE, FLEET_MESSAGE]),
+        batch(&[odd, NEW_REQUEST_MESSAGE]),
         batch(&[end, late]),
         batch(&[r#"["Exit",3]"#]),
     ]);
@@ -58,17 +58,17 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named_on_one_line() {
+fn reports_invalid_input_on_one_line() {
     let cases = [
         ("nonsense".to_string(), "line 2"),
         (batch(&[r#"["NewRequest",3,"37f11c5a5d3a91c4",0,0,"u:x",null]"#]), "deadline"),
         (batch(&[r#"["NewRequest",3,"xyz",0,0,"u:x",5]"#]), "corr"),
         (batch(&[r#"["AttemptEnd",3,"37f11c5a5d3a91c4",0,true,0,1,"lost",0,"b"]"#]), "ending"),
-        (batch(&[&BEGIN.replace("\"me\":0,", "")]), "me"),
-        (batch(&[&BEGIN.replace("1.5", "-1.5")]), "plan basic: rate"),
+        (batch(&[&BEGIN_MESSAGE.replace("\"me\":0,", "")]), "me"),
+        (batch(&[&BEGIN_MESSAGE.replace("1.5", "-1.5")]), "plan basic: rate"),
     ];
     for (line, word) in cases {
-        let out = run(&[batch(&[BEGIN, FLEET]), line]);
+        let out = run(&[batch(&[BEGIN_MESSAGE, FLEET_MESSAGE]), line]);
         assert_eq!(out.status.code(), Some(1), "{word}");
         let told = String::from_utf8(out.stderr).expect("text");
         assert!(
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn its_command_line_checks_a_configuration_and_tells_wrong_arguments_apart() {
+fn command_line_checks_the_configuration_and_rejects_invalid_arguments() {
     let run = |arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch-simulator-adapter"));
         let out = command.args(arguments).stdin(Stdio::null()).output().expect("it runs");
