--- a/crates/gateway-protocol/src/call_schedule.rs
+++ b/crates/gateway-protocol/src/call_schedule.rs
@@ -7,8 +7,8 @@
 //! window, which begins at the end of the last one and is twice as long. The call rate thus halves with each
 //! window until the service can serve it; each reader calls once a window, and the last window is at most
 //! twice as long as the service needs to serve all readers. A reader follows the Retry-After hints of the
-//! service as long as they lead to a response. A service that does not answer may still work on calls that
-//! timed out, so timeouts back off like rejections.
+//! service; after a hint that led to another rejection it adds a random delay to the next one. A service that
+//! does not answer may still work on calls that timed out, so timeouts back off like rejections.
 //!
 //! Reads no clock: all times are durations since one fixed instant that the caller chooses.
 
@@ -203,9 +203,9 @@
 
 /// Returns the length of the window with this number for this many readers.
 fn window_length(readers: u32, number: u32) -> Duration {
-    let most = (MAX_WINDOW_PER_READER * readers).clamp(EMPTY_ANSWER_PAUSE, MAX_WINDOW);
+    let max_length = (MAX_WINDOW_PER_READER * readers).clamp(EMPTY_ANSWER_PAUSE, MAX_WINDOW);
     let first = FIRST_WINDOW_PER_READER * readers;
-    first.saturating_mul(1 << number.min(20)).min(most)
+    first.saturating_mul(1 << number.min(20)).min(max_length)
 }
 
 #[cfg(test)]
--- a/crates/gateway-protocol/src/call_schedule/tests.rs
+++ b/crates/gateway-protocol/src/call_schedule/tests.rs
@@ -115,15 +115,15 @@
     all.swap_remove(4)
 }
 
-const FLEETS: [u32; 4] = [3, 30, 300, 1000];
-const CAPACITIES: [u32; 5] = [10, 20, 40, 100, 400];
+const READER_COUNTS: [u32; 4] = [3, 30, 300, 1000];
+const CAPACITIES_PER_S: [u32; 5] = [10, 20, 40, 100, 400];
 
 /// Each reader calls twice, for the list and soon after to watch, so a start takes about `2 * readers /
 /// capacity`. This applies where the watches that follow leave half of the capacity: a watch ends after 60 s
 /// at most.
 #[test]
 fn a_start_of_all_takes_few_times_what_the_service_needs_whatever_it_bears() {
-    for (readers, capacity) in FLEETS.into_iter().flat_map(|n| CAPACITIES.map(|c| (n, c))) {
+    for (readers, capacity) in READER_COUNTS.into_iter().flat_map(|n| CAPACITIES_PER_S.map(|c| (n, c))) {
         let needs = (f64::from(readers) / f64::from(capacity)).max(0.1);
         let is_within_capacity = readers / 50 * 2 <= capacity;
         let result = median(readers, || Service::new(capacity));
--- a/crates/program-support/src/config.rs
+++ b/crates/program-support/src/config.rs
@@ -84,7 +84,7 @@
     let from_environment = std::env::var_os(variable).filter(|v| !v.is_empty()).map(PathBuf::from);
     match (argument, from_environment) {
         (Some(a), Some(b)) if a != b => Err(Errors::single(format!(
-            "two configurations are given: --config {} and {variable}={}; one is wanted",
+            "two configurations are given: --config {} and {variable}={}; only one is allowed",
             a.display(),
             b.display()
         ))),
--- a/crates/program-support/src/config/check.rs
+++ b/crates/program-support/src/config/check.rs
@@ -1,6 +1,6 @@
 //! Checks a value against a schema and reports all errors at once.
 
-use super::expectation::{describe, fault};
+use super::expectation::{describe, mismatch_message};
 use super::key_path::join;
 use super::schema::{alternatives, is_null};
 use super::wrong::Errors;
@@ -31,19 +31,19 @@
 ///
 /// All errors in the value, with their paths from the root.
 pub fn check_at(schema: &Schema, value: &Value, path: &str, unknown: UnknownKeys) -> Result<(), Errors> {
-    let mut check = Check { unknown, faults: Vec::new() };
+    let mut check = Check { unknown, errors: Vec::new() };
     check.value(schema.as_value(), value, path);
-    if check.faults.is_empty() {
+    if check.errors.is_empty() {
         Ok(())
     } else {
-        Err(Errors(check.faults))
+        Err(Errors(check.errors))
     }
 }
 
 /// A recursive check of a value against its schema, which collects the errors.
 struct Check {
     unknown: UnknownKeys,
-    faults: Vec<String>,
+    errors: Vec<String>,
 }
 
 impl Check {
@@ -52,7 +52,7 @@
             return self.alternatives(schema, alternatives, value, path);
         }
         if !has_type(schema, value) || !is_within_bounds(schema, value) {
-            self.faults.push(fault(schema, value, path));
+            self.errors.push(mismatch_message(schema, value, path));
             return;
         }
         match value {
@@ -74,7 +74,7 @@
         let present: Vec<&Value> = alternatives.iter().filter(|schema| !is_null(schema)).collect();
         match present.as_slice() {
             [one] => self.value(one, value, path),
-            _ => self.faults.push(fault(schema, value, path)),
+            _ => self.errors.push(mismatch_message(schema, value, path)),
         }
     }
 
@@ -84,7 +84,7 @@
             let key = key.as_str().unwrap_or_default();
             if !table.contains_key(key) {
                 let wanted = describe(known.and_then(|known| known.get(key)).unwrap_or(&Value::Null));
-                self.faults.push(format!("{} is missing: {wanted} is wanted", join(path, key)));
+                self.errors.push(format!("{} is missing: {wanted} is wanted", join(path, key)));
             }
         }
         for (key, value) in table {
@@ -96,7 +96,7 @@
                 (None, _) if self.unknown == UnknownKeys::Rejected && known.is_some() => {
                     let keys: Vec<&str> =
                         known.into_iter().flat_map(|known| known.keys()).map(String::as_str).collect();
-                    self.faults.push(format!("{path} is no key here: {} are", keys.join(", ")));
+                    self.errors.push(format!("{path} is no key here: {} are", keys.join(", ")));
                 }
                 _ => {}
             }
@@ -105,9 +105,9 @@
 }
 
 fn is_valid(schema: &Value, value: &Value, unknown: UnknownKeys) -> bool {
-    let mut check = Check { unknown, faults: Vec::new() };
+    let mut check = Check { unknown, errors: Vec::new() };
     check.value(schema, value, "");
-    check.faults.is_empty()
+    check.errors.is_empty()
 }
 
 /// Whether the value has a type that the schema allows.
--- a/crates/program-support/src/config/expectation.rs
+++ b/crates/program-support/src/config/expectation.rs
@@ -57,7 +57,7 @@
 }
 
 /// The error message for a value at `path` that does not match the schema. A long value is truncated.
-pub(super) fn fault(schema: &Value, value: &Value, path: &str) -> String {
+pub(super) fn mismatch_message(schema: &Value, value: &Value, path: &str) -> String {
     let path = if path.is_empty() { "the whole" } else { path };
     let mut shown = value.to_string();
     if shown.len() > MAX_SHOWN_BYTES {
--- a/crates/program-support/src/config/tests.rs
+++ b/crates/program-support/src/config/tests.rs
@@ -64,11 +64,11 @@
     assert_eq!(wrong(&good()), Vec::<String>::new());
     let bad = json!({"pool": {"per_server": 0, "idle_ms": -1, "warm": "yes", "fast": 1}, "zones": ["a", "b", "c", "d"],
         "plans": [{"name": "", "rate": 11.5, "level": "middle"}, {"rate": "much"}, 5], "levels": {"odd\nname": "loud"}});
-    let mut faults = wrong(&bad);
-    faults.sort();
+    let mut errors = wrong(&bad);
+    errors.sort();
     let words = r#""high" or "off" or "low""#;
     assert_eq!(
-        faults,
+        errors,
         [
             &format!(r#"levels."odd\nname" is "loud": {words} is wanted"#),
             r#"listen is missing: a text is wanted"#,
--- a/crates/registry/src/http/registrars.rs
+++ b/crates/registry/src/http/registrars.rs
@@ -100,13 +100,13 @@
 fn call(registry: &Registry, method: &Method, uid: String, verb: Option<&str>, body: &[u8]) -> HttpResponse {
     let done = match (verb, method) {
         (None, &Method::PUT) => parse_announcement(uid, body).map(|(target, lease_ms)| {
-            change_answer(registry.change(|store| store.register(&target, lease_ms)))
+            change_response(registry.change(|store| store.register(&target, lease_ms)))
         }),
         (None, &Method::DELETE) => parse_boot_ms(body)
-            .map(|boot_ms| change_answer(registry.change(|store| store.remove(&uid, boot_ms).map(Some)))),
+            .map(|boot_ms| change_response(registry.change(|store| store.remove(&uid, boot_ms).map(Some)))),
         (None, _) => return method_not_allowed("PUT, DELETE"),
         (Some("drain"), &Method::POST) => parse_boot_ms(body)
-            .map(|boot_ms| change_answer(registry.change(|store| store.drain(&uid, boot_ms)))),
+            .map(|boot_ms| change_response(registry.change(|store| store.drain(&uid, boot_ms)))),
         (Some("renew"), &Method::POST) => renew(registry, &uid, body),
         (Some("drain" | "renew"), _) => return method_not_allowed("POST"),
         (Some(_), _) => return text(StatusCode::NOT_FOUND, "no such call"),
@@ -149,7 +149,7 @@
     Ok(Some(incarnation.boot_ms))
 }
 
-fn change_answer(result: Result<u64, ChangeError>) -> HttpResponse {
+fn change_response(result: Result<u64, ChangeError>) -> HttpResponse {
     match result {
         Ok(version) => json(format!(r#"{{"rev":{version}}}"#)),
         Err(ChangeError::Refused(refusal)) => refused(refusal),
--- a/crates/registry/tests/golden_folder.rs
+++ b/crates/registry/tests/golden_folder.rs
@@ -165,11 +165,11 @@
         let mut bytes = folder_copy.read(file);
         bytes[..HEADER_BYTES].copy_from_slice(b"not of ours!");
         fs::write(folder_copy.0.join(file), bytes).expect("written");
-        let told = String::from_utf8(refused(&folder_copy).stderr).expect("text");
-        assert!(told.contains("is damaged"), "{file}: {told}");
+        let stderr = String::from_utf8(refused(&folder_copy).stderr).expect("text");
+        assert!(stderr.contains("is damaged"), "{file}: {stderr}");
     }
     let folder_copy = TestFolder::copy("list");
     fs::remove_file(folder_copy.0.join("snapshot")).expect("it is there");
-    let told = String::from_utf8(refused(&folder_copy).stderr).expect("text");
-    assert!(told.contains("no snapshot"), "{told}");
+    let stderr = String::from_utf8(refused(&folder_copy).stderr).expect("text");
+    assert!(stderr.contains("no snapshot"), "{stderr}");
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -70,10 +70,10 @@
     for (line, word) in cases {
         let out = run(&[batch(&[BEGIN_MESSAGE, FLEET_MESSAGE]), line]);
         assert_eq!(out.status.code(), Some(1), "{word}");
-        let told = String::from_utf8(out.stderr).expect("text");
+        let stderr = String::from_utf8(out.stderr).expect("text");
         assert!(
-            told.lines().count() == 1 && told.contains(word) && told.contains("line 2"),
-            "{word}: {told}"
+            stderr.lines().count() == 1 && stderr.contains(word) && stderr.contains("line 2"),
+            "{word}: {stderr}"
         );
     }
 }
@@ -103,9 +103,12 @@
     let path = |path: &std::path::PathBuf| path.to_str().expect("text").to_string();
     assert_eq!(run(&["check-config", "--config", &path(&good)]), (Some(0), "ok\n".to_string()));
     for command in [&["check-config"][..], &["run"], &[]] {
-        let (code, said) = run(&[command, &["--config", &path(&bad)]].concat());
-        assert_eq!((code, said.lines().count()), (Some(1), 2), "{said}");
-        assert!(said.contains("log.level is 1: ") && said.contains("log.speed is no key here"), "{said}");
+        let (code, output) = run(&[command, &["--config", &path(&bad)]].concat());
+        assert_eq!((code, output.lines().count()), (Some(1), 2), "{output}");
+        assert!(
+            output.contains("log.level is 1: ") && output.contains("log.speed is no key here"),
+            "{output}"
+        );
     }
     [good, bad].iter().for_each(|path| std::fs::remove_file(path).expect("it is there"));
 }
