--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the leader to workers, with all that may become of them on the way.
+//! Calls from the leader to workers: delays, loss and late delivery.
 
 use std::collections::HashMap;
 
@@ -13,15 +13,15 @@
 use crate::time::ms;
 use crate::workers::Delivery;
 
-/// Names an exchange with a worker.
+/// Identifies a call to a worker.
 pub(super) type WorkerCallId = u64;
 
-/// Least delay of an order that is carried out late, in milliseconds.
+/// Shortest delay of an order that is carried out late, in milliseconds.
 const LEAST_LATE_MS: u64 = 2_000;
 /// Longest delay of an order that is carried out late, in milliseconds.
 const MOST_LATE_MS: u64 = 12_000;
 
-/// An exchange under way.
+/// A call in flight.
 struct Exchange {
     machine: usize,
     incarnation: u32,
@@ -29,11 +29,11 @@
     call: CallId,
     worker: usize,
     delivery: Delivery,
-    /// Nobody waits for the answer.
+    /// The caller no longer waits for the answer.
     abandoned: bool,
 }
 
-/// Exchanges under way.
+/// Calls in flight.
 #[derive(Default)]
 pub(super) struct WorkerCalls {
     exchanges: HashMap<WorkerCallId, Exchange>,
@@ -96,7 +96,7 @@
         let worker = exchange.worker;
         let mut delivery = exchange.delivery.clone();
         if delivery.late || exchange.abandoned {
-            // Carried out by itself, for nobody.
+            // No caller waits for the answer, so the worker must not hold the call as a long poll.
             if let WorkerRequest::RenewLease { wait_ms, .. } = &mut delivery.request {
                 *wait_ms = 0;
             }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A worker answers.
+    /// Sends a worker's answer to its caller.
     pub(super) fn late_answer(&mut self, call: WorkerCallId, outcome: CallOutcome) {
         let Some(exchange) = self.worker_calls.exchanges.get(&call) else { return };
         let (from, to) = (Endpoint::Worker(exchange.worker), Endpoint::Core(exchange.machine));
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they hand jobs in, try again, ask, and cancel.
+//! Clients: they submit jobs, retry, read job states and cancel jobs.
 
 use std::collections::HashMap;
 
@@ -13,24 +13,24 @@
 use crate::time::{ms, MS};
 use crate::workload::Queue;
 
-/// Host of all queues.
+/// Host name of all queues.
 pub(super) const HOST: &str = "jobs.example";
-/// Times that a client hands a job in.
+/// Maximum number of attempts to submit a job.
 const MAX_SUBMITS: u32 = 5;
-/// Times that a client tries to cancel.
+/// Maximum number of attempts to cancel a job.
 const MAX_CANCELS: u32 = 10;
-/// Longest pause between two questions for a job's state.
+/// Longest pause between two reads of a job's state, in nanoseconds.
 const MAX_PAUSE: u64 = 8_000 * MS;
-/// Bytes that a request counts for at an edge.
+/// Size that an edge accounts for each request, in bytes.
 const WEIGHT: usize = 2_000;
 
-/// What the clients know.
+/// State of the clients.
 #[derive(Default)]
 pub(super) struct Clients {
     jobs: HashMap<u64, ClientJob>,
-    /// Pending calls by edge.
+    /// Calls in flight, by edge.
     in_hand: HashMap<usize, Vec<usize>>,
-    /// Clients leave before their deadline.
+    /// Clients give up on submissions before their timeout.
     pub(super) hurry: bool,
 }
 
@@ -76,7 +76,7 @@
         self.send_call(kind, job, prefix, patience);
     }
 
-    /// A client asks how many jobs wait in a queue.
+    /// Sends a client's request for the number of pending jobs in a queue.
     pub(super) fn count_queue(&mut self, prefix: String) {
         self.send_call(CallKind::Count, 0, prefix, ms(3_000));
     }
@@ -105,7 +105,8 @@
         self.queue.push(sent_at + delay, event);
     }
 
-    /// The platform passes a new connection to an edge that is in, or to any.
+    /// Chooses the edge that receives a new connection: one that passes its readiness probes, or any if none
+    /// does.
     fn choose_edge(&mut self) -> usize {
         let ready: Vec<usize> = (0..self.edges.len()).filter(|edge| self.edges[*edge].is_in()).collect();
         if ready.is_empty() {
@@ -149,7 +150,7 @@
         ForwardRequest { host: HOST.to_owned(), path, timeout_ms, call: one_of, size_bytes: WEIGHT }
     }
 
-    /// An edge has an answer for a client.
+    /// Passes an edge's reply on to the client.
     pub(super) fn answer_client(&mut self, edge: usize, call: usize, reply: &ClientReply) {
         if let Some(in_hand) = self.clients.in_hand.get_mut(&edge) {
             in_hand.retain(|known| *known != call);
@@ -168,7 +169,7 @@
         self.queue.push(self.now + delay, Event::ClientAnswered { call, answer });
     }
 
-    /// The connections of an edge's clients break.
+    /// Breaks the connections between an edge and its clients.
     pub(super) fn break_clients_of(&mut self, edge: usize) {
         for call in self.clients.in_hand.remove(&edge).unwrap_or_default() {
             let delay = self.delay(Endpoint::Edge(edge), Endpoint::Outside);
@@ -259,7 +260,7 @@
         self.queue.push(self.now + again, Event::ClientSends { job, intent: Intent::Cancel });
     }
 
-    /// When all jobs are asked for.
+    /// Time at which clients read the states of all accepted jobs.
     pub(super) fn final_question(&self) -> u64 {
         let finish = ms(self.site.bounds.finish_ms);
         let recovery = if self.script.closing.is_some() { ms(self.site.bounds.recovery_ms) } else { 0 };
@@ -268,7 +269,7 @@
 }
 
 impl World {
-    /// Asks for every job that was accepted and has not been seen to end.
+    /// Reads the state of every accepted job, three times each.
     pub(super) fn ask_for_all_jobs(&mut self) {
         let accepted = self.clients.jobs.iter().filter(|(_, state)| state.accepted);
         let mut jobs: Vec<u64> = accepted.map(|(job, _)| *job).collect();
--- a/crates/simulation/src/world/cores.rs
+++ b/crates/simulation/src/world/cores.rs
@@ -12,41 +12,42 @@
 use crate::core_process::{CoreEvent, CoreFrame, CoreOutput, CoreProcess, CoreSettings, Pacing};
 use crate::time::{ms, DAY_BEGINS_MS, MS, SECOND};
 
-/// Pause before a failed write is tried again.
+/// Pause before a failed write is retried, in nanoseconds.
 const DISK_RETRY: u64 = SECOND;
-/// Edges' probes of an idle connection notice within this time that nobody is there.
+/// Time within which an edge's keepalive probes detect that the other machine is gone, in nanoseconds.
 const KEEPALIVE: u64 = 6 * SECOND;
-/// Most operations of the disk that a write still carries out when the process dies.
+/// Maximum number of disk operations that a write still completes when the process dies.
 const MAX_HALTED_OPERATIONS: u64 = 6;
-/// The seeds: the first machines of the core.
+/// Number of seeds: the first machines of the core.
 pub(super) const SEEDS: usize = 3;
 
 /// A core machine.
 pub(super) struct CoreMachine {
     pub(super) process: Option<CoreProcess>,
-    /// Rises with each start of its process.
+    /// Incremented at each start of the process.
     pub(super) incarnation: u32,
-    /// Rises with each loss of power, or of its process.
+    /// Incremented when the machine loses power or its process dies. A pending start with an older value is
+    /// dropped.
     pub(super) power: u32,
     pub(super) directory: ModelDirectory,
-    /// The machine takes part.
+    /// The machine is part of the deployment.
     pub(super) exists: bool,
-    /// It has power.
+    /// The machine has power.
     pub(super) powered: bool,
     pub(super) frozen_until: u64,
     pub(super) disk_factor: u64,
     pub(super) disk_stalled_until: u64,
     pub(super) day_offset_ms: i64,
-    /// It counts as lost until then.
+    /// The machine counts as lost until this time.
     pub(super) lost_until: u64,
     pub(super) had_first_start: bool,
-    /// Since when its disk has held what it stores.
+    /// Time since which the disk has held its data without loss.
     pub(super) disk_since: u64,
-    /// It was replaced: once its process ends it does not come back.
+    /// The machine was replaced: its process does not restart after it ends.
     pub(super) leaves: bool,
-    /// Its turns, on days on which work takes processor time.
+    /// Turns of the process, on days that simulate processor time.
     pub(super) turns: Turns,
-    /// The list that it read last: of which leadership, and which version.
+    /// The platform list that the machine read last: leadership term and list version.
     pub(super) last_list: Option<(u64, usize)>,
     pub(super) steady_offset: u64,
     generation: u64,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Whether its process runs and is awake.
+    /// Whether the process runs and is not frozen.
     pub(super) fn is_awake(&self, now: u64) -> bool {
         self.process.is_some() && self.frozen_until <= now
     }
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The process of a machine dies. With the power, all that was not synced may be lost, too.
+    /// Ends a machine's process. If `power_lost`, data that was not synced may be lost as well.
     pub(super) fn core_dies(&mut self, machine: usize, power_lost: bool, wipe: bool) {
         let now = self.now;
         let operations = self.rng.u64(0..=MAX_HALTED_OPERATIONS);
@@ -151,7 +152,8 @@
         }
     }
 
-    /// A machine without power says nothing: edges' probes of idle connections find out.
+    /// Schedules the time at which edges notice a machine without power. Such a machine closes no
+    /// connections, so only the edges' keepalive probes find out.
     fn lose_connections_of(&mut self, machine: usize) {
         let at = self.now + KEEPALIVE;
         for (position, connection) in self.connections.iter().enumerate() {
@@ -161,7 +163,8 @@
         }
     }
 
-    /// The machine's system closes its sockets: the other sides learn of it.
+    /// Closes the sockets of a dead process, as the machine's operating system does; the other ends are
+    /// notified.
     fn break_streams_of(&mut self, machine: usize) {
         for other in 0..self.cores.len() {
             if other != machine {
@@ -215,7 +218,7 @@
         });
     }
 
-    /// A connection to another core machine is refused.
+    /// Delivers the refusal of a connection to another core machine.
     pub(super) fn peer_refused(&mut self, machine: usize, incarnation: u32, refused: usize) {
         if self.cores[machine].incarnation != incarnation {
             return;
@@ -224,7 +227,7 @@
         self.core_event_when_awake(machine, event, |_| Event::PeerRefused { machine, incarnation, refused });
     }
 
-    /// A process is frozen until a time, if it runs.
+    /// Freezes a running process until the given time.
     pub(super) fn freeze_core(&mut self, machine: usize, until: u64) {
         let core = &mut self.cores[machine];
         if core.process.is_some() {
@@ -247,7 +250,7 @@
         });
     }
 
-    /// Hands an event to a process, or puts it off until the machine thaws.
+    /// Passes an event to a process, or reschedules it for the end of the freeze.
     pub(super) fn core_event_when_awake(
         &mut self,
         machine: usize,
@@ -266,7 +269,7 @@
         self.core_event(machine, event);
     }
 
-    /// Hands an event to a process and carries out what follows.
+    /// Passes an event to a process and carries out its outputs.
     pub(super) fn core_event(&mut self, machine: usize, event: CoreEvent) {
         if self.site.processor.is_some() {
             self.enqueue_core_event(machine, event);
@@ -297,7 +300,7 @@
         self.schedule_core(machine);
     }
 
-    /// A process holds a lease: no other one may, frozen or not.
+    /// Checks that no other process, frozen or not, holds a lease at the same time as `holder`.
     pub(super) fn check_leases(&mut self, holder: usize) {
         let now = self.now;
         let holds_too = |machine: &usize| {
@@ -403,7 +406,7 @@
         self.queue.push(self.now + after, Event::CoreStarts { machine, power });
     }
 
-    /// SIGTERM: the process hands over and ends, or is killed after the grace.
+    /// Sends SIGTERM: the process hands over and exits, or is killed after the grace period.
     pub(super) fn stop_core(&mut self, machine: usize) {
         let incarnation = self.cores[machine].incarnation;
         let grace = ms(self.site.bounds.grace_ms);
@@ -420,7 +423,7 @@
         }
     }
 
-    /// The core machine that leads, if one does.
+    /// The core machine that leads in the highest term, if any.
     pub(super) fn leader(&self) -> Option<usize> {
         let leads = |machine: &usize| {
             let process = self.cores[*machine].process.as_ref();
--- a/crates/simulation/src/world/edges.rs
+++ b/crates/simulation/src/world/edges.rs
@@ -14,11 +14,11 @@
 use crate::core_process::{identity, CoreEvent};
 use crate::time::{ms, SECOND};
 
-/// Misses after which the platform gives an edge no new connections.
+/// Consecutive failed readiness probes after which the platform sends an edge no new connections.
 const MISSES: u32 = 2;
-/// Pending requests that an edge accepts.
+/// Maximum number of pending requests at an edge.
 const MAX_REQUESTS: usize = 2_000;
-/// Bytes of pending requests that an edge accepts.
+/// Maximum total size of pending requests at an edge, in bytes.
 const MAX_BYTES: usize = 32 << 20;
 
 /// An edge machine.
@@ -26,7 +26,7 @@
     pub(super) upstream: Option<Upstream>,
     pub(super) incarnation: u32,
     pub(super) frozen_until: u64,
-    /// Connections by the edge's own numbers.
+    /// Position in the world's connections, by the edge's own connection number.
     numbers: HashMap<u64, usize>,
     generation: u64,
     wakes_at: u64,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether the platform passes new connections to it.
+    /// Whether the platform sends new connections to this edge.
     pub(super) fn is_in(&self) -> bool {
         self.misses < MISSES
     }
@@ -56,7 +56,7 @@
 pub(super) struct Connection {
     pub(super) edge: usize,
     pub(super) edge_incarnation: u32,
-    /// The edge's own number of it.
+    /// The edge's own number of the connection.
     pub(super) number: u64,
     pub(super) core: usize,
     pub(super) core_incarnation: u32,
@@ -82,7 +82,7 @@
         self.edge_does(edge, Upstream::poll);
     }
 
-    /// The process of an edge dies: its connections and those of its clients break.
+    /// Ends the process of an edge: its connections to the core and to clients break.
     pub(super) fn edge_dies(&mut self, edge: usize) {
         if self.edges[edge].upstream.take().is_none() {
             return;
@@ -112,7 +112,7 @@
         self.edge_does(edge, Upstream::poll);
     }
 
-    /// Lets an edge do something and carries out what follows.
+    /// Runs an action on an edge's upstream and carries out its outputs.
     pub(super) fn edge_does(
         &mut self,
         edge: usize,
@@ -178,7 +178,7 @@
         });
         self.edges[edge].numbers.insert(number, position);
         let reachable = core < self.cores.len() && self.cores[core].exists && self.cores[core].powered;
-        // A machine without power, or behind a partition, says nothing.
+        // A machine without power, or behind a partition, does not answer at all.
         if reachable && self.network.passes(Endpoint::Edge(edge), Endpoint::Core(core)) {
             let event = Event::EdgeConnects { connection: position };
             self.send_alone(Endpoint::Edge(edge), Endpoint::Core(core), event);
@@ -213,7 +213,7 @@
         self.edge_does(edge, |upstream, now, out| upstream.connected(now, number, out));
     }
 
-    /// Puts an event off until the edge thaws; `None` if it was.
+    /// Reschedules an event for the end of the edge's freeze. Returns `None` if the edge is frozen.
     fn put_off_frozen_edge(&mut self, edge: usize, event: Event) -> Option<()> {
         let until = self.edges[edge].frozen_until;
         if until > self.now {
@@ -276,7 +276,7 @@
         self.edge_does(edge, |upstream, now, out| upstream.received(now, number, frame, out));
     }
 
-    /// A connection breaks on both sides.
+    /// Breaks a connection on both sides.
     pub(super) fn break_connection(&mut self, connection: usize) {
         self.connections[connection].is_open = false;
         self.hang_up_edge(connection);
@@ -295,7 +295,7 @@
         self.send_on_stream(from, to, connection as u64 + 1, Event::CoreHungUp { connection });
     }
 
-    /// The edge learns that its connection is closed.
+    /// Notifies the edge that its connection is closed.
     pub(super) fn edge_hung_up(&mut self, connection: usize) {
         let link = &self.connections[connection];
         let (edge, number) = (link.edge, link.number);
@@ -311,7 +311,7 @@
         self.edge_does(edge, |upstream, now, out| upstream.disconnected(now, number, out));
     }
 
-    /// The core learns that an edge's connection is closed.
+    /// Notifies the core process that an edge's connection is closed.
     pub(super) fn core_hung_up(&mut self, connection: usize) {
         let link = &self.connections[connection];
         if self.cores[link.core].incarnation != link.core_incarnation {
@@ -321,7 +321,7 @@
         self.core_event_when_awake(link.core, closed, |_| Event::CoreHungUp { connection });
     }
 
-    /// Every second the platform asks each edge whether it is ready.
+    /// Probes the readiness of every edge, once a second, as the platform does.
     pub(super) fn ask_readiness(&mut self) {
         let now = self.now;
         for edge in &mut self.edges {
--- a/crates/simulation/src/world/event.rs
+++ b/crates/simulation/src/world/event.rs
@@ -1,4 +1,4 @@
-//! What can happen in the world.
+//! Events of the simulation.
 
 use data_plane::upstream::UpstreamOutput;
 use messages::peer::PeerFrame;
@@ -8,50 +8,50 @@
 use crate::core_process::{CoreFrame, CoreOutput, OperatorReply};
 use crate::history::Answer;
 
-/// An event. Processes are named by machine and incarnation: what is for an earlier incarnation is dropped.
+/// An event. It names a process by machine and incarnation; an event for an earlier incarnation is dropped.
 #[derive(Debug)]
 pub enum Event {
     /// A core process starts.
     CoreStarts { machine: usize, power: u32 },
-    /// A core process's timer.
+    /// A timer of a core process expires.
     CoreWakes { machine: usize, incarnation: u32, generation: u64 },
     /// A core process begins a turn.
     TurnBegins { machine: usize, incarnation: u32 },
-    /// A core process ends a turn, and what it gives leaves.
+    /// A core process ends a turn and its outputs are sent.
     TurnEnds { machine: usize, incarnation: u32, outputs: Vec<CoreOutput> },
     /// A frame between core machines arrives.
     CoreFrame { machine: usize, from: usize, frame: CoreFrame },
-    /// A core process learns that a connection broke.
+    /// A core process is notified that a connection broke.
     PeerLost { machine: usize, incarnation: u32, lost: usize },
-    /// A core process learns that nothing listens at a machine that it was connected to.
+    /// A core process is notified that nothing listens at a machine to which it was connected.
     PeerRefused { machine: usize, incarnation: u32, refused: usize },
-    /// A core process is frozen until a time.
+    /// A core process freezes until the given time.
     CoreFreezes { machine: usize, until: u64 },
-    /// A core machine that was replaced is asked to stop.
+    /// A replaced core machine is asked to stop.
     CoreLeaves { machine: usize, incarnation: u32 },
-    /// A core machine's disk has finished a write.
+    /// A core machine's disk finishes a write.
     DiskDone { machine: usize, incarnation: u32 },
-    /// SIGKILL after the grace of a SIGTERM.
+    /// The grace period after SIGTERM ends; the process gets SIGKILL.
     GraceEnds { machine: usize, incarnation: u32 },
     /// An edge process starts.
     EdgeStarts { edge: usize },
-    /// An edge process's timer.
+    /// A timer of an edge process expires.
     EdgeWakes { edge: usize, incarnation: u32, generation: u64 },
     /// An edge's attempt to connect arrives at a core machine.
     EdgeConnects { connection: usize },
-    /// An edge learns that its connection stands, or not.
+    /// An edge is notified whether its connection was established (`stands`).
     EdgeConnected { connection: usize, stands: bool },
-    /// A frame of an edge arrives at a core machine.
+    /// A frame from an edge arrives at a core machine.
     EdgeFrame { connection: usize, frame: PeerFrame },
-    /// A frame of a core machine arrives at an edge.
+    /// A frame from a core machine arrives at an edge.
     ToEdge { connection: usize, frame: PeerFrame },
-    /// The core's end of a connection learns that it is closed.
+    /// The edge is notified that its connection is closed.
     EdgeHungUp { connection: usize },
-    /// The edge's end of a connection learns that it is closed.
+    /// The core machine is notified that an edge's connection is closed.
     CoreHungUp { connection: usize },
-    /// The platform asks every edge whether it is ready.
+    /// The platform probes the readiness of every edge.
     ReadinessAsked,
-    /// A job is due to be handed in.
+    /// A job is due for submission.
     JobComes { job: usize },
     /// A client sends a call.
     ClientSends { job: u64, intent: Intent },
@@ -59,66 +59,66 @@
     ClientArrives { call: usize, edge_incarnation: u32 },
     /// An answer arrives at a client.
     ClientAnswered { call: usize, answer: Answer },
-    /// A client waits no longer.
+    /// A client stops waiting for an answer.
     ClientLeaves { call: usize },
-    /// A client asks for a count.
+    /// A client asks for a queue's number of pending jobs.
     ClientCounts { prefix: String },
-    /// A call arrives at a worker.
+    /// A call of the leader arrives at a worker.
     CallArrives { call: WorkerCallId },
-    /// An answer of a worker arrives at its caller.
+    /// A worker's answer arrives at the caller.
     CallAnswered { call: WorkerCallId, outcome: CallOutcome },
-    /// Something is due at a worker.
+    /// A timer of a worker expires.
     FleetWakes { at: u64 },
-    /// A request for the list arrives at the platform.
+    /// A read of the worker list arrives at the platform.
     ListAsked { machine: usize, incarnation: u32, term: u64 },
-    /// The list, or a refusal, arrives at its reader.
+    /// The worker list (`version`), or a refusal (`None`), arrives at the reader.
     ListArrives { machine: usize, incarnation: u32, term: u64, version: Option<usize> },
     /// A worker starts a new incarnation.
     WorkerBoots { worker: usize },
-    /// A worker leaves for good.
+    /// A worker shuts down for good.
     WorkerLeaves { worker: usize },
-    /// The list forgets a worker's incarnation.
+    /// The platform removes a worker's incarnation from its list.
     WorkerUnlisted { instance: String },
-    /// The operator goes on with an order.
+    /// The operator sends a configuration change, for the first time or again.
     OperatorSends { order: usize },
-    /// An order of the operator arrives at a core machine.
+    /// A request of the operator arrives at a core machine.
     OperatorArrives { exchange: usize },
     /// An answer arrives at the operator.
     OperatorAnswered { exchange: usize, reply: OperatorReply },
-    /// The operator waits no longer for an answer, or its connection was refused.
+    /// The operator's request timed out, or its connection was refused.
     OperatorGivesUp { exchange: usize },
-    /// The operator reads the configuration back.
+    /// The operator reads the configuration back at the end of the day.
     ReadBack,
-    /// The operator reads the configuration now and then.
+    /// The operator's periodic read of the configuration.
     OperatorQueries,
     /// A fault begins.
     FaultBegins { fault: usize },
-    /// What a fault does to single things ends.
+    /// The effect of a fault on the listed machines or workers ends.
     FaultEnds { fault: usize, touched: Vec<usize> },
-    /// A machine's power, disk or freeze comes back.
+    /// The time of a partition is over.
     PartitionEnds,
-    /// The world checks for jobs that wait for no reason.
+    /// The world checks for jobs that stay idle without a reason.
     ChecksIdle,
-    /// A core machine loses its power, just after it said something.
+    /// A core machine loses power just after an acknowledgement.
     PowerFails { machine: usize, incarnation: u32, wipe: bool, lasts: u64 },
-    /// The operator sends the configuration that precedes all traffic.
+    /// The operator sends the initial configuration, before all traffic.
     FirstConfiguration,
-    /// All jobs are asked for.
+    /// Clients read the states of all accepted jobs.
     FinalQuestions,
-    /// The final fault.
+    /// The final fault is armed.
     Closing,
 }
 
-/// What a client wants next.
+/// What a client does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intent {
-    /// Hand the job in.
+    /// Submit the job.
     Submit,
-    /// Ask for its state.
+    /// Read the job's state.
     Read,
-    /// Cancel it.
+    /// Cancel the job.
     Cancel,
 }
 
-/// Outputs of an edge's way to the leader, gathered.
+/// Outputs of an edge's upstream.
 pub type EdgeOutputs = Vec<UpstreamOutput>;
--- a/crates/simulation/src/world/fault_injection/clients.rs
+++ b/crates/simulation/src/world/fault_injection/clients.rs
@@ -1,4 +1,4 @@
-//! Load from clients: bursts of jobs, and many cancellations.
+//! Load faults from clients: bursts of jobs and mass cancellation.
 
 use crate::script::InjectedFault;
 use crate::time::{ms, SECOND};
--- a/crates/simulation/src/world/fault_injection/cores.rs
+++ b/crates/simulation/src/world/fault_injection/cores.rs
@@ -1,4 +1,4 @@
-//! Faults of single core machines: processes, power, disks, links and clocks.
+//! Faults of single core machines: process, power, disk, network and clock.
 
 use crate::script::{FaultKind, InjectedFault, Target};
 use crate::time::{ms, MS};
@@ -6,19 +6,19 @@
 use crate::world::network::{Endpoint, Partition};
 use crate::world::World;
 
-/// Connections are seen to be refused within this time.
+/// Connections are refused within this time, in nanoseconds.
 const REFUSED_WITHIN: u64 = 60 * MS;
-/// A slow process is frozen for the first part of each period.
+/// Period of a slow process, in nanoseconds. The process is frozen during the first part of each period.
 const SLOW_PERIOD: u64 = 60 * MS;
-/// That part: it runs at a fifth of its speed.
+/// Frozen part of the period, in nanoseconds: the process runs at a fifth of its speed.
 const FROZEN_PART: u64 = 48 * MS;
-/// How many times as long a slow disk takes.
+/// Factor by which a slow disk takes longer.
 const SLOW_DISK: u64 = 30;
-/// By how much a clock jumps, in milliseconds.
+/// Size of a clock jump, in milliseconds.
 const CLOCK_JUMP_MS: i64 = 2_000;
 
 impl World {
-    /// Core machines that count as lost.
+    /// Number of core machines that count as lost.
     pub(super) fn lost_cores(&self) -> usize {
         let now = self.now;
         let lost = |machine: &&usize| {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Injects a fault into a core machine, or arms one that waits for an acknowledgement; gives the machine.
+    /// Injects a fault into a core machine, or arms one that waits for an acknowledgement. Returns the
+    /// affected machine.
     pub(super) fn inject_on_core(&mut self, fault: &InjectedFault) -> Vec<usize> {
         if self.arm_power_loss(fault) {
             return Vec::new();
@@ -52,7 +53,7 @@
         vec![machine]
     }
 
-    /// Arms a loss of power that waits for an acknowledgement; false if the fault is none.
+    /// Arms a power loss that waits for an acknowledgement. Returns false for any other kind of fault.
     fn arm_power_loss(&mut self, fault: &InjectedFault) -> bool {
         use FaultKind::*;
         match fault.kind {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Records that a core machine is lost until a time, and for as long as it needs to catch up.
+    /// Records that a core machine is lost until the given time, plus the time it needs to catch up.
     pub(super) fn record_core_loss(&mut self, machine: usize, until: u64) {
         let caught_up = until + ms(self.site.bounds.catch_up_ms);
         self.cores[machine].lost_until = self.cores[machine].lost_until.max(caught_up);
@@ -111,7 +112,8 @@
         self.record_core_fault(until);
     }
 
-    /// A filter partitions a core machine off from the others, and refuses connections in the name of both sides.
+    /// Partitions a core machine from the other core machines by a filter that refuses connections in both
+    /// directions.
     fn refuse_core(&mut self, machine: usize, until: u64) {
         self.partition(Partition::FromCores(machine), until);
         for other in (0..self.cores.len()).filter(|other| *other != machine) {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// A process that gets a part of its time only.
+    /// Slows a process down: it gets only a part of its time.
     fn slow_core(&mut self, machine: usize, until: u64) {
         let mut at = self.now;
         while at < until {
--- a/crates/simulation/src/world/fault_injection/final_fault.rs
+++ b/crates/simulation/src/world/fault_injection/final_fault.rs
@@ -1,4 +1,4 @@
-//! The fault that ends a day, right after an acknowledgement.
+//! The fault at the end of a day, right after an acknowledgement.
 
 use crate::history::Span;
 use crate::script::Closing;
@@ -36,7 +36,7 @@
                 }
                 if self.rng.bool() {
                     self.inject_on_all_cores(true, down);
-                    // Machines that don't count may lose power at the same moment.
+                    // Edge machines do not count as lost machines and may lose power at the same moment.
                     if self.rng.bool() {
                         self.kill_all_edges(down);
                     }
--- a/crates/simulation/src/world/fault_injection/groups.rs
+++ b/crates/simulation/src/world/fault_injection/groups.rs
@@ -1,11 +1,11 @@
-//! Faults of all core machines, or of all edges, at once.
+//! Faults of all core machines, or of many edges, at the same time.
 
 use crate::time::{ms, MS};
 use crate::world::{World, FIRST_EDGE};
 
-/// How much later processes killed at once return, at most.
+/// Processes killed at the same time restart within this time of each other, in nanoseconds.
 pub(super) const RESTART_SPREAD: u64 = 900 * MS;
-/// Edges lost at once, where most of them are.
+/// Percentage of the edges that `kill_most_edges` kills.
 const LOST_EDGES_PERCENT: usize = 55;
 
 impl World {
@@ -32,7 +32,7 @@
         self.kill_edges(self.edges.len(), down);
     }
 
-    /// More than half of the edges are lost at once.
+    /// Kills more than half of the edges at the same time.
     pub(super) fn kill_most_edges(&mut self, down: u64) {
         self.kill_edges(self.edges.len() * LOST_EDGES_PERCENT / 100, down);
     }
--- a/crates/simulation/src/world/fault_injection/mod.rs
+++ b/crates/simulation/src/world/fault_injection/mod.rs
@@ -1,4 +1,4 @@
-//! Carries faults out, each kind in the module of what it affects.
+//! Fault injection. Each submodule holds the faults of one kind of component.
 
 mod clients;
 mod cores;
@@ -15,9 +15,9 @@
 use crate::world::event::Event;
 use crate::world::World;
 
-/// A fault that would lose too many machines at once tries again after this time.
+/// Delay before a fault is retried that would lose too many machines at the same time, in nanoseconds.
 const PUT_OFF: u64 = 500 * MS;
-/// Longest loss of power of all machines with a disk at once, right after a job was accepted.
+/// Longest power loss of all core machines right after a job was accepted, in nanoseconds.
 const MAX_POWER_LOSS_AFTER_ACCEPT: u64 = 4 * SECOND;
 
 impl World {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Carries a fault out; gives the workers or machines that it touched.
+    /// Carries out a fault. Returns the affected workers or machines.
     fn carry_out(&mut self, fault: &InjectedFault) -> Vec<usize> {
         use FaultKind::*;
         match fault.kind {
--- a/crates/simulation/src/world/fault_injection/power_loss.rs
+++ b/crates/simulation/src/world/fault_injection/power_loss.rs
@@ -1,4 +1,4 @@
-//! Power lost just after a machine acknowledged something.
+//! Power losses just after a machine acknowledged something.
 
 use messages::peer::{ClientReply, Outcome};
 
@@ -10,7 +10,7 @@
 const POWER_LOSS_DELAY: u64 = 4 * MS;
 
 impl World {
-    /// A job was accepted: the leader may lose its power now.
+    /// Injects the faults that wait for the acceptance of a job.
     pub(in crate::world) fn inject_after_acceptance(&mut self, machine: usize, reply: &ClientReply) {
         if reply.outcome != Outcome::ACCEPTED {
             return;
@@ -23,14 +23,15 @@
         }
     }
 
-    /// A worker forgot ends at the word of a machine, which may lose its power now.
+    /// Injects the fault that waits for a worker to drop ends that the leader recorded. `machine` is the
+    /// leader.
     pub(in crate::world) fn inject_after_record(&mut self, machine: usize) {
         if let Some(lasts) = self.power_loss_after_record.take() {
             self.schedule_power_loss(machine, false, lasts);
         }
     }
 
-    /// A change was acknowledged: the fault that waits for that is injected now.
+    /// Injects the faults that wait for the acknowledgement of a configuration change.
     pub(in crate::world) fn inject_after_acknowledgement(&mut self, machine: usize) {
         if let Some((wipe, lasts)) = self.operator.power_loss_after_acknowledgement.take() {
             self.schedule_power_loss(machine, wipe, lasts);
--- a/crates/simulation/src/world/fault_injection/replacement.rs
+++ b/crates/simulation/src/world/fault_injection/replacement.rs
@@ -1,10 +1,11 @@
-//! Core machines that leave for good, and the empty ones that take their place.
+//! Replacement of core machines by empty spare machines.
 
 use crate::time::{ms, SECOND};
 use crate::world::event::Event;
 use crate::world::World;
 
-/// A machine that is replaced as planned goes this long after its successor has come.
+/// In a planned replacement, the old machine is asked to stop this long after the spare one starts, in
+/// nanoseconds.
 const PLANNED_OVERLAP: u64 = SECOND;
 
 impl World {
@@ -25,7 +26,7 @@
         self.restart_core(spare, SECOND);
     }
 
-    /// An empty machine comes, then the one that it replaces is asked to stop and leaves for good.
+    /// Starts an empty spare machine, then asks the replaced machine to stop for good.
     pub(super) fn replace_core_as_planned(&mut self, machine: usize) {
         let is_spare = |other: &usize| !self.cores[*other].exists && self.cores[*other].incarnation == 0;
         let Some(spare) = (self.site.cores..self.cores.len()).find(is_spare) else { return };
@@ -37,7 +38,7 @@
         self.queue.push(until, Event::CoreLeaves { machine, incarnation });
     }
 
-    /// A core machine that was replaced is asked to stop.
+    /// Asks a replaced core machine to stop.
     pub(in crate::world) fn core_leaves(&mut self, machine: usize, incarnation: u32) {
         if self.cores[machine].incarnation != incarnation {
             return;
--- a/crates/simulation/src/world/fault_injection/workers.rs
+++ b/crates/simulation/src/world/fault_injection/workers.rs
@@ -1,4 +1,4 @@
-//! Faults of workers, and their removal as planned.
+//! Faults of workers, and their planned removal.
 
 use crate::history::Span;
 use crate::script::{FaultKind, InjectedFault};
@@ -8,7 +8,7 @@
 use crate::world::setting_up::make_worker;
 use crate::world::World;
 
-/// Share of a service's workers that a fault affects.
+/// Fraction of a service's workers that a fault affects.
 const WORKER_SHARE: f64 = 0.2;
 
 impl World {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A worker is emptied and taken away; another comes in its place.
+    /// Drains a worker, removes it and adds a new one in its place.
     fn drain_worker(&mut self, worker: usize, spot: bool) {
         let drain_ms = if spot { 2_000 } else { self.site.bounds.drain_ms };
         let least = self.now + ms(drain_ms);
--- a/crates/simulation/src/world/idle.rs
+++ b/crates/simulation/src/world/idle.rs
@@ -1,4 +1,4 @@
-//! Looks for jobs of which nothing runs although it could: their turn has come and there is capacity twice over.
+//! Finds idle jobs: nothing of the job runs although a task is ready and twice the needed capacity is free.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,17 @@
 use crate::workers::{fits, need_of, Incarnation};
 use crate::workload::{JobPlan, Queue};
 
-/// Time between two checks.
+/// Time between two checks, in nanoseconds.
 const INTERVAL: u64 = 250 * MS;
 /// A worker's clock may be slow by one part in this many.
 const CLOCK_RATE_PART: u64 = 49;
-/// Time beyond the lease in which its lapse becomes certain, is committed, and a start follows.
+/// Time after the lease period in which the expiry becomes certain and is committed and a start follows, in
+/// nanoseconds.
 const WORKER_LEASE_SLACK: u64 = 500 * MS;
-/// For how long a job may wait for no reason.
+/// Longest time that a job may stay idle without a reason, in nanoseconds.
 const BOUND: u64 = 3_000 * MS;
 
-/// What the checks found so far.
+/// Results of the checks so far.
 #[derive(Default)]
 pub(super) struct IdleWatch {
     seen_calls: usize,
@@ -29,7 +30,7 @@
     since: BTreeMap<u64, u64>,
     seen_runs: usize,
     unfinished_runs: Vec<usize>,
-    /// Tasks of which an end as done was recorded.
+    /// Tasks whose successful end was recorded by the leader.
     recorded: BTreeSet<TaskKey>,
     failures: BTreeMap<TaskKey, u32>,
     reported: BTreeSet<u64>,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Jobs come under watch with their acceptance, and leave with the wish to cancel them.
+    /// Watches each job from its acceptance until a client asks to cancel it.
     fn follow_calls(&mut self) {
         let watch = &mut self.idle;
         for (position, call) in self.history.calls.iter().enumerate().skip(watch.seen_calls) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Tasks are done, or have failed too often.
+    /// Updates the tasks that are done and the number of failures of each task.
     fn follow_runs(&mut self) {
         let watch = &mut self.idle;
         watch.unfinished_runs.extend(watch.seen_runs..self.history.runs.len());
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Whether the last run of a job ended with its worker, or with the worker's lease.
+    /// Whether the last run of a job ended because its worker or the worker's lease was lost.
     fn lost_its_worker(&self, job: u64) -> bool {
         let ends = self.history.runs_of(job).filter_map(|run| run.end.as_ref());
         let last = ends.max_by_key(|end| end.at);
@@ -133,7 +134,7 @@
         failed || plan.all_tasks().all(|task| self.done.contains_key(&task))
     }
 
-    /// Whether a task's turn has come and there is capacity for it twice over on sound workers.
+    /// Whether a task of the job is ready and healthy workers have capacity for it twice over.
     fn could_run(&self, job: u64) -> bool {
         if !self.is_calm() || self.may_be_held(job) {
             return false;
@@ -183,19 +184,20 @@
         places >= wanted && used * 2 < all
     }
 
-    /// Whether a run of the job, or one that was ordered, may go on at a worker that is out of reach: until its lease has
-    /// lapsed another start may break the rule on tasks that run twice.
+    /// Whether a run of the job, or an ordered start, may still go on at an unreachable worker. Until that
+    /// worker's lease has expired, another start could break the rule TWICE.
     fn may_be_held(&self, job: u64) -> bool {
         let worker_lease = ms(self.site.bounds.max_worker_lease_ms);
         let lapses_within = worker_lease + worker_lease / CLOCK_RATE_PART + WORKER_LEASE_SLACK;
-        // A leader that never reached the worker cannot know how long before its own term the lease was last extended.
+        // A leader that never reached the worker cannot know how long before its own term the lease was last
+        // extended.
         let faults = self.history.core_faults.iter().filter(|span| span.from <= self.now);
         let leader_since = faults.map(|span| span.until.min(self.now)).max().unwrap_or(0);
         let may_be_in_force = |order: &StartOrder| {
             let faults = self.history.worker_faults.iter().filter(|(worker, ..)| *worker == order.worker);
             let mut hidden = faults.filter_map(|(_, span, kind)| {
                 let from = span.from + kind.hides_worker_after()?;
-                // An order that is sent into the silence carries a deadline of its own.
+                // An order that is sent while the worker is unreachable carries a deadline of its own.
                 Some(if span.touches(order.at, order.at) { from.max(order.at) } else { from })
             });
             hidden.any(|from| self.now < from.max(leader_since) + lapses_within)
@@ -203,14 +205,14 @@
         self.history.orders_of(job).any(may_be_in_force)
     }
 
-    /// No fault of this worker now or lately.
+    /// Whether the worker has no fault now and had none recently.
     fn is_sound(&self, worker: usize) -> bool {
         let from = self.now.saturating_sub(BOUND + ms(self.site.bounds.contact_ms));
         let faults = &self.history.worker_faults;
         !faults.iter().any(|(troubled, span, _)| *troubled == worker && span.touches(from, self.now))
     }
 
-    /// The core is stable and its machines are in touch.
+    /// Whether the core is stable, its machines are in contact and no order can be carried out late.
     fn is_calm(&self) -> bool {
         let from = self.now.saturating_sub(ms(self.site.bounds.contact_ms));
         let core = self.history.core_faults.iter().any(|span| span.touches(from, self.now));
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world of a day: machines, links, disks, clocks, workers, platform, operator and clients in simulated time.
+//! The simulated world of one day: machines, network, disks, clocks, workers, platform, operator and clients.
 
 mod calls;
 mod clients;
@@ -40,14 +40,14 @@
 pub(crate) use event::{Event, Intent};
 pub use network::FIRST_EDGE;
 
-/// Events of one day beyond which something runs in circles.
+/// Maximum number of events in a day. A higher number means an endless loop.
 const MAX_EVENTS: u64 = 3_000_000;
-/// The same where work takes processor time: these days have far more jobs.
+/// Maximum number of events in a day that simulates processor time; such days have far more jobs.
 const MAX_EVENTS_OF_LOADED_DAY: u64 = 60_000_000;
-/// Events within a millisecond beyond which something spins.
+/// Maximum number of events within a millisecond. A higher number means a busy loop.
 const MAX_EVENTS_PER_MS: u64 = 5_000;
 
-/// A day in play.
+/// A day that is being simulated.
 pub struct World {
     site: Site,
     script: Script,
@@ -67,44 +67,44 @@
     jobs: Vec<JobPlan>,
     faults: Vec<InjectedFault>,
     idle: IdleWatch,
-    /// Share of orders that workers carry out late.
+    /// Fraction of the orders that workers carry out late.
     late_share: f64,
-    /// What ends well, by task, as workers listed it.
+    /// Time at which each task ended successfully, as listed by its worker.
     done: HashMap<TaskKey, u64>,
     incarnations: BTreeMap<String, usize>,
-    /// A final fault is injected at the next acknowledgement.
+    /// The final fault is injected at the next acknowledgement.
     final_fault_armed: bool,
-    /// The leader loses power for this long once it has accepted a job.
+    /// After the next accepted job, the leader loses power for this long.
     power_loss_after_accept: Option<u64>,
-    /// All machines with a disk lose power when a job is next accepted, and for how long.
+    /// After the next accepted job, all core machines lose power for this long.
     power_loss_of_all_after_accept: Option<u64>,
-    /// The leader loses power for this long once a worker forgot ends at its word.
+    /// After a worker next drops ends that the leader recorded, the leader loses power for this long.
     power_loss_after_record: Option<u64>,
     history: History,
-    /// Hashes what happens, if that is wanted.
+    /// Hashes all events if a digest is wanted.
     digest: Option<DayDigest>,
     trace: bool,
 }
 
 impl World {
-    /// Sets a day up.
+    /// Creates the world of a day.
     pub fn new(site: Site, script: Script) -> World {
         setting_up::set_up(site, script)
     }
 
-    /// Prints what happens to standard error.
+    /// Prints events to standard error.
     pub fn with_trace(mut self) -> World {
         self.trace = true;
         self
     }
 
-    /// Plays the day to its end and gives what was seen.
+    /// Simulates the day to its end and returns what was observed.
     pub fn play(mut self) -> History {
         self.play_to_end();
         self.history
     }
 
-    /// Plays the day to its end and gives the digest of all that happened, 64 hex digits.
+    /// Simulates the day to its end and returns the digest of all events as 64 hex digits.
     pub fn play_for_digest(mut self) -> String {
         self.digest = Some(DayDigest::default());
         self.play_to_end();
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Makes sure that the workers are woken in time, and passes their late answers on.
+    /// Schedules the next timer of the workers and sends the answers to long polls that became due.
     fn schedule_fleet(&mut self) {
         for (token, outcome) in std::mem::take(&mut self.fleet.answered) {
             self.late_answer(token, outcome);
@@ -242,7 +242,7 @@
         self.history.process_faults.push(crate::history::ProcessFault { machine, at, text });
     }
 
-    /// Records a fault of a machine in touch with its moment.
+    /// Records a fault of a machine from now until the given time.
     fn record_machine_fault(&mut self, machine: usize, until: u64) {
         let span = Span { from: self.now, until };
         self.history.machine_faults.push((machine, span));
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Links: delays, partitions, and what becomes of bytes that a partition holds up.
+//! The network: delays, partitions, and the fate of bytes that a partition holds back.
 
 use std::collections::HashMap;
 
@@ -7,9 +7,9 @@
 use crate::history::Machine;
 use crate::time::MS;
 
-/// A stream on which a partition has held bytes up for longer than this breaks.
+/// A stream breaks if a partition holds its bytes back for longer than this, in nanoseconds.
 const USER_TIMEOUT: u64 = 1_500 * MS;
-/// Longest random delay on top of a link's own.
+/// Longest random delay in addition to the link's own, in nanoseconds.
 const JITTER: u64 = MS;
 
 /// One end of a link.
@@ -21,16 +21,16 @@
     Edge(usize),
     /// A worker.
     Worker(usize),
-    /// Clients, operator and platform.
+    /// Clients, operator and platform. Partitions do not affect them.
     Outside,
 }
 
-/// A partition of links.
+/// A network partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Partition {
     /// A core machine is partitioned from the other core machines.
     FromCores(usize),
-    /// What a core machine sends to other core machines does not arrive.
+    /// Bytes that a core machine sends to other core machines do not arrive.
     SendsToCores(usize),
     /// A machine or a worker is partitioned from all machines and workers.
     FromAll(Endpoint),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Bytes that a partition holds up.
+/// A message that a partition holds back.
 struct Held {
     since: u64,
     from: Endpoint,
@@ -68,7 +68,7 @@
     event: Event,
 }
 
-/// State of all links.
+/// State of the network.
 #[derive(Default)]
 pub struct Network {
     partitions: Vec<(Partition, u64)>,
@@ -77,14 +77,14 @@
 }
 
 impl Network {
-    /// Whether bytes pass.
+    /// Whether bytes pass from one end to the other.
     pub fn passes(&self, from: Endpoint, to: Endpoint) -> bool {
         !self.partitions.iter().any(|(partition, _)| partition.severs(from, to))
     }
 }
 
 impl World {
-    /// One way between two ends, with chance.
+    /// One-way delay between two ends, with random jitter.
     pub(super) fn delay(&mut self, from: Endpoint, to: Endpoint) -> u64 {
         let base = match (self.zone_of(from), self.zone_of(to)) {
             (Some(left), Some(right)) if left == right => self.site.near_delay,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Sends on a stream: in order, and held up by a partition.
+    /// Sends a message on a stream: it arrives in order, and a partition holds it back.
     pub(super) fn send_on_stream(&mut self, from: Endpoint, to: Endpoint, stream: u64, event: Event) {
         if !self.network.passes(from, to) {
             let since = self.now;
@@ -117,7 +117,7 @@
         self.queue.push(at, event);
     }
 
-    /// Sends by itself: it may overtake others.
+    /// Sends a message outside a stream: it may overtake others, and a partition holds it back.
     pub(super) fn send_alone(&mut self, from: Endpoint, to: Endpoint, event: Event) {
         if !self.network.passes(from, to) {
             let since = self.now;
@@ -128,13 +128,13 @@
         self.queue.push(at, event);
     }
 
-    /// Cuts links until a time.
+    /// Starts a partition that lasts until the given time.
     pub(super) fn partition(&mut self, partition: Partition, until: u64) {
         self.network.partitions.push((partition, until));
         self.queue.push(until, Event::PartitionEnds);
     }
 
-    /// Ends the partitions whose time is over, and lets go what they held up.
+    /// Ends the partitions whose time is over and delivers or drops the messages that they held back.
     pub(super) fn end_partitions(&mut self) {
         let now = self.now;
         self.network.partitions.retain(|(_, until)| *until > now);
@@ -150,7 +150,7 @@
                 Event::EdgeFrame { connection, .. } | Event::ToEdge { connection, .. } if too_old => {
                     self.break_connection(*connection);
                 }
-                // A call whose caller closed its connection may still arrive, or not.
+                // A call whose caller closed the connection arrives in half of the cases.
                 Event::CallArrives { .. } | Event::CallAnswered { .. } if self.rng.bool() => {}
                 Event::CallArrives { .. } | Event::CallAnswered { .. } => {
                     self.send_alone(held.from, held.to, held.event);
@@ -168,5 +168,5 @@
     }
 }
 
-/// First number of edges among machines.
+/// Machine number of the first edge.
 pub const FIRST_EDGE: Machine = 100;
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: complete configurations, races, invalid ones, lost acknowledgements.
+//! The operator: full configurations, concurrent changes, invalid configurations and lost acknowledgements.
 
 use super::event::Event;
 use super::network::Endpoint;
@@ -8,17 +8,17 @@
 use crate::time::{ms, MS, SECOND};
 use crate::workload::{Queue, STRETCH, TARGET_LATENCY_MS};
 
-/// Silence after which the operator moves on.
+/// Time after which the operator stops waiting for an answer, in nanoseconds.
 const PATIENCE: u64 = SECOND;
-/// Mean time between two queries of the configuration.
+/// Mean time between two reads of the configuration, in nanoseconds.
 const LOOK_INTERVAL: u64 = 400 * MS;
-/// Tries of one order.
+/// Maximum number of attempts of one change.
 const MAX_TRIES: u32 = 40;
-/// Redirects that are followed in one try.
+/// Maximum number of redirects followed in one attempt.
 const MAX_REDIRECTS: u32 = 2;
-/// First pause between tries.
+/// Base of the exponential backoff between attempts, in nanoseconds.
 const LEAST_BACKOFF: u64 = 100 * MS;
-/// Longest pause between tries.
+/// Longest backoff between attempts, in nanoseconds.
 const MOST_BACKOFF: u64 = SECOND;
 
 /// Why a configuration is invalid.
@@ -31,20 +31,20 @@
     OldVersion,
 }
 
-/// What the operator knows and has under way.
+/// State of the operator.
 #[derive(Default)]
 pub(super) struct Operator {
     orders: Vec<OrderProgress>,
     exchanges: Vec<Exchange>,
-    /// Newest version known to be in force, and its additional prefixes.
+    /// Newest acknowledged version, and its additional prefixes.
     version: u64,
     extras: Vec<String>,
     next_extra: u32,
     next_version: u64,
-    /// Share of acknowledgements that are lost.
+    /// Fraction of the acknowledgements that are lost.
     pub(super) lost_share: f64,
     read_back_tries: u32,
-    /// The fault injected into the machine that acknowledges next: whether its disk is lost, and for how long.
+    /// Power loss of the machine that acknowledges next: whether its disk is lost as well, and for how long.
     pub(super) power_loss_after_acknowledgement: Option<(bool, u64)>,
 }
 
@@ -54,14 +54,14 @@
     closed: bool,
 }
 
-/// What an exchange is for.
+/// Purpose of an exchange.
 #[derive(Clone, Copy, Debug)]
 enum Purpose {
-    /// To change the configuration.
+    /// Change the configuration.
     Order(usize),
-    /// To read it at the end of the day.
+    /// Read the configuration back at the end of the day.
     ReadBack,
-    /// To read it once, now and then.
+    /// Read the configuration once, during the day.
     Query(usize),
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl World {
-    /// Sends the configuration that precedes all traffic.
+    /// Sends the initial configuration, before all traffic.
     pub(super) fn send_first_configuration(&mut self) {
         self.operator.next_version = 1 + self.rng.u64(0..3);
         let order = self.make_order(0, Vec::new());
@@ -82,7 +82,7 @@
         self.queue.push(self.now + SECOND, Event::OperatorQueries);
     }
 
-    /// A change on top of the newest version: a queue more or less.
+    /// Sends a change of the newest version that adds or removes a queue.
     pub(super) fn change_configuration(&mut self) {
         let base = self.operator.version;
         let extras = self.changed_extras();
@@ -90,7 +90,7 @@
         self.send_order(order);
     }
 
-    /// Two changes on top of the same version.
+    /// Sends two concurrent changes of the same version.
     pub(super) fn race_configurations(&mut self) {
         let base = self.operator.version;
         for _ in 0..2 {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A configuration that must not be taken.
+    /// Sends a configuration that must be refused.
     pub(super) fn send_bad_configuration(&mut self, pick: u64) {
         use Defect::{CutShort, NoTimeout, OldVersion, SamePlace, UnknownService};
         let defects = [CutShort, UnknownService, SamePlace, NoTimeout, OldVersion];
@@ -187,7 +187,7 @@
         self.operator_sends(position);
     }
 
-    /// A machine of the operator's list; it may be down.
+    /// Picks one of the core machines that the operator knows. The machine may be down.
     fn any_core(&mut self) -> usize {
         let known: Vec<usize> = (0..self.cores.len()).filter(|machine| self.cores[*machine].exists).collect();
         known[self.rng.usize(0..known.len())]
@@ -239,7 +239,7 @@
         self.core_event_when_awake(machine, event, |_| Event::OperatorArrives { exchange });
     }
 
-    /// A core machine has an answer for the operator.
+    /// Sends a core machine's answer to the operator.
     pub(super) fn answer_operator(&mut self, machine: usize, exchange: usize, reply: OperatorReply) {
         let purpose = self.operator.exchanges[exchange].purpose;
         if let (Purpose::Order(order), OperatorReply::Accepted) = (purpose, &reply) {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Clients ask counts on queues that were just added or removed.
+    /// Schedules count requests from clients on queues that may have been added or removed.
     fn ask_counts(&mut self) {
         for number in 1..=self.operator.next_extra {
             let prefix = format!("/extra{number}/");
@@ -334,7 +334,7 @@
         self.open_exchange(Purpose::ReadBack, machine, 0);
     }
 
-    /// Reads the configuration from any machine, whatever its state, and again a little later.
+    /// Reads the configuration from any machine, whatever its state, and schedules the next read.
     pub(super) fn operator_queries(&mut self) {
         let machine = self.any_core();
         let query = self.history.configuration_queries.len();
--- a/crates/simulation/src/world/platform.rs
+++ b/crates/simulation/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, which lags and limits its callers.
+//! The platform's list of workers. The list lags, and the platform limits the rate of reads.
 
 use configuration::{Instance, WorkerResources};
 
@@ -9,17 +9,17 @@
 use crate::history::DrainRead;
 use crate::time::{ms, MS, SECOND};
 
-/// How long a reader waits for the list.
+/// Time that a reader waits for the list, in nanoseconds.
 const READ_TIMEOUT: u64 = 1_500 * MS;
 
-/// An entry of the list as it is now.
+/// An entry of the current list.
 struct Entry {
     worker: usize,
     instance: String,
     drains_until: Option<u64>,
 }
 
-/// The list and its past.
+/// The current list and its earlier versions.
 #[derive(Default)]
 pub(super) struct Platform {
     entries: Vec<Entry>,
@@ -29,7 +29,7 @@
 }
 
 impl World {
-    /// Starts all workers at the beginning of a day.
+    /// Starts all workers at the beginning of the day.
     pub(super) fn boot_all_workers(&mut self) {
         for worker in 0..self.fleet.workers.len() {
             self.fleet.boot(worker, self.now);
@@ -38,7 +38,7 @@
         self.list_changed();
     }
 
-    /// An incarnation stands on the list from now on.
+    /// Adds a worker's current incarnation to the list.
     pub(super) fn list_worker(&mut self, worker: usize) {
         self.add_to_list(worker);
         self.list_changed();
@@ -51,7 +51,7 @@
         self.platform.entries.push(Entry { worker, instance, drains_until: None });
     }
 
-    /// A worker's present incarnation is to end.
+    /// Marks a worker's current incarnation as draining until the given time.
     pub(super) fn list_draining(&mut self, worker: usize, until: u64) {
         let Some(incarnation) = &self.fleet.workers[worker].incarnation else { return };
         let instance = &incarnation.instance;
@@ -145,7 +145,7 @@
         self.core_event(machine, CoreEvent::Instances { term, instances });
     }
 
-    /// A version of the list, with what is left of drains as of the time that it shows.
+    /// A version of the list. The remaining drain times are relative to the time that the lagging list shows.
     fn shown_version(&self, version: usize) -> Vec<Instance> {
         let (made_at, list) = &self.platform.versions[version];
         let shown = self.now.saturating_sub(self.site.list_lag);
@@ -165,7 +165,7 @@
         self.list_worker(worker);
     }
 
-    /// A worker's incarnation ends; the list shows it for some seconds more.
+    /// Shuts a worker's incarnation down. The list still shows the incarnation for some seconds.
     pub(super) fn worker_leaves(&mut self, worker: usize) {
         let instance =
             self.fleet.workers[worker].incarnation.as_ref().map(|incarnation| incarnation.instance.clone());
--- a/crates/simulation/src/world/queue.rs
+++ b/crates/simulation/src/world/queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their times; those of the same time in the order in which they were added.
+//! Event queue, ordered by time. Events at the same time keep the order in which they were added.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -25,12 +25,12 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives its greatest entry first.
+        // `BinaryHeap` is a max-heap, so the order is reversed.
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// Events to come.
+/// Pending events.
 pub struct Queue<E> {
     heap: BinaryHeap<Entry<E>>,
     next_number: u64,
@@ -50,7 +50,7 @@
         self.heap.push(Entry { at, number, event });
     }
 
-    /// Takes the first event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         let entry = self.heap.pop()?;
         Some((entry.at, entry.event))
--- a/crates/simulation/src/world/setting_up.rs
+++ b/crates/simulation/src/world/setting_up.rs
@@ -1,4 +1,4 @@
-//! Sets a day up: machines, workers, first configuration, traffic, faults.
+//! Creates the world of a day: machines, workers, initial configuration, traffic and faults.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,13 +16,13 @@
 use crate::workers::{Fleet, Worker};
 use crate::workload::{make_day, rack_name, KINDS};
 
-/// Processes start within this time of each other.
+/// Processes start within this time of each other, in nanoseconds.
 const START_SPREAD: u64 = 300_000_000;
-/// Largest offset between steady clocks of machines.
+/// Largest offset between the monotonic clocks of machines, in nanoseconds.
 const MAX_STEADY_OFFSET: u64 = 3_600 * SECOND;
-/// Largest part in a thousand by which workers' clocks are slow.
+/// Largest slowness of a worker's clock, in parts per thousand.
 const MAX_CLOCK_SLOW: u64 = 20;
-/// Workers of a service whose addresses differ in the last part only.
+/// Number of workers of a service whose addresses differ only in the last octet.
 const WORKERS_PER_BLOCK: usize = 250;
 
 pub(super) fn set_up(site: Site, script: Script) -> World {
@@ -79,7 +79,7 @@
     workers
 }
 
-/// The worker of this number of a service.
+/// Creates the worker with the given number in a service.
 pub(super) fn make_worker(
     site: &Site,
     position: usize,
@@ -120,7 +120,7 @@
             self.queue.push(at, Event::EdgeStarts { edge });
         }
         self.queue.push(SECOND, Event::ReadinessAsked);
-        // Where work takes processor time, jobs may wait for it.
+        // On days that simulate processor time, jobs may wait for the processor.
         if self.site.processor.is_none() {
             self.queue.push(self.site.lead, Event::ChecksIdle);
         }
--- a/crates/simulation/src/world/turns.rs
+++ b/crates/simulation/src/world/turns.rs
@@ -1,5 +1,5 @@
-//! Turns of core processes on days on which work takes processor time: events wait until the process gets to them, and
-//! what a turn gives leaves at its end.
+//! Turns of core processes on days that simulate processor time. Events wait until the process begins its
+//! next turn, and the outputs of a turn are sent at its end.
 
 use std::collections::VecDeque;
 
@@ -9,36 +9,36 @@
 use crate::processor::{Processor, QuotaUse, TurnWork};
 use crate::time::{seconds, DAY_BEGINS_MS, MS};
 
-/// Time between two records of what a leader carries, on days that are traced.
+/// Time between two trace lines on the load of a leader, in nanoseconds.
 const RECORD_INTERVAL: u64 = 500 * MS;
 
-/// Events that wait for a core process, and the turns that it takes.
+/// Events that wait for a core process, and the state of its turns.
 #[derive(Default)]
 pub(super) struct Turns {
     waiting: VecDeque<CoreEvent>,
-    /// The disk has finished its pending write: that is handled first, in a turn of its own.
+    /// The disk has finished its pending write. A turn of its own handles that first.
     disk_done: bool,
-    /// A turn is under way, or waits for processor time.
+    /// A turn is in progress, or waits for processor time.
     is_busy: bool,
     quota: QuotaUse,
-    /// Time in turns since the last record.
+    /// Processor time used since the last trace line, in nanoseconds.
     busy: u64,
-    /// Work since the last record.
+    /// Work done since the last trace line.
     work: TurnWork,
-    /// Longest turn since the last record.
+    /// Longest turn since the last trace line, in nanoseconds.
     longest: u64,
     recorded_at: u64,
 }
 
 impl Turns {
-    /// The process has ended, and with it all that waited for it.
+    /// Drops all waiting events after the process has ended.
     pub(super) fn clear(&mut self) {
         self.waiting.clear();
         self.disk_done = false;
         self.is_busy = false;
     }
 
-    /// Answers to a call that was given up are not handled any more.
+    /// Drops waiting answers to a cancelled call.
     pub(super) fn drop_answers_to(&mut self, given_up: (u64, scheduler::leader::CallId)) {
         self.waiting.retain(
             |event| !matches!(event, CoreEvent::CallFinished { term, call, .. } if (*term, *call) == given_up),
@@ -56,7 +56,7 @@
         self.disk_done || !self.waiting.is_empty()
     }
 
-    /// The events of the next turn.
+    /// Takes the events of the next turn.
     fn take_events(&mut self) -> Vec<CoreEvent> {
         if std::mem::take(&mut self.disk_done) {
             return vec![CoreEvent::DiskDone];
@@ -67,7 +67,7 @@
 }
 
 impl World {
-    /// An event waits for a process until it takes its next turn.
+    /// Queues an event for the next turn of a process.
     pub(super) fn enqueue_core_event(&mut self, machine: usize, event: CoreEvent) {
         if self.cores[machine].process.is_none() {
             return;
@@ -84,7 +84,7 @@
         self.queue.push(at, Event::TurnBegins { machine, incarnation: core.incarnation });
     }
 
-    /// Whether a turn's process is still there.
+    /// Whether this incarnation of the process still runs.
     fn is_running(&self, machine: usize, incarnation: u32) -> bool {
         self.cores[machine].incarnation == incarnation && self.cores[machine].process.is_some()
     }
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Traces what a leader carries, twice a second.
+    /// Traces the load of a leader, twice a second.
     fn record_load(&mut self, machine: usize) {
         let now = self.now;
         let turns = &mut self.cores[machine].turns;
