--- a/crates/simulation/src/core_process/clients.rs
+++ b/crates/simulation/src/core_process/clients.rs
@@ -1,4 +1,4 @@
-//! Requests that edges and the operator wait for here.
+//! Pending requests from edges and the operator.
 
 use consensus::Member;
 use log_records::membership_to_wire;
@@ -11,28 +11,28 @@
 /// A pending request.
 #[derive(Debug)]
 pub enum Pending {
-    /// Of a client.
+    /// A request from a client.
     Client {
-        /// Over which connection it came.
+        /// The edge connection that carried the request.
         connection: u64,
-        /// Its number there.
+        /// The request's number on that connection.
         request_id: u64,
-        /// Taken up, it may have its effect although no answer says so.
+        /// Once accepted for processing, the request may take effect even if no answer confirms it.
         changes_state: bool,
     },
-    /// Of the operator.
+    /// A request from the operator.
     Operator {
-        /// Which exchange.
+        /// Identifies the operator's exchange.
         call: u64,
     },
 }
 
-/// The answer of a process that does not lead, or cannot confirm that it does.
+/// The answer of a process that does not lead, or cannot confirm that it leads.
 pub fn not_leader(request_id: u64) -> ClientReply {
     ClientReply { request_id, outcome: Outcome::NOT_LEADER, ..ClientReply::default() }
 }
 
-/// The leader's answer as the operator gets it.
+/// Converts the leader's answer into the operator's form.
 pub fn operator_reply(reply: ConfigurationReply) -> OperatorReply {
     match reply {
         ConfigurationReply::Accepted => OperatorReply::Accepted,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether requests are taken: this process leads, for certain, and goes on.
+    /// Whether requests are accepted: this process leads, holds a lease and is not stopping.
     fn is_serving(&self) -> bool {
         self.leader.is_some() && !self.stopping && self.has_lease()
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Answers all pending requests: this process leads no longer.
+    /// Answers all pending requests because this process no longer leads.
     pub(super) fn abort_pending(&mut self) {
         for (_, pending) in std::mem::take(&mut self.pending) {
             match pending {
@@ -147,7 +147,7 @@
         self.node.membership().member(self.node.leader()?)
     }
 
-    /// What other processes learn of the leader. A leader whose state is not complete yet is none.
+    /// The leader notice for other processes. A leader whose state is not complete yet is not announced.
     pub(super) fn notice(&self) -> LeaderNotice {
         let is_ready = |id| id != self.node.id() || (self.leader.is_some() && !self.stopping);
         let leader = self.known_leader().filter(|leader| is_ready(leader.id));
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Tells every edge who leads.
+    /// Announces the current leader to every edge.
     pub(super) fn announce(&mut self) {
         let notice = self.notice();
         for connection in &self.edges {
--- a/crates/simulation/src/core_process/disk.rs
+++ b/crates/simulation/src/core_process/disk.rs
@@ -1,4 +1,4 @@
-//! Writes to the modelled disk, and the snapshots among them.
+//! Writes to the modelled disk, including snapshots.
 
 use std::sync::Arc;
 
--- a/crates/simulation/src/core_process/effects.rs
+++ b/crates/simulation/src/core_process/effects.rs
@@ -1,4 +1,4 @@
-//! What follows from consensus, carried out in order until nothing follows any more.
+//! Effects of consensus outputs, carried out in order until none is left.
 
 use consensus::{Entry, Event, Message, NodeId, Output, Snapshot};
 use log_records::{snapshot_to_stored, write_batch, LogChange, LogWrite};
@@ -6,10 +6,10 @@
 
 use super::{identity, CoreFrame, CoreOutput, CoreProcess};
 
-/// Turns within which everything that follows from one event must be carried out.
+/// Maximum number of rounds in which all effects of one event must be carried out.
 const MAX_TURNS: usize = 60;
 
-/// What follows from consensus and waits for its turn.
+/// An effect of a consensus output that waits to be carried out.
 #[derive(Debug)]
 pub enum Effect {
     Send { to: NodeId, message: Message },
@@ -24,7 +24,7 @@
 }
 
 impl CoreProcess {
-    /// Hands an event to consensus; what follows from it waits for `drain_effects`.
+    /// Passes an event to consensus. The resulting effects wait for `drain_effects`.
     pub(super) fn node_event(&mut self, event: Event) {
         let mut outputs = std::mem::take(&mut self.outputs);
         self.node.handle(self.now, event, &mut outputs);
@@ -59,7 +59,7 @@
         self.effects.push_back(effect);
     }
 
-    /// Lets everything that is due take place, until nothing follows any more.
+    /// Carries out effects and leader outputs until none is left.
     pub(super) fn settle(&mut self) {
         for turn in 0.. {
             let is_drained = self.drain_effects();
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Carries effects out in order; false if it stopped at an entry because this turn may apply no more.
+    /// Carries out effects in order. Returns false if it stopped at an entry because this turn's limit of
+    /// applied entries is reached.
     fn drain_effects(&mut self) -> bool {
         while let Some(effect) = self.effects.pop_front() {
             match effect {
--- a/crates/simulation/src/core_process/identity.rs
+++ b/crates/simulation/src/core_process/identity.rs
@@ -1,4 +1,4 @@
-//! Who a core process is, by its disk, as the control role finds it out.
+//! The identity of a core process, taken from its disk in the same way as in the control role.
 
 use consensus::{Member, Membership, Node, NodeId, Restored};
 use fastrand::Rng;
@@ -7,24 +7,24 @@
 use storage::model::ModelDirectory;
 use storage::{Identity, Recovered, StorageError, Store, StoreOptions};
 
-/// Bits of an identity that hold the machine's address.
+/// Number of low bits of an identity that hold the machine's address.
 const ADDRESS_BITS: u32 = 32;
-/// Size at which a new segment begins; small, so that days meet it.
+/// Size at which a new log segment begins. The small size makes simulated days reach it.
 const SEGMENT_BYTES: u64 = 64 * 1024;
 /// Port for peers.
 const PEER_PORT: u16 = 7_660;
 /// Port of the operator's API.
 const CONTROL_PORT: u16 = 8_146;
-/// Address of the first core machine.
+/// IPv4 address of the first core machine.
 const FIRST_ADDRESS: u32 = 0x0a01_0001;
 
-/// What a process begins with.
+/// Result of opening a disk.
 pub struct Opened {
-    /// The log on its disk.
+    /// The store on the disk.
     pub store: Store<ModelDirectory>,
-    /// Its identity.
+    /// The process's identity.
     pub id: NodeId,
-    /// What the disk held.
+    /// The consensus state that was restored from the disk.
     pub restored: Restored,
 }
 
@@ -52,12 +52,12 @@
     u64::from(FIRST_ADDRESS + machine as u32)
 }
 
-/// The process of a machine as a member.
+/// The membership entry of a machine's process.
 pub fn member(machine: usize, id: NodeId, voter: bool) -> Member {
     Member { id, address: peer_address(machine), control: control_address(machine), voter }
 }
 
-/// Opens a disk. `founders` are the machines of the first start, or none.
+/// Opens a disk. `founders` are the machines of the first start; the list is empty on later starts.
 pub fn open(
     directory: &ModelDirectory,
     machine: usize,
@@ -71,7 +71,7 @@
         return Ok(Opened { store, id: identity.node_id, restored });
     }
     if recovered != Recovered::default() {
-        // A founding that was interrupted: nothing was promised by it.
+        // An interrupted creation of the first log; nothing was acknowledged on its basis.
         directory.erase();
         (store, recovered) = Store::open(directory.clone(), options)?;
     }
@@ -88,12 +88,12 @@
     Ok(Opened { store, id, restored: Restored::default() })
 }
 
-/// A record whose checksum holds and that is no message all the same.
+/// The error for a record that has a valid checksum but cannot be decoded.
 fn unreadable(_: FrameError) -> StorageError {
     StorageError::Corrupt { file: "log".to_owned(), offset: 0, reason: "a record is no whole message" }
 }
 
-/// Writes the first log. The identity goes last: without it the disk still counts as empty.
+/// Writes the first log. The identity is written last: without it the disk still counts as empty.
 fn found(store: &mut Store<ModelDirectory>, id: NodeId, restored: &Restored) -> Result<(), StorageError> {
     let first = restored.entries.first().map(|entry| entry.index);
     let batch = write_batch(Some(&restored.hard_state), first, restored.entries.clone());
--- a/crates/simulation/src/core_process/interface.rs
+++ b/crates/simulation/src/core_process/interface.rs
@@ -1,4 +1,4 @@
-//! What a core process takes and gives: its settings, events, frames and outputs.
+//! Interface of a core process: settings, events, frames and outputs.
 
 use configuration::Instance;
 use consensus::{Member, Message, NodeId};
@@ -9,62 +9,62 @@
 /// Settings of a core process.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    /// Its machine.
+    /// The machine that the process runs on.
     pub machine: usize,
-    /// Machines of the first start, if this is the first start of the complete system.
+    /// Machines of the first start if this is the first start of the whole system; otherwise empty.
     pub founders: Vec<usize>,
-    /// Machines that it may ask for the group.
+    /// Machines that the process may ask to join the group.
     pub seeds: Vec<usize>,
-    /// Voters the group wants.
+    /// Target number of voters of the group.
     pub target_voters: usize,
-    /// What the leader goes by.
+    /// Settings of the leader.
     pub leader: LeaderSettings,
-    /// How often it takes snapshots.
+    /// When snapshots are taken and how much of the log is kept.
     pub pacing: Pacing,
 }
 
-/// How often a process takes snapshots, and what it keeps of the log.
+/// When a process takes snapshots, and how much of the log it keeps.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacing {
-    /// Entries after which a snapshot is due.
+    /// Number of entries after which a snapshot is taken.
     pub snapshot_entries: usize,
-    /// Entries that are kept behind a snapshot.
+    /// Number of entries that are kept before a snapshot.
     pub retained_entries: u64,
 }
 
 impl Pacing {
-    /// Far more often than the control role, so that days meet snapshots.
+    /// Snapshots far more often than in the control role, so that simulated days include some.
     pub const FREQUENT: Pacing = Pacing { snapshot_entries: 400, retained_entries: 64 };
-    /// As the control role does it.
+    /// The settings of the control role.
     pub const USUAL: Pacing = Pacing { snapshot_entries: 20_000, retained_entries: 1_024 };
 }
 
 /// Frames that core processes send each other.
 #[derive(Clone, Debug)]
 pub enum CoreFrame {
-    /// A message of consensus.
+    /// A consensus message.
     Consensus {
-        /// The sender.
+        /// The sender's identity.
         from: NodeId,
-        /// The receiving identity; another one at the same machine drops it.
+        /// The receiver's identity; a process with another identity on the same machine drops the message.
         to: NodeId,
-        /// The message itself.
+        /// The message.
         message: Message,
     },
     /// A process asks to join the group.
     Join(Member),
-    /// Who leads, in answer to a process that asked.
+    /// The current leader and members, in answer to a request to join.
     Notice(LeaderNotice),
 }
 
-/// Something that happened to a process.
+/// An event for a process.
 #[derive(Debug)]
 pub enum CoreEvent {
     /// Time has passed.
     Tick,
-    /// A frame of another core machine.
+    /// A frame from another core machine arrived.
     Frame {
-        /// Machine that sent it.
+        /// The machine that sent the frame.
         from: usize,
         /// The frame.
         frame: CoreFrame,
@@ -79,143 +79,143 @@
         /// The other machine.
         machine: usize,
     },
-    /// The disk has finished its pending write.
+    /// The disk finished its pending write.
     DiskDone,
-    /// An edge connected and said who it is.
+    /// An edge connected and identified itself.
     EdgeConnected {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
     },
-    /// An edge's connection ended.
+    /// An edge's connection was closed.
     EdgeClosed {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
     },
-    /// A request of a client.
+    /// A client's request arrived.
     Request {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
         /// The request.
         request: ClientRequest,
     },
-    /// An edge asks whether this process is there.
+    /// An edge checks whether this process responds.
     Ping {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
         /// Number of the ping.
         number: u64,
     },
-    /// The operator changes the configuration; `call` names the exchange.
+    /// The operator changes the configuration.
     Put {
-        /// Names the exchange, or the call to a worker.
+        /// Identifies the operator's exchange.
         call: u64,
-        /// Version that the change builds on, if one was named.
+        /// The version that the change is based on, if given.
         if_match: Option<u64>,
-        /// The configuration as it was sent.
+        /// The configuration as sent.
         body: Vec<u8>,
     },
     /// The operator reads the configuration.
     Get {
-        /// Names the exchange, or the call to a worker.
+        /// Identifies the operator's exchange.
         call: u64,
     },
-    /// A call to a worker ended; `term` names the leadership that made it.
+    /// A call to a worker ended.
     CallFinished {
-        /// The leadership that it belongs to.
+        /// The leadership term that made the call.
         term: u64,
-        /// Names the exchange, or the call to a worker.
+        /// Identifies the call to the worker.
         call: CallId,
         /// How the call ended.
         outcome: CallOutcome,
     },
-    /// The platform's list, or `None` if it did not come.
+    /// The platform's worker list was read.
     Instances {
-        /// The leadership that it belongs to.
+        /// The leadership term that asked for the list.
         term: u64,
-        /// The instances on the list.
+        /// The instances on the list; `None` if the read failed.
         instances: Option<Vec<Instance>>,
     },
-    /// The platform's list has not changed since it was last read.
+    /// The platform's worker list has not changed since the last read.
     InstancesUnchanged {
-        /// The leadership that it belongs to.
+        /// The leadership term that asked for the list.
         term: u64,
     },
-    /// SIGTERM.
+    /// The process got SIGTERM.
     Stop,
 }
 
-/// What is to be done for a process.
+/// An action that a process requests from its host.
 #[derive(Debug)]
 pub enum CoreOutput {
-    /// Send to another core machine.
+    /// Send a frame to another core machine.
     ToCore {
         /// The other machine.
         machine: usize,
         /// The frame.
         frame: CoreFrame,
     },
-    /// Notify an edge of the leader.
+    /// Notify an edge of the current leader.
     Notice {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
         /// The notice.
         notice: LeaderNotice,
     },
-    /// Answer an edge.
+    /// Answer a client's request.
     Reply {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
         /// The answer.
         reply: ClientReply,
     },
     /// Answer an edge's ping.
     Pong {
-        /// The connection of the edge.
+        /// The edge's connection.
         connection: u64,
         /// Number of the ping.
         number: u64,
     },
     /// Answer the operator.
     Operator {
-        /// Names the exchange, or the call to a worker.
+        /// Identifies the operator's exchange.
         call: u64,
         /// The answer.
         reply: OperatorReply,
     },
     /// Call a worker.
     Call {
-        /// The leadership that it belongs to.
+        /// The leadership term that makes the call.
         term: u64,
-        /// Names the exchange, or the call to a worker.
+        /// Identifies the call to the worker.
         call: CallId,
-        /// Address of the worker.
+        /// The worker's address.
         address: String,
-        /// Identity of the worker.
+        /// The worker's incarnation.
         instance: String,
         /// The request.
         request: WorkerRequest,
     },
-    /// Cancel a call.
+    /// Cancel a call to a worker.
     CancelCall {
-        /// The leadership that it belongs to.
+        /// The leadership term that made the call.
         term: u64,
-        /// Names the exchange, or the call to a worker.
+        /// Identifies the call to the worker.
         call: CallId,
     },
-    /// Read the platform's list.
+    /// Read the platform's worker list.
     ReadInstances {
-        /// The leadership that it belongs to.
+        /// The leadership term that asks for the list.
         term: u64,
     },
-    /// The disk begins the pending write.
+    /// Start the pending disk write.
     DiskBegins,
-    /// The disk failed and retries after a backoff.
+    /// The disk failed; retry the write after a backoff.
     DiskRetries,
-    /// The identity was removed: the process clears its disk and begins anew.
+    /// The identity was removed from the group: clear the disk and start again.
     Removed,
-    /// All outputs are given: the process ends.
+    /// All outputs were given: end the process.
     Stopped,
-    /// The process cannot go on.
+    /// The process failed for the given reason.
     Failed(String),
 }
 
--- a/crates/simulation/src/core_process/joining.rs
+++ b/crates/simulation/src/core_process/joining.rs
@@ -1,30 +1,31 @@
-//! When a process that is no member, or has lost the group, asks to be taken.
+//! Requests to join, made by a process that is not a member or has lost contact with the group.
 
 use messages::peer::LeaderNotice;
 
 use super::identity::machine_at;
 use crate::time::{MS, SECOND};
 
-/// Time between two requests to join.
+/// Time between two requests to join, in nanoseconds.
 const ASK_INTERVAL: u64 = 300 * MS;
-/// Having been listed as a member, the process waits this long for the log before it asks again.
+/// After another process listed this one as a member, time to wait for the log before asking again, in
+/// nanoseconds.
 const LISTED_PAUSE: u64 = 2 * SECOND;
-/// Without a leader for this long, this process may have been removed.
+/// Time without a leader after which this process may have been removed from the group, in nanoseconds.
 const LOST_AFTER: u64 = 3 * SECOND;
 
-/// The part of a process that wants to be a member.
+/// Decides when a process asks to join.
 #[derive(Debug)]
 pub struct Joining {
     own_id: u64,
     own_machine: usize,
-    /// Seeds and members that others named.
+    /// Seeds, and members that were named in notices.
     contacts: Vec<usize>,
     in_touch: u64,
     next_ask: u64,
 }
 
 impl Joining {
-    /// Begins with the seeds of the settings.
+    /// Starts with the seeds from the settings.
     pub fn new(own_id: u64, own_machine: usize, seeds: &[usize], now: u64) -> Self {
         let mut contacts = seeds.to_vec();
         contacts.retain(|machine| *machine != own_machine);
@@ -36,7 +37,7 @@
         &self.contacts
     }
 
-    /// A member named its leader and its members.
+    /// Handles a notice that names the leader and the members.
     pub fn notice(&mut self, now: u64, notice: &LeaderNotice) {
         let mut is_listed = false;
         for member in notice.membership.iter().flat_map(|membership| &membership.members) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Whether it is time to ask.
+    /// Whether a request to join is due.
     pub fn poll(&mut self, now: u64, is_member: bool, knows_leader: bool) -> bool {
         if is_member && knows_leader {
             self.in_touch = now;
@@ -66,7 +67,7 @@
         true
     }
 
-    /// When `poll` is due next.
+    /// Time at which `poll` is due next.
     pub fn next_timer(&self, is_member: bool, knows_leader: bool) -> u64 {
         if is_member && knows_leader {
             return u64::MAX;
--- a/crates/simulation/src/core_process/leading.rs
+++ b/crates/simulation/src/core_process/leading.rs
@@ -1,4 +1,4 @@
-//! Hosts the leader's decisions while this process leads.
+//! Hosts the leader's decision logic while this process leads.
 
 use scheduler::leader::{client_reply_under_lease, Input, Leader, Output};
 use scheduler::worker::CallOutcome;
@@ -7,7 +7,7 @@
 use super::{CoreOutput, CoreProcess};
 
 impl CoreProcess {
-    /// Leads from now on: the state is complete.
+    /// Starts to lead in a term. The state must be complete.
     pub(super) fn begin_to_lead(&mut self, term: u64) {
         self.stop_leading();
         let seed = self.rng.u64(..);
@@ -19,7 +19,7 @@
         self.wake_leader();
     }
 
-    /// Leads no longer: what was pending is answered, calls are given up.
+    /// Stops leading: answers all pending requests and drops the leader's calls.
     pub(super) fn stop_leading(&mut self) {
         self.count_leader_work();
         if self.leader.take().is_none() {
@@ -44,13 +44,13 @@
         }
     }
 
-    /// The platform's list has come; it is read as one page.
+    /// Passes the platform's worker list on to the leader, as a single page.
     pub(super) fn list_arrived(&mut self, has_changed: bool) {
         let (instances, as_of) = (self.listed.clone(), self.list_asked_at);
         self.notify_leader(Input::Instances { instances, as_of, has_changed, is_last: true });
     }
 
-    /// Updates the lease of the leader, and lets it end the turn.
+    /// Updates the leader's lease and lets the leader finish its turn.
     pub(super) fn flush_leader(&mut self) {
         let lease_until = self.node.lease_until();
         if let Some(leader) = self.leader.as_mut() {
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Whether this process leads for certain.
+    /// Whether this process holds a valid leader lease.
     pub(super) fn has_lease(&self) -> bool {
         self.node.lease_until() > self.now
     }
 
-    /// Executes an output of the leader.
+    /// Carries out an output of the leader.
     pub(super) fn execute(&mut self, output: Output) {
         match output {
             Output::Propose { batch } => {
--- a/crates/simulation/src/core_process/mod.rs
+++ b/crates/simulation/src/core_process/mod.rs
@@ -1,5 +1,5 @@
-//! One process of the control role: consensus, storage, state and leader, joined as the control role's driver joins
-//! them, without threads and sockets.
+//! One process of the control role: consensus, storage, state and leader, connected as in the control role's
+//! driver, but without threads and sockets.
 
 mod clients;
 mod disk;
@@ -34,7 +34,7 @@
 
 use crate::processor::TurnWork;
 
-/// A process. Times are nanoseconds of its machine's steady clock.
+/// A core process. Times are nanoseconds of its machine's monotonic clock.
 pub struct CoreProcess {
     machine: usize,
     now: u64,
@@ -48,7 +48,7 @@
     snapshot_under_way: bool,
     entries_since_snapshot: usize,
     pacing: Pacing,
-    /// Committed entries that this turn may still apply.
+    /// Number of committed entries that this turn may still apply.
     apply_budget: usize,
     /// Work of this turn so far.
     work: TurnWork,
@@ -56,9 +56,9 @@
     leader_settings: LeaderSettings,
     leader_term: u64,
     leader_outputs: Vec<leader::Output>,
-    /// When the platform's list was asked for last.
+    /// When the platform's worker list was last asked for.
     list_asked_at: u64,
-    /// The list that came last.
+    /// The worker list that was received last.
     listed: Arc<[Instance]>,
     wake_at: u64,
     announced_lease: u64,
@@ -73,7 +73,7 @@
 }
 
 impl CoreProcess {
-    /// Opens the disk and begins.
+    /// Opens the disk and starts the process.
     pub fn start(
         settings: &CoreSettings,
         directory: &ModelDirectory,
@@ -126,12 +126,12 @@
         Ok(process)
     }
 
-    /// Consensus, to be asked.
+    /// The consensus node.
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// The replicated state, to be asked.
+    /// The replicated state.
     pub fn state(&self) -> &State {
         &self.state
     }
@@ -141,22 +141,22 @@
         self.leader.is_some()
     }
 
-    /// What this process carries as a leader, and what waits at it.
+    /// Load of this process as leader, including its backlog; `None` if it does not lead.
     pub fn load_report(&self) -> Option<LeaderLoad> {
         self.leader.as_ref().map(|leader| leader.load_report(self.now))
     }
 
-    /// Whether this process holds a lease at a time of its machine's steady clock.
+    /// Whether this process holds a leader lease at a time of its machine's monotonic clock.
     pub fn holds_lease(&self, now: u64) -> bool {
         self.node.lease_until() > now
     }
 
-    /// The disk's pending write is interrupted.
+    /// Interrupts the disk's pending write after the given number of disk operations.
     pub fn halt_disk(&mut self, operations: u64) {
         self.writer.halt(operations);
     }
 
-    /// When `CoreEvent::Tick` is due at the latest.
+    /// Latest time at which the next `CoreEvent::Tick` is due.
     pub fn next_timer(&self) -> u64 {
         if !self.effects.is_empty() {
             return self.now;
@@ -170,7 +170,7 @@
         next
     }
 
-    /// Takes an event and lets everything that follows take place.
+    /// Handles an event and everything that follows from it.
     pub fn handle(&mut self, now: u64, time_of_day_ms: u64, event: CoreEvent, out: &mut Vec<CoreOutput>) {
         self.now = self.now.max(now);
         self.time_of_day_ms = time_of_day_ms;
@@ -180,7 +180,7 @@
         out.append(&mut self.out);
     }
 
-    /// Lets what is due and all that follows take place.
+    /// Handles due timers and everything that follows.
     fn finish_turn(&mut self) {
         self.tick();
         self.settle();
--- a/crates/simulation/src/core_process/peers.rs
+++ b/crates/simulation/src/core_process/peers.rs
@@ -1,4 +1,4 @@
-//! Frames and broken connections of the other core machines.
+//! Frames from other core machines, and broken connections to them.
 
 use consensus::{Event, NodeId};
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The identities that were seen at a machine.
+    /// The identities that were observed on a machine.
     fn ids_at(&self, machine: usize) -> Vec<NodeId> {
         self.addresses.iter().filter(|(_, at)| **at == machine).map(|(id, _)| *id).collect()
     }
--- a/crates/simulation/src/core_process/replicated_state.rs
+++ b/crates/simulation/src/core_process/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: committed entries applied to it, snapshots restored into it.
+//! The replicated state: applies committed entries and restores snapshots.
 
 use consensus::{Entry, Payload, Snapshot};
 use messages::decode;
--- a/crates/simulation/src/core_process/turns.rs
+++ b/crates/simulation/src/core_process/turns.rs
@@ -1,17 +1,17 @@
-//! Turns of a process whose work takes time: several events are handled, then timers, then what follows from both, as
-//! the control role's driver does it. The work is counted.
+//! Turns of a process whose work takes processor time. As in the control role's driver, a turn handles
+//! several events, then timers, then everything that follows from both. The work of each turn is counted.
 
 use super::{CoreEvent, CoreOutput, CoreProcess};
 use crate::processor::TurnWork;
 
-/// Most events of one turn.
+/// Maximum number of events in one turn.
 pub const MAX_EVENTS_PER_TURN: usize = 256;
-/// Most committed entries that one turn applies.
+/// Maximum number of committed entries applied in one turn.
 const MAX_APPLIED_PER_TURN: usize = 256;
 
 impl CoreProcess {
-    /// Handles events in one turn and gives the work that this was. What committed entries are left is applied in the
-    /// next turn, which is due at once.
+    /// Handles events in one turn and returns the work done. Committed entries beyond the limit are applied
+    /// in the next turn, which is due at once.
     pub fn take_turn(
         &mut self,
         now: u64,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds what the leader has done since the last time.
+    /// Adds the leader's work since the last call.
     pub(super) fn count_leader_work(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         self.work.add_leader_work(&leader.take_work());
@@ -70,7 +70,7 @@
         CoreOutput::Call { .. } => work.calls += 1,
         CoreOutput::CancelCall { .. } => work.cancelled_calls += 1,
         CoreOutput::DiskBegins | CoreOutput::DiskRetries => work.disk_writes += 1,
-        // Counted with the request that they answer.
+        // The cost of an answer is counted with its request.
         CoreOutput::Reply { .. } | CoreOutput::Operator { .. } => {}
         CoreOutput::Removed | CoreOutput::Stopped | CoreOutput::Failed(_) => {}
     }
--- a/crates/simulation/src/core_process/writer.rs
+++ b/crates/simulation/src/core_process/writer.rs
@@ -1,4 +1,5 @@
-//! The log's writer: one write at a time, those that wait are merged, as the control role's thread does it.
+//! The log writer. As in the control role's writer thread, one write is in progress at a time and waiting
+//! writes are merged.
 
 use std::collections::VecDeque;
 
@@ -7,23 +8,23 @@
 use storage::model::ModelDirectory;
 use storage::{StorageError, Store};
 
-/// What became durable.
+/// Result of a finished write.
 #[derive(Debug)]
 pub enum Written {
-    /// All changes up to this ticket.
+    /// All changes up to a ticket are durable.
     Log {
-        /// The newest of them.
+        /// The newest durable ticket.
         ticket: u64,
     },
-    /// A snapshot of this process's own state.
+    /// A snapshot of this process's own state is durable.
     Snapshot(Snapshot),
-    /// The disk is full or failed: the same write is tried again.
+    /// The disk is full or failed; the same write is retried.
     Retry,
-    /// The store cannot go on.
+    /// The store failed for the given reason and cannot continue.
     Failed(String),
 }
 
-/// The queue in front of a modelled disk.
+/// The queue of writes to a modelled disk.
 pub struct Writer {
     store: Store<ModelDirectory>,
     directory: ModelDirectory,
@@ -32,18 +33,18 @@
 }
 
 impl Writer {
-    /// A writer that owns the store.
+    /// Creates a writer that owns the store.
     pub fn new(store: Store<ModelDirectory>, directory: ModelDirectory) -> Self {
         Writer { store, directory, queue: VecDeque::new(), in_hand: None }
     }
 
-    /// Queues a write; true if the disk was idle and begins with it now.
+    /// Queues a write. Returns true if the disk was idle and starts this write now.
     pub fn push(&mut self, write: LogWrite) -> bool {
         self.queue.push_back(write);
         self.in_hand.is_none() && self.begin()
     }
 
-    /// Takes the next writes as the pending ones; false if there are none.
+    /// Starts the next write, merging waiting changes into it. Returns false if none waits.
     fn begin(&mut self) -> bool {
         let Some(mut first) = self.queue.pop_front() else { return false };
         if let LogWrite::Change(change) = &mut first {
@@ -58,7 +59,7 @@
         true
     }
 
-    /// The pending write comes to its end. Gives what it did, and whether another begins.
+    /// Finishes the write in progress. Returns its result and whether another write starts.
     pub fn finish(&mut self) -> (Option<Written>, bool) {
         let Some(write) = self.in_hand.take() else { return (None, false) };
         match self.carry_out(&write) {
@@ -90,11 +91,11 @@
         }
     }
 
-    /// The process dies in the middle of the pending write, after this many operations of the disk.
+    /// Interrupts the write in progress after the given number of disk operations, because the process dies.
     pub fn halt(&mut self, operations: u64) {
         if let Some(write) = self.in_hand.take() {
             self.directory.halt_after(operations);
-            // Whether it came to its end is found out at the next start.
+            // The next start finds out whether the write was completed.
             let _ = self.carry_out(&write);
         }
     }
--- a/crates/simulation/src/oracle/configuration.rs
+++ b/crates/simulation/src/oracle/configuration.rs
@@ -1,10 +1,10 @@
-//! Rules on configurations.
+//! Checks of the rule CONFIG.
 
 use super::{Breach, Rule, Touch};
 use crate::history::{Answer, CallKind, ClientCall, ConfigurationOrder, History};
 use crate::time::ms;
 
-/// CONFIG, all of it.
+/// Checks all parts of the rule CONFIG.
 pub fn config(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     acknowledged_invalid(history, out);
     both_acknowledged(history, out);
@@ -18,7 +18,7 @@
     order.taken_at.or(order.acknowledged_at)
 }
 
-/// An invalid configuration gets acknowledged.
+/// An invalid configuration must not be acknowledged.
 fn acknowledged_invalid(history: &History, out: &mut Vec<Breach>) {
     for order in history.configurations.iter().filter(|order| order.invalid) {
         if let Some(at) = acknowledgement(order) {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Two changes on top of the same version both get acknowledged.
+/// Of two changes based on the same version, at most one may be acknowledged.
 fn both_acknowledged(history: &History, out: &mut Vec<Breach>) {
     let orders = &history.configurations;
     for (position, order) in orders.iter().enumerate() {
@@ -46,7 +46,8 @@
     }
 }
 
-/// A change that was acknowledged is refused when it is sent again, or one that was refused was taken.
+/// An acknowledged change must not be refused when it is sent again, and a refused change must not take
+/// effect.
 fn refused_though_taken(history: &History, out: &mut Vec<Breach>) {
     for order in history.configurations.iter().filter(|order| !order.invalid) {
         let (Some(taken), Some((refused, status))) = (order.taken_at, order.refused.first()) else {
@@ -62,7 +63,8 @@
     }
 }
 
-/// What is read back at the end is older than the newest acknowledged version, differs, or does not come.
+/// The configuration read back at the end must be available, must have been sent, and must not be older than
+/// the newest acknowledged version.
 fn read_back(history: &History, out: &mut Vec<Breach>) {
     let at = history.ended_at;
     let newest = history.configurations.iter().filter(|order| acknowledgement(order).is_some());
@@ -87,10 +89,10 @@
     }
 }
 
-/// A configuration that is read, by anyone at any moment, is no older than one that was acknowledged or read before the
-/// reading began.
+/// A configuration that is read must not be older than any version that was acknowledged or read before this
+/// read began.
 fn reads_are_linearizable(history: &History, out: &mut Vec<Breach>) {
-    // Moments from which a version or a later one is in force, as somebody outside was informed.
+    // Times from which an outside observer knows that a version, or a newer one, is in force.
     let mut known: Vec<(u64, u64)> = Vec::new();
     for order in history.configurations.iter().filter(|order| !order.invalid) {
         known.extend(acknowledgement(order).map(|at| (at, order.version)));
@@ -119,7 +121,8 @@
     }
 }
 
-/// Machines in touch act on a version in time: counts of queues that it adds or drops.
+/// Machines in contact must apply a version in time. Observed through counts of the queues that the version
+/// adds or removes.
 fn applied(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Count) {
         let Some((at, answer)) = &call.answer else { continue };
@@ -141,7 +144,7 @@
     }
 }
 
-/// Whether some version that may be in force has, or lacks, the queue.
+/// Whether some version that may be in force has the queue, or lacks it if `there` is false.
 fn may_be_answered(touch: &Touch<'_>, history: &History, call: &ClientCall, at: u64, there: bool) -> bool {
     let apply = ms(touch.bounds.config_apply_ms);
     let valid = history.configurations.iter().filter(|order| !order.invalid);
--- a/crates/simulation/src/oracle/jobs.rs
+++ b/crates/simulation/src/oracle/jobs.rs
@@ -1,4 +1,4 @@
-//! Rules on jobs as clients see them.
+//! Checks of the rules on jobs, as clients observe them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -10,10 +10,11 @@
 use crate::time::{ms, SECOND};
 use crate::workload::Queue;
 
-/// Tries of the last question that one answer is enough for.
+/// Window at the end of the day that contains all final reads of a job, in nanoseconds. One answered read is
+/// enough.
 const FINAL_TRIES: u64 = 4 * SECOND;
 
-/// REFUSED: a task starts although every try to hand its job in was rejected.
+/// REFUSED: no task may start if every submission of its job was rejected.
 pub fn refused(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let mut may_be_taken = BTreeSet::new();
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Submit) {
@@ -33,7 +34,7 @@
     }
 }
 
-/// MIXED: shown as completed although a task has not ended so.
+/// MIXED: a job must not be shown as completed before all of its tasks have ended successfully.
 pub fn mixed(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let mut reported = BTreeSet::new();
     let mut done: HashMap<TaskKey, u64> = HashMap::new();
@@ -63,7 +64,7 @@
     })
 }
 
-/// When each job's acceptance was first seen.
+/// Time at which each job's acceptance was first observed.
 fn acceptances(history: &History) -> BTreeMap<u64, u64> {
     let mut accepted: BTreeMap<u64, u64> = BTreeMap::new();
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Submit) {
@@ -75,7 +76,8 @@
     accepted
 }
 
-/// LOST: not known, ended without cause, not asked for in vain, and not left waiting.
+/// LOST: an accepted job must stay known, must not end without a cause, must answer the final reads, and must
+/// not stay idle without a reason.
 pub fn lost(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let accepted = acceptances(history);
     let cancelled: HashSet<u64> =
@@ -92,7 +94,7 @@
     }
 }
 
-/// A 410 for an accepted job.
+/// LOST: a read of an accepted job must not be answered with 410.
 fn gone(
     touch: &Touch<'_>,
     history: &History,
@@ -111,7 +113,7 @@
     }
 }
 
-/// Shown as failed or cancelled without cause.
+/// LOST: a job must not be shown as failed or cancelled without a cause.
 fn ended_without_cause(history: &History, cancelled: &HashSet<u64>, out: &mut Vec<Breach>) {
     let mut failures: BTreeMap<TaskKey, u32> = BTreeMap::new();
     let mut counted = HashSet::new();
@@ -143,7 +145,7 @@
     }
 }
 
-/// Asked for at the end, some job isn't known or gets no answer.
+/// LOST: at least one of an accepted job's final reads must return its state.
 fn final_question(history: &History, accepted: &BTreeMap<u64, u64>, out: &mut Vec<Breach>) {
     let last_read = history.calls.iter().rev().find(|call| call.kind == CallKind::Read);
     let from = last_read.map_or(0, |call| call.sent_at.saturating_sub(FINAL_TRIES));
--- a/crates/simulation/src/oracle/mod.rs
+++ b/crates/simulation/src/oracle/mod.rs
@@ -1,4 +1,4 @@
-//! The rules, one function for each, judged from what was seen.
+//! The oracle: one check for each rule, based only on the observed history.
 
 mod configuration;
 mod jobs;
@@ -12,47 +12,47 @@
 
 pub use touch::Touch;
 
-/// Names of the rules.
+/// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One task runs twice at a time, or again after its end was recorded.
+    /// A task must not run twice at the same time, nor again after its end was recorded.
     Twice,
-    /// A start comes before its turn.
+    /// A task must not start before its dependencies or its due time.
     Order,
-    /// A start lands where it must not.
+    /// A task must start only on a worker that its service, label and spread constraints allow.
     Route,
-    /// A start comes after the last allowed failure.
+    /// A task must not start after its last allowed failure.
     Budget,
-    /// A gang's run ends alone.
+    /// A member of a gang must not time out waiting for the others.
     Gang,
-    /// A start that nobody asked for.
+    /// A task must not start unless a client asked for it.
     Unasked,
-    /// A start of a job that was never taken.
+    /// A task of a job that was never accepted must not start.
     Refused,
-    /// A start on a worker that is to leave.
+    /// A task must not start on a draining worker.
     Drain,
-    /// A job shows as completed and is not.
+    /// A job must not be shown as completed before it is.
     Mixed,
-    /// What was accepted is not known, not carried on, or shows an end without cause.
+    /// An accepted job must stay known, must make progress, and must not end without a cause.
     Lost,
-    /// A rule on configurations.
+    /// The rules on configurations.
     Config,
-    /// A start beyond what a worker has.
+    /// A task must not start beyond a worker's resources.
     Limit,
-    /// After the final fault too little is served.
+    /// After the final fault, enough requests must be served.
     Recover,
-    /// A process fails by itself.
+    /// A process must not fail by itself.
     ProcessFault,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// When the violation was observed.
     pub at: u64,
-    /// What was seen.
+    /// What was observed.
     pub text: String,
 }
 
@@ -68,10 +68,10 @@
     }
 }
 
-/// A rule: adds what it finds broken.
+/// Checks a rule and adds its violations.
 type Judge = fn(&Touch<'_>, &History, &mut Vec<Breach>);
 
-/// Every rule with its judge.
+/// The check of each rule.
 pub const JUDGES: [(Rule, Judge); 14] = [
     (Rule::Twice, tasks::twice),
     (Rule::Order, tasks::order),
@@ -89,7 +89,7 @@
     (Rule::ProcessFault, recovery::process_fault),
 ];
 
-/// Judges a day.
+/// Checks all rules on a history. Violations are sorted by time.
 pub fn judge(site: &Site, history: &History) -> Vec<Breach> {
     let touch = Touch::new(&site.bounds, history);
     let mut breaches = Vec::new();
--- a/crates/simulation/src/oracle/recovery.rs
+++ b/crates/simulation/src/oracle/recovery.rs
@@ -1,15 +1,16 @@
-//! Rules on the time after the final fault, and on processes themselves.
+//! Checks of the rules on the time after the final fault and on process faults.
 
 use super::{Breach, Rule, Touch};
 use crate::history::{Answer, CallKind, ClientCall, History};
 use crate::time::ms;
 
-/// A quarter of the requests must be served.
+/// One request in this many must be served.
 const SHARE: usize = 4;
-/// Requests below which nothing is judged.
+/// Minimum number of requests for a verdict.
 const LEAST_REQUESTS: usize = 8;
 
-/// RECOVER: before the final fault a quarter was served, and later less is.
+/// RECOVER: if a quarter of the requests was served before the final fault, a quarter must be served after
+/// the recovery time.
 pub fn recover(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let Some(fault) = history.final_fault else { return };
     let from = fault.until + ms(touch.bounds.recovery_ms);
@@ -31,7 +32,7 @@
     matches!(call.answer, Some((_, Answer::Done | Answer::State(_) | Answer::Count(_))))
 }
 
-/// A process fails by itself.
+/// A process must not fail by itself.
 pub fn process_fault(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     for fault in &history.process_faults {
         out.push(Breach::new(
--- a/crates/simulation/src/oracle/tasks.rs
+++ b/crates/simulation/src/oracle/tasks.rs
@@ -1,4 +1,4 @@
-//! Rules on starts and runs of tasks.
+//! Checks of the rules on starts and runs of tasks.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,9 +10,9 @@
 use crate::time::{ms, DAY_BEGINS_MS, MS, SECOND};
 use crate::workload::Queue;
 
-/// Beyond a due time on days on which clocks jump.
+/// Additional tolerance of due times on days on which clocks jump, in nanoseconds.
 const CLOCK_SLACK: u64 = 5 * SECOND;
-/// From the moment in which an end was recorded until no machine may start the task again.
+/// Time after the recording of an end from which no machine may start the task again, in nanoseconds.
 const NOTED_SLACK: u64 = SECOND;
 
 fn by_task(history: &History) -> BTreeMap<TaskKey, Vec<&Run>> {
@@ -35,7 +35,7 @@
     format!("{} on worker {} ({}), ordered by core {}", run.key, run.worker, run.instance, run.sender)
 }
 
-/// TWICE: side by side, or after an end that was recorded.
+/// TWICE: a task must not run twice at the same time, nor after its recorded end.
 pub fn twice(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let shown = completed_shown(history);
     for runs in by_task(history).into_values() {
@@ -58,7 +58,8 @@
     }
 }
 
-/// TWICE by time: a machine in touch starts a task over a second after its end was recorded, or shown.
+/// TWICE: a machine in contact must not order a start more than a second after the task's end was recorded,
+/// or after its job was shown as completed.
 fn late_start(
     touch: &Touch<'_>,
     history: &History,
@@ -85,7 +86,7 @@
     }
 }
 
-/// When each job was first shown as completed.
+/// Time at which each job was first shown as completed.
 fn completed_shown(history: &History) -> HashMap<u64, u64> {
     let mut shown = HashMap::new();
     for call in &history.calls {
@@ -103,7 +104,7 @@
     history.jobs.get(&key.task.job)?.body.stages.get(key.task.step as usize)
 }
 
-/// ORDER: before the steps that it depends on, or before its time.
+/// ORDER: a task must not start before the steps that it depends on are done, nor before its due time.
 pub fn order(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let done = done_times(history);
     for run in &history.runs {
@@ -128,7 +129,7 @@
     }
 }
 
-/// When each task first ended well. One member's end stands for a gang.
+/// Time at which each task first ended successfully. The end of one gang member counts for the gang.
 fn done_times(history: &History) -> HashMap<TaskKey, u64> {
     let mut done: HashMap<TaskKey, u64> = HashMap::new();
     for run in &history.runs {
@@ -139,7 +140,7 @@
     done
 }
 
-/// ROUTE: service, label, and tasks of a step on one worker.
+/// ROUTE: service, label, and number of tasks of a step on one worker.
 pub fn route(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     for run in &history.runs {
         let Some(stage) = stage(history, &run.key) else { continue };
@@ -164,7 +165,8 @@
     }
 }
 
-/// BUDGET: after the last allowed failure that was recorded. A gang fails as one.
+/// BUDGET: a task must not start after the last allowed failure was recorded. The members of a gang fail
+/// together.
 pub fn budget(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let mut failing: BTreeMap<TaskKey, Vec<&Run>> = BTreeMap::new();
     for run in &history.runs {
@@ -189,7 +191,7 @@
     }
 }
 
-/// When failures before a run were recorded, in order; one an attempt.
+/// Times at which failures before a run were recorded, in order. Each attempt counts once.
 fn noted_failures(earlier: &[&Run], run: &Run) -> Vec<u64> {
     let mut attempts = BTreeMap::new();
     for before in earlier.iter().filter(|before| ended_by(before, run.started_at)) {
@@ -202,7 +204,8 @@
     recorded
 }
 
-/// GANG: a run ends alone.
+/// GANG: a gang member must not time out waiting for the others, unless a fault, a drain or a cancellation
+/// explains it.
 pub fn gang(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let wanted = first_cancels(history);
     let drained: Vec<u64> = history.drains.iter().map(|read| read.at).collect();
@@ -222,7 +225,7 @@
     }
 }
 
-/// When each job's client first asked to cancel it.
+/// Time at which each job's client first asked to cancel it.
 fn first_cancels(history: &History) -> HashMap<u64, u64> {
     let mut cancels = HashMap::new();
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Cancel) {
@@ -231,7 +234,7 @@
     cancels
 }
 
-/// When each job's cancelling was acknowledged.
+/// Time at which the cancellation of each job was first acknowledged.
 fn acknowledged_cancels(history: &History) -> HashMap<u64, u64> {
     let mut cancels: HashMap<u64, u64> = HashMap::new();
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Cancel) {
@@ -243,7 +246,8 @@
     cancels
 }
 
-/// UNASKED: what nobody sent, another text, a foreign checkpoint, or after the cancelling.
+/// UNASKED: a task must not start if no client submitted it, with a changed specification, with a checkpoint
+/// of another task, or after its cancellation.
 pub fn unasked(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     for order in &history.unknown_orders {
         out.push(Breach::new(Rule::Unasked, order.at, format!("{} is no client's task", order.key)));
@@ -278,7 +282,7 @@
     }
 }
 
-/// DRAIN: a start on a worker that a machine knows to be leaving.
+/// DRAIN: a task must not start on a worker that a machine in contact knows to be draining.
 pub fn drain(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     let mut known: HashMap<&str, u64> = HashMap::new();
     for read in &history.drains {
@@ -296,7 +300,7 @@
     }
 }
 
-/// LIMIT: beyond what an unguarded worker has.
+/// LIMIT: a task must not start beyond the resources of an unguarded worker.
 pub fn limit(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
     for run in &history.runs {
         if let Some(load) = &run.overload {
--- a/crates/simulation/src/oracle/touch.rs
+++ b/crates/simulation/src/oracle/touch.rs
@@ -1,41 +1,41 @@
-//! Which machines are in touch when, and how long faults of workers reach.
+//! Which machines are in contact at which times, derived from the injected faults.
 
 use configuration::Bounds;
 
 use crate::history::{History, Machine};
 use crate::time::ms;
 
-/// Judges moments by the faults of a day.
+/// Answers questions on contact and stability from the faults of a day.
 pub struct Touch<'a> {
-    /// Figures of the rules.
+    /// Time limits of the rules.
     pub bounds: &'a Bounds,
     history: &'a History,
     contact: u64,
 }
 
 impl<'a> Touch<'a> {
-    /// For the faults of this history.
+    /// Uses the faults of the given history.
     pub fn new(bounds: &'a Bounds, history: &'a History) -> Touch<'a> {
         Touch { bounds, history, contact: ms(bounds.contact_ms) }
     }
 
-    /// Whether the core was stable at a moment.
+    /// Whether the core was stable at a time.
     pub fn is_stable(&self, at: u64) -> bool {
         self.is_stable_through(at, at)
     }
 
-    /// Whether the core was stable all the while.
+    /// Whether the core was stable throughout a span.
     pub fn is_stable_through(&self, from: u64, until: u64) -> bool {
         let since = from.saturating_sub(self.contact);
         !self.history.core_faults.iter().any(|span| span.touches(since, until))
     }
 
-    /// Whether a machine was in touch at a moment.
+    /// Whether a machine was in contact at a time.
     pub fn is_in_touch(&self, machine: Machine, at: u64) -> bool {
         self.is_in_touch_through(machine, at, at)
     }
 
-    /// Whether a machine was in touch all the while.
+    /// Whether a machine was in contact throughout a span.
     pub fn is_in_touch_through(&self, machine: Machine, from: u64, until: u64) -> bool {
         let since = from.saturating_sub(self.contact);
         let faults = &self.history.machine_faults;
@@ -43,7 +43,7 @@
         !own && self.is_stable_through(from, until)
     }
 
-    /// Whether no fault of machines, workers or orders touches a span.
+    /// Whether no fault of machines, workers or orders overlaps a span.
     pub fn is_calm(&self, from: u64, until: u64) -> bool {
         let since = from.saturating_sub(self.contact);
         let history = self.history;
@@ -59,5 +59,5 @@
     }
 }
 
-/// How long after its sending an order may be carried out on days on which that happens.
+/// Longest time after its sending at which a late order may be carried out, in nanoseconds.
 const LONGEST_LATE: u64 = 13_000_000_000;
--- a/crates/simulation/src/workers/gangs.rs
+++ b/crates/simulation/src/workers/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: runs that work only together.
+//! Gangs: tasks that work only while all members of the gang run.
 
 use messages::job::EndKind;
 use scheduler::ids::{AttemptKey, TaskKey};
@@ -15,7 +15,7 @@
 }
 
 impl Fleet {
-    /// A member is there; work begins once all are.
+    /// Adds a member to a gang. The work begins when the last member has started.
     pub(super) fn member_came(
         &mut self,
         now: u64,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// A member ended well: all do.
+    /// Ends all other members as done after one member ended successfully.
     pub(super) fn finish_gang(&mut self, now: u64, gang: GangKey, index: u32, history: &mut History) {
         self.end_others(now, gang, index, EndKind::DONE, history);
     }
 
-    /// A member ended otherwise, or its worker died: the others break.
+    /// Ends all other members as broken after one member ended in any other way or lost its worker.
     pub(super) fn member_left(&mut self, now: u64, gang: GangKey, index: u32, history: &mut History) {
         self.end_others(now, gang, index, EndKind::BROKEN, history);
     }
--- a/crates/simulation/src/workers/lists.rs
+++ b/crates/simulation/src/workers/lists.rs
@@ -1,4 +1,5 @@
-//! Worker leases and lists: what runs, what has ended, what was recorded.
+//! Lease renewals and the lists that answer them: running tasks, ended tasks, and which ends the leader
+//! recorded.
 
 use scheduler::worker::{CallOutcome, RunningEntry};
 
@@ -6,7 +7,7 @@
 use crate::history::{History, RunEnd};
 use crate::time::ms;
 
-/// Ends in one answer.
+/// Maximum number of ends in one answer.
 const MAX_LISTED_ENDS: usize = 500;
 
 impl Incarnation {
@@ -14,7 +15,7 @@
         !self.finished.is_empty()
     }
 
-    /// Forgets ends up to `last_seen`: they are recorded.
+    /// Drops ends up to `last_seen`, which the leader has recorded.
     pub(super) fn note_ends(&mut self, now: u64, last_seen: u64, history: &mut History) {
         self.last_seen = self.last_seen.max(last_seen);
         while self.finished.front().is_some_and(|finished| finished.end.sequence <= self.last_seen) {
@@ -36,7 +37,8 @@
 }
 
 impl Fleet {
-    /// Answers a lease call, now or when an end comes.
+    /// Answers a lease renewal. If there are no ends to list, the call waits as a long poll and `None` is
+    /// returned.
     pub(super) fn answer_lease_renewal(
         &mut self,
         position: usize,
@@ -52,7 +54,7 @@
         self.lists(position, now)
     }
 
-    /// Answers long polls whose time is over, or all if there are ends.
+    /// Answers long polls whose time is over, or all of them if there are ends to list.
     pub(super) fn answer_waiters(&mut self, position: usize, now: u64) {
         let Some(incarnation) = self.workers[position].incarnation.as_mut() else { return };
         let all = incarnation.has_unseen_ends();
@@ -70,12 +72,12 @@
         }
     }
 
-    /// How many ends a worker lists that were not recorded.
+    /// Number of ends that the worker lists because the leader has not recorded them yet.
     pub fn listed_ends(&self, position: usize) -> usize {
         self.workers[position].incarnation.as_ref().map_or(0, |incarnation| incarnation.finished.len())
     }
 
-    /// A caller waits no longer.
+    /// Removes the long poll of a caller that no longer waits.
     pub fn drop_waiter(&mut self, position: usize, token: u64) {
         if let Some(incarnation) = self.workers[position].incarnation.as_mut() {
             incarnation.waiters.retain(|waiter| waiter.token != token);
@@ -107,7 +109,7 @@
 }
 
 impl Incarnation {
-    /// Tasks that run here, those that are being stopped included.
+    /// Tasks that run here, including those that are being stopped.
     pub fn running_tasks(&self) -> impl Iterator<Item = scheduler::ids::TaskKey> + '_ {
         self.runs.keys().map(|key| key.task)
     }
--- a/crates/simulation/src/workers/mod.rs
+++ b/crates/simulation/src/workers/mod.rs
@@ -1,4 +1,5 @@
-//! Workers as the protocol describes them: tokens, attempts, holds on their own clocks, lists, gangs, checkpoints.
+//! Workers as the protocol describes them: fencing tokens, attempts, leases on their own clocks, lists, gangs
+//! and checkpoints.
 
 mod gangs;
 mod lists;
@@ -18,20 +19,20 @@
 
 pub use orders::Delivery;
 
-/// What faults do to a worker.
+/// The effects of faults on a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Condition {
-    /// Tasks take this many times as long.
+    /// Factor by which tasks take longer.
     pub slowness: f64,
     /// Every run that begins fails.
     pub failing: bool,
     /// Runs that begin make no progress.
     pub stalled: bool,
-    /// Share of calls that are answered 503, having done nothing.
+    /// Fraction of the calls that are answered with 503 without any effect.
     pub busy: f64,
-    /// Share of calls that are never answered, having done nothing.
+    /// Fraction of the calls that are never answered and have no effect.
     pub hanging: f64,
-    /// Share of calls that are never answered, though carried out.
+    /// Fraction of the calls that are carried out but never answered.
     pub mute: f64,
 }
 
@@ -46,31 +47,31 @@
 pub struct Worker {
     /// `ip:port`.
     pub address: String,
-    /// Position of its service.
+    /// Position of the worker's service.
     pub service: usize,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: usize,
-    /// Its kind and its rack.
+    /// The worker's kind and rack.
     pub labels: Vec<String>,
-    /// What it has.
+    /// The worker's resources.
     pub available: Resources,
-    /// Whether it refuses what does not fit.
+    /// Whether the worker refuses tasks that do not fit.
     pub guards: bool,
-    /// Parts in a thousand by which its clock is slow.
+    /// Slowness of the worker's clock, in parts per thousand.
     pub clock_slow: u64,
-    /// What faults do to it.
+    /// The effects of faults.
     pub condition: Condition,
-    /// Its present incarnation; `None` while it is down.
+    /// The current incarnation; `None` while the worker is down.
     pub incarnation: Option<Incarnation>,
     incarnations: u32,
 }
 
-/// A worker from its start to its crash.
+/// A worker from its start to its crash or shutdown.
 #[derive(Debug)]
 pub struct Incarnation {
-    /// Its id.
+    /// The incarnation's identifier.
     pub instance: String,
-    /// When it began.
+    /// World time at which the incarnation started.
     pub born: u64,
     fencing_token: u64,
     worker_lease_until_ms: u64,
@@ -84,7 +85,7 @@
     waiters: Vec<Waiter>,
 }
 
-/// A long poll.
+/// A pending long poll.
 #[derive(Debug)]
 struct Waiter {
     token: u64,
@@ -98,10 +99,10 @@
     lapses: u64,
 }
 
-/// A run as its worker knows it.
+/// A run, as its worker knows it.
 #[derive(Debug)]
 struct LiveRun {
-    /// Position in the history.
+    /// Position in the history's runs.
     position: usize,
     need: Resources,
     phase: Phase,
@@ -120,7 +121,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Waits for the other members of its gang.
+    /// Waits for the other members of the gang.
     Waiting {
         until: u64,
     },
@@ -130,7 +131,7 @@
     },
 }
 
-/// One run of a gang.
+/// Identifies one attempt of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GangKey {
     step: StepKey,
@@ -146,19 +147,19 @@
 /// All workers of the deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    /// By position.
+    /// The workers; other fields and callers refer to them by position.
     pub workers: Vec<Worker>,
     bounds: Bounds,
     gangs: BTreeMap<GangKey, Gang>,
     due: BTreeSet<(u64, usize)>,
     due_of: Vec<u64>,
     checkpoints: HashSet<(TaskKey, String)>,
-    /// Answers to long polls that are due.
+    /// Answers to long polls, ready to be sent, with the token of each call.
     pub answered: Vec<(u64, CallOutcome)>,
 }
 
 impl Fleet {
-    /// Workers that are not started yet.
+    /// Creates workers that are not started yet.
     pub fn new(workers: Vec<Worker>, bounds: Bounds) -> Fleet {
         let due_of = vec![u64::MAX; workers.len()];
         Fleet {
@@ -172,14 +173,14 @@
         }
     }
 
-    /// Adds a worker; gives its position.
+    /// Adds a worker and returns its position.
     pub fn add(&mut self, worker: Worker) -> usize {
         self.workers.push(worker);
         self.due_of.push(u64::MAX);
         self.workers.len() - 1
     }
 
-    /// A worker begins a new incarnation.
+    /// Starts a new incarnation of a worker.
     pub fn boot(&mut self, position: usize, now: u64) {
         let worker = &mut self.workers[position];
         worker.incarnations += 1;
@@ -199,7 +200,7 @@
         });
     }
 
-    /// A worker dies, and with it all that runs there.
+    /// Crashes a worker. All of its runs end without a listed end.
     pub fn crash(&mut self, position: usize, now: u64, history: &mut History) {
         self.advance(now, history);
         let Some(incarnation) = self.workers[position].incarnation.take() else { return };
@@ -218,12 +219,12 @@
         self.reschedule(position);
     }
 
-    /// When something is due at the latest.
+    /// Time of the next timer.
     pub fn next_timer(&self) -> u64 {
         self.due.first().map_or(u64::MAX, |(at, _)| *at)
     }
 
-    /// Lets everything happen that is due by `now`, in order.
+    /// Handles all timers up to `now`, in order.
     pub fn advance(&mut self, now: u64, history: &mut History) {
         while let Some((at, position)) = self.due.first().copied() {
             if at > now {
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Ends a run, lists the end, and tells the other members of its gang.
+    /// Ends a run, adds the end to the worker's list and notifies the other members of the gang.
     fn end_run(&mut self, position: usize, key: AttemptKey, kind: EndKind, now: u64, history: &mut History) {
         let save_ms = self.bounds.save_ms as f64;
         let Some(incarnation) = self.workers[position].incarnation.as_mut() else { return };
@@ -320,12 +321,12 @@
         }
     }
 
-    /// Whether a checkpoint is one of the task's, or none.
+    /// Whether a checkpoint is empty or was issued for this task.
     fn knows_checkpoint(&self, key: &AttemptKey, gang: bool, text: &str) -> bool {
         text.is_empty() || self.checkpoints.contains(&(checkpoint_owner(&key.task, gang), text.to_owned()))
     }
 
-    /// Changes what faults do to a worker; what runs there goes on at the new pace.
+    /// Changes the effects of faults on a worker. Its runs go on at the new speed.
     pub fn set_condition(&mut self, position: usize, now: u64, change: impl FnOnce(&mut Condition)) {
         let worker = &mut self.workers[position];
         let before = worker.condition.slowness;
@@ -345,20 +346,20 @@
         self.workers.iter().position(|worker| worker.address == address)
     }
 
-    /// Whether anything of a job runs on a worker that is up.
+    /// Whether any task of a job runs on a worker that is up.
     pub fn runs_any_of(&self, job: u64) -> bool {
         let incarnations = self.workers.iter().filter_map(|worker| worker.incarnation.as_ref());
         incarnations.into_iter().any(|incarnation| incarnation.runs.keys().any(|key| key.task.job == job))
     }
 }
 
-/// A gang's checkpoints are good for every member.
+/// All members of a gang share checkpoints.
 fn checkpoint_owner(task: &TaskKey, gang: bool) -> TaskKey {
     TaskKey { index: if gang { u32::MAX } else { task.index }, ..*task }
 }
 
 impl Worker {
-    /// A worker that is down.
+    /// Creates a worker that is down.
     pub fn new(address: String, service: usize, zone: usize, labels: Vec<String>) -> Worker {
         Worker {
             address,
@@ -374,14 +375,14 @@
         }
     }
 
-    /// The worker's clock in milliseconds.
+    /// The worker's clock, in milliseconds since the start of the incarnation.
     fn clock_ms(&self, now: u64) -> u64 {
         let born = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.born);
         let passed = now.saturating_sub(born);
         (passed - passed / 1_000 * self.clock_slow) / MS
     }
 
-    /// When the worker's clock will show a time.
+    /// World time at which the worker's clock shows `clock_ms`.
     fn time_of_clock(&self, clock_ms: u64) -> u64 {
         let born = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.born);
         born + (clock_ms as f64 * MS as f64 * 1_000.0 / (1_000 - self.clock_slow) as f64) as u64 + 1
@@ -394,7 +395,7 @@
             .is_some_and(|incarnation| incarnation.hold_runs && clock >= incarnation.worker_lease_until_ms)
     }
 
-    /// What is in use, with what is being stopped.
+    /// Resources in use, including those of tasks that are being stopped.
     pub fn used(&self) -> Resources {
         let mut used = Resources::ZERO;
         for run in self.incarnation.iter().flat_map(|incarnation| incarnation.runs.values()) {
@@ -403,7 +404,7 @@
         used
     }
 
-    /// What is left.
+    /// Free resources.
     pub fn free(&self) -> Resources {
         let used = self.used();
         Resources {
@@ -422,7 +423,7 @@
         incarnation.runs.values().map(LiveRun::ends_at).fold(due, u64::min)
     }
 
-    /// A run that is over by `now`, and how.
+    /// A run that is over by `now`, and how it ends.
     fn next_end(&self, now: u64) -> Option<(AttemptKey, EndKind)> {
         let incarnation = self.incarnation.as_ref()?;
         let (key, run) = incarnation.runs.iter().find(|(_, run)| run.ends_at() <= now)?;
@@ -430,17 +431,17 @@
     }
 }
 
-/// What a task asks for.
+/// The resources that a task of the stage needs.
 pub fn need_of(stage: &Stage) -> Resources {
     Resources { cpu: stage.cpu, mem_mb: stage.mem_mb, gpu: stage.gpu }
 }
 
-/// The sum of two.
+/// The sum of two amounts of resources.
 pub fn add(left: Resources, right: Resources) -> Resources {
     Resources { cpu: left.cpu + right.cpu, mem_mb: left.mem_mb + right.mem_mb, gpu: left.gpu + right.gpu }
 }
 
-/// Whether a need fits into what is left.
+/// Whether a need fits into the free resources.
 pub fn fits(need: Resources, left: Resources) -> bool {
     need.cpu <= left.cpu && need.mem_mb <= left.mem_mb && need.gpu <= left.gpu
 }
--- a/crates/simulation/src/workers/orders.rs
+++ b/crates/simulation/src/workers/orders.rs
@@ -1,4 +1,4 @@
-//! Calls as they arrive at a worker.
+//! Handling of calls that arrive at a worker.
 
 use scheduler::ids::AttemptKey;
 use scheduler::worker::{CallOutcome, Refusal, WorkerRequest};
@@ -9,22 +9,22 @@
 use crate::time::{ms, MS};
 use crate::workload::JobPlan;
 
-/// A call on its arrival.
+/// A call on its arrival at a worker.
 #[derive(Clone, Debug)]
 pub struct Delivery {
-    /// The incarnation that is meant.
+    /// The incarnation that the call addresses.
     pub instance: String,
-    /// What is asked.
+    /// The request.
     pub request: WorkerRequest,
-    /// Which core machine sent it.
+    /// The core machine that sent the call.
     pub sender: Machine,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent_at: u64,
-    /// It is carried out late, with no answer.
+    /// The call is carried out late and not answered.
     pub late: bool,
-    /// Names the exchange, for an answer that comes later.
+    /// Identifies the call, for an answer that is sent later.
     pub token: u64,
-    /// A number between 0 and 1 that decides what a troubled worker does.
+    /// A random number between 0 and 1 that decides how a faulty worker treats the call.
     pub luck: f64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Fleet {
-    /// Carries a call out; `None` if the answer comes later or never.
+    /// Carries out a call. Returns `None` if the answer is sent later or never.
     pub fn deliver(
         &mut self,
         position: usize,
@@ -96,7 +96,7 @@
         answer.filter(|_| !mute)
     }
 
-    /// Keeps the highest token; false for a lower one.
+    /// Stores the highest fencing token. Returns false for a lower one.
     fn passes_fencing_token(&mut self, position: usize, fencing_token: u64) -> bool {
         let Some(incarnation) = self.workers[position].incarnation.as_mut() else { return false };
         if fencing_token < incarnation.fencing_token {
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Adopts a deadline: never shortened, cut to the longest worker lease.
+    /// Extends the lease to a deadline, but never shortens it and never beyond the maximum worker lease.
     fn extend_worker_lease(&mut self, position: usize, now: u64, deadline_ms: Option<u64>) {
         let clock = self.workers[position].clock_ms(now);
         let latest = clock + self.bounds.max_worker_lease_ms;
--- a/crates/simulation/src/workers/progress.rs
+++ b/crates/simulation/src/workers/progress.rs
@@ -1,4 +1,4 @@
-//! How far a run has got.
+//! Progress of runs.
 
 use messages::job::EndKind;
 use scheduler::ids::AttemptKey;
@@ -7,7 +7,7 @@
 use crate::time::MS;
 
 impl LiveRun {
-    /// Brings its progress up to date.
+    /// Updates the progress to `now`.
     pub(super) fn update(&mut self, now: u64) {
         let passed_ms = now.saturating_sub(self.updated_at) as f64 / MS as f64;
         self.updated_at = self.updated_at.max(now);
@@ -19,13 +19,13 @@
         self.done_ms = (self.done_ms + (passed_ms - restoring) * self.rate).min(self.goal_ms());
     }
 
-    /// After how much work it ends.
+    /// Amount of work after which the run ends, in milliseconds.
     fn goal_ms(&self) -> f64 {
         let full = if self.long_running { f64::MAX } else { self.work_ms };
         self.fails_after_ms.map_or(full, |fails| fails.max(self.began_ms).min(full))
     }
 
-    /// When it ends if nothing happens.
+    /// World time at which the run ends unless something else happens first.
     pub(super) fn ends_at(&self) -> u64 {
         match self.phase {
             Phase::Waiting { until } | Phase::Stopping { until } => until,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// How it ends if nothing happens.
+    /// How the run ends unless something else happens first.
     pub(super) fn end_kind(&self) -> EndKind {
         match self.phase {
             Phase::Waiting { .. } => EndKind::ALONE,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Work that is saved.
+    /// Work that is saved in checkpoints, in milliseconds.
     pub(super) fn saved_ms(&self, save_ms: f64) -> f64 {
         let saves = ((self.done_ms - self.began_ms) / save_ms).floor().max(0.0);
         self.began_ms + saves * save_ms
     }
 
-    /// Share of the work that is done, in percent.
+    /// Completed share of the work, in percent.
     pub(super) fn percent(&self) -> u32 {
         if self.long_running || self.work_ms <= 0.0 {
             return 0;
@@ -64,7 +64,7 @@
         (self.done_ms / self.work_ms * 100.0).clamp(0.0, 100.0) as u32
     }
 
-    /// The text that stands for saved work.
+    /// The checkpoint text for the saved work.
     pub(super) fn checkpoint(&self, key: &AttemptKey, saved_ms: f64) -> String {
         if !self.saves || saved_ms < 1.0 {
             return String::new();
@@ -75,7 +75,7 @@
     }
 }
 
-/// The saved work that a checkpoint stands for, in milliseconds.
+/// The saved work that a checkpoint represents, in milliseconds.
 pub fn saved_of(checkpoint: &str) -> f64 {
     let digits = checkpoint.get(..8).unwrap_or("0");
     u64::from_str_radix(digits, 16).map_or(0.0, |saved| saved as f64)
