--- a/crates/simulation/examples/overload.rs
+++ b/crates/simulation/examples/overload.rs
@@ -1,16 +1,17 @@
-//! Searches for states of overload that do not end by themselves.
+//! Searches for overload states that do not end by themselves.
 //!
-//! `overload --days N --seed S --parts P` plays N drawn cases from seed S on, each with one part in P of the large
-//! deployment, and prints those that do not return to their pace. `overload --replay S --parts P` prints what happens on
-//! one of them, and `overload --loss-of-power S --parts P` on the day on which all core machines lose power,
-//! and `overload --calm S --parts P` on the same day without a fault. With `--traffic T` each has T percent of its traffic, and
-//! with `--no-fault` no fault: what is left is the change of the load.
+//! `overload --days N --seed S --parts P` simulates N drawn cases from seed S on, each with one part in P of
+//! the large deployment, and prints those that do not recover. `overload --replay S --parts P` prints the
+//! events of one of these cases, `overload --loss-of-power S --parts P` those of the day on which all core
+//! machines lose power, and `overload --calm S --parts P` those of the same day without a fault. With
+//! `--traffic T` each case has T percent of its traffic. With `--no-fault` cases have no fault, and only the
+//! load changes.
 
 use simulation::overload::OverloadCase;
 use simulation::time::ms;
 use std::time::Instant;
 
-/// Breaches of a day that are printed.
+/// Maximum number of violations printed for a day.
 const MAX_SHOWN: usize = 3;
 
 enum Command {
@@ -25,9 +26,9 @@
     days: u64,
     seed: u64,
     parts: usize,
-    /// Traffic in percent of what a case has by itself.
+    /// Traffic in percent of the case's own traffic.
     traffic: u64,
-    /// Cases are played without their fault.
+    /// Cases are simulated without their fault.
     no_fault: bool,
     trace: bool,
 }
--- a/crates/simulation/examples/search.rs
+++ b/crates/simulation/examples/search.rs
@@ -1,8 +1,9 @@
-//! Plays random days and prints what breaks rules, as JSON lines.
+//! Simulates random days and prints rule violations as JSON lines.
 //!
-//! `search --days N --seed S [--unguarded] [--harsh] [--five]` plays N days from seed S on; `search --replay S` prints what happens on
-//! one day, and `search --shrink S` on that day with the least faults with which it still fails. With `--digest FILE` it
-//! judges nothing and writes a line for each day instead: its seed and the digest of all that happened.
+//! `search --days N --seed S [--unguarded] [--harsh] [--five]` simulates N days from seed S on. `search
+//! --replay S` prints the events of one day, and `search --shrink S` those of the same day with as few faults
+//! as still make it fail. With `--digest FILE` no rules are checked; instead, a line is written for each day
+//! with its seed and the digest of all its events.
 
 use simulation::day::{digest, play, DayReport};
 use simulation::oracle::Rule;
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,4 +1,4 @@
-//! Plays a day and judges it.
+//! Simulates a day and checks the rules.
 
 use std::collections::BTreeMap;
 
@@ -8,33 +8,33 @@
 use crate::site::Site;
 use crate::world::World;
 
-/// What came of a day.
+/// Result of a day.
 #[derive(Debug)]
 pub struct DayReport {
-    /// The day.
+    /// The script of the day.
     pub script: Script,
-    /// Broken rules.
+    /// Violations of the rules.
     pub breaches: Vec<Breach>,
-    /// Figures of the day.
+    /// Statistics of the day.
     pub figures: Figures,
 }
 
-/// Figures of a day.
+/// Statistics of a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Jobs that clients handed in.
+    /// Jobs that clients submitted.
     pub jobs: usize,
     /// Jobs that were accepted.
     pub accepted: usize,
-    /// Jobs that clients saw completed.
+    /// Jobs that clients last saw as completed.
     pub completed: usize,
-    /// Jobs that clients saw failed.
+    /// Jobs that clients last saw as failed.
     pub failed: usize,
-    /// Runs that workers began.
+    /// Runs that workers started.
     pub runs: usize,
 }
 
-/// Plays a day and judges it.
+/// Simulates a day and checks the rules.
 pub fn play(site: &Site, script: &Script, trace: bool) -> DayReport {
     let mut world = World::new(site.clone(), script.clone());
     if trace {
@@ -45,13 +45,13 @@
     DayReport { script: script.clone(), breaches, figures: figures(&history) }
 }
 
-/// Plays a day and gives the digest of all that happened on it: every message, log entry, answer, start and end, with
-/// times. 64 hex digits.
+/// Simulates a day and returns the digest of all its events: every message, log entry, answer, start and end,
+/// with times. The digest is 64 hex digits.
 pub fn digest(site: &Site, script: &Script) -> String {
     World::new(site.clone(), script.clone()).play_for_digest()
 }
 
-/// Counts what happened on a day.
+/// Computes the statistics of a day.
 pub fn figures(history: &History) -> Figures {
     let mut last_state: BTreeMap<u64, &str> = BTreeMap::new();
     let mut accepted = BTreeMap::new();
--- a/crates/simulation/src/digest/events.rs
+++ b/crates/simulation/src/digest/events.rs
@@ -1,4 +1,4 @@
-//! Events of a day. Frames were hashed when they were sent.
+//! Hashes events. The contents of frames are hashed when the frames are sent.
 
 use super::{history, worker_calls, DayDigest};
 use crate::world::{Event, Intent};
@@ -72,7 +72,7 @@
         Event::ToEdge { connection, .. } => digest.numbers(&[25, *connection as u64]),
         Event::EdgeHungUp { connection } => digest.numbers(&[26, *connection as u64]),
         Event::CoreHungUp { connection } => digest.numbers(&[27, *connection as u64]),
-        // The only one left: the platform asks whether edges are ready.
+        // `ReadinessAsked`.
         _ => digest.number(28),
     }
 }
@@ -100,7 +100,7 @@
             digest.number(45);
             digest.text(prefix);
         }
-        // The only one left: all jobs are asked for.
+        // `FinalQuestions`.
         _ => digest.number(46),
     }
 }
@@ -134,7 +134,7 @@
     match event {
         Event::OperatorSends { order } => digest.numbers(&[80, *order as u64]),
         Event::OperatorArrives { exchange } => digest.numbers(&[81, *exchange as u64]),
-        // The answer was hashed when the core gave it.
+        // The answer was hashed when the core process gave it.
         Event::OperatorAnswered { exchange, .. } => digest.numbers(&[82, *exchange as u64]),
         Event::OperatorGivesUp { exchange } => digest.numbers(&[83, *exchange as u64]),
         Event::ReadBack => digest.number(84),
@@ -148,7 +148,7 @@
         Event::ChecksIdle => digest.number(89),
         Event::FirstConfiguration => digest.number(90),
         Event::Closing => digest.number(91),
-        // All others are hashed above.
+        // All other events are hashed above.
         _ => digest.number(92),
     }
 }
--- a/crates/simulation/src/digest/frames.rs
+++ b/crates/simulation/src/digest/frames.rs
@@ -1,4 +1,4 @@
-//! What processes send: frames of the core, and what edges do.
+//! Hashes the outputs of core and edge processes.
 
 use consensus::{AppendRequest, Entry, Message, SnapshotChunk, VoteRequest};
 use data_plane::upstream::UpstreamOutput;
@@ -8,7 +8,7 @@
 use super::{worker_calls, DayDigest};
 use crate::core_process::{CoreFrame, CoreOutput, OperatorReply};
 
-/// Hashes what a core process does.
+/// Hashes an output of a core process.
 pub(super) fn core_output(digest: &mut DayDigest, output: &CoreOutput) {
     match output {
         CoreOutput::ToCore { machine, frame } => {
@@ -40,7 +40,7 @@
         CoreOutput::DiskRetries => digest.number(10),
         CoreOutput::Removed => digest.number(11),
         CoreOutput::Stopped => digest.number(12),
-        // Its text is for people.
+        // The reason is a text for people and is not hashed.
         CoreOutput::Failed(_) => digest.number(13),
     }
 }
@@ -121,7 +121,7 @@
     digest.bytes(&payload);
 }
 
-/// Hashes what an edge does.
+/// Hashes an output of an edge process.
 pub(super) fn edge_output(digest: &mut DayDigest, output: &UpstreamOutput) {
     match output {
         UpstreamOutput::Connect { connection, address } => {
--- a/crates/simulation/src/digest/history.rs
+++ b/crates/simulation/src/digest/history.rs
@@ -1,4 +1,4 @@
-//! What clients, workers, operator and platform saw on a day.
+//! Hashes what clients, workers, operator and platform observed.
 
 use messages::encode;
 
@@ -9,7 +9,7 @@
 use crate::script::FaultKind;
 use crate::workload::JobPlan;
 
-/// Stands for a fault that is not among those of every day.
+/// Represents a fault kind that is not in `FaultKind::ALL`.
 const OTHER_FAULT: u64 = 255;
 
 /// Hashes a history.
--- a/crates/simulation/src/digest/mod.rs
+++ b/crates/simulation/src/digest/mod.rs
@@ -1,8 +1,9 @@
-//! A day's digest: one short text that differs as soon as anything differs that happened on the day.
+//! The digest of a day: a short text that changes whenever anything that happened on the day changes.
 //!
-//! Times, numbers, texts and messages are hashed one by one, each kind of thing under a number of its own that is
-//! written here. Nothing of it hangs on how types and fields are called, so that a digest outlives renames: it changes
-//! only with what the system does. What is sent counts when it is sent, whether it arrives or not.
+//! Times, numbers, texts and messages are hashed one by one, and each kind of item has a number that is
+//! written in this module. No name of a type or field is hashed, so renames do not change a digest: it
+//! changes only with the behaviour of the system. A message counts when it is sent, whether or not it
+//! arrives.
 
 mod events;
 mod frames;
@@ -20,32 +21,32 @@
 use crate::world::Event;
 use data_plane::upstream::UpstreamOutput;
 
-/// Hashes a day as it goes on.
+/// Hashes a day while it is simulated.
 #[derive(Default)]
 pub(crate) struct DayDigest {
     hash: Sha256,
 }
 
 impl DayDigest {
-    /// An event takes place.
+    /// Hashes an event.
     pub(crate) fn event(&mut self, now: u64, event: &Event) {
         self.numbers(&[1, now]);
         events::event(self, event);
     }
 
-    /// A core process does something: it sends, answers, calls or writes.
+    /// Hashes an output of a core process: a message, an answer, a call or a write.
     pub(crate) fn core_output(&mut self, now: u64, machine: usize, output: &CoreOutput) {
         self.numbers(&[2, now, machine as u64]);
         frames::core_output(self, output);
     }
 
-    /// An edge process does something.
+    /// Hashes an output of an edge process.
     pub(crate) fn edge_output(&mut self, now: u64, edge: usize, output: &UpstreamOutput) {
         self.numbers(&[3, now, edge as u64]);
         frames::edge_output(self, output);
     }
 
-    /// What a core machine's disk holds, its log with all entries among it.
+    /// Hashes the contents of a core machine's disk, including the log with all its entries.
     pub(crate) fn disk(&mut self, machine: usize, directory: &ModelDirectory) {
         self.numbers(&[4, machine as u64]);
         let mut names = directory.list().unwrap_or_default();
@@ -56,17 +57,17 @@
         }
     }
 
-    /// All that was seen on the day.
+    /// Hashes everything that was observed on the day.
     pub(crate) fn history(&mut self, history: &History) {
         self.number(5);
         history::history(self, history);
     }
 
-    /// The digest of all so far, as 64 hex digits.
+    /// Returns the digest as 64 hex digits.
     pub(crate) fn finish(self) -> String {
         let mut text = String::new();
         for byte in self.hash.finalize() {
-            // Writing to a text does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(text, "{byte:02x}");
         }
         text
--- a/crates/simulation/src/digest/worker_calls.rs
+++ b/crates/simulation/src/digest/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers and how they ended.
+//! Hashes calls to workers and their outcomes.
 
 use messages::encode;
 use scheduler::ids::AttemptKey;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Hashes how a call ended.
+/// Hashes the outcome of a call.
 pub(super) fn outcome(digest: &mut DayDigest, outcome: &CallOutcome) {
     match outcome {
         CallOutcome::Answer { now_ms } => digest.numbers(&[1, *now_ms]),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Hashes which attempt is meant.
+/// Hashes the key of an attempt.
 pub(super) fn attempt(digest: &mut DayDigest, key: &AttemptKey) {
     let task = &key.task;
     digest.numbers(&[task.job, task.time.into(), task.step.into(), task.index.into(), key.attempt.into()]);
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,4 +1,4 @@
-//! What clients, workers, operator and platform saw on a day. The oracle judges this and nothing else.
+//! What clients, workers, operator and platform observed on a day. The oracle uses nothing else.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,20 @@
 use crate::script::{DarkMachine, FaultKind};
 use crate::workload::JobPlan;
 
-/// Number of a machine of the core or an edge, unique over both.
+/// Number of a core or edge machine, unique among both.
 pub type Machine = usize;
 
-/// A span of world time; an end that has not come is `u64::MAX`.
+/// A span of world time. The end of an open span is `u64::MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// First moment.
+    /// First time of the span.
     pub from: u64,
-    /// Last moment.
+    /// Last time of the span.
     pub until: u64,
 }
 
 impl Span {
-    /// Whether the span has a moment in common with `from..=until`.
+    /// Whether the span overlaps `from..=until`.
     pub fn touches(&self, from: u64, until: u64) -> bool {
         self.from <= until && self.until >= from
     }
@@ -31,7 +31,7 @@
 /// How a client's call was answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// 200 to a submission or a cancelling.
+    /// 200 for a submission or a cancellation.
     Done,
     /// 200 with a state.
     State(String),
@@ -43,15 +43,15 @@
     Gone,
     /// 400.
     Invalid,
-    /// 429 or 503: not taken.
+    /// 429 or 503: the request was not accepted.
     Rejected,
-    /// 502 or 504.
+    /// 502 or 504: the outcome is unknown.
     Unsure,
-    /// The connection broke, or the client waited no longer.
+    /// The connection broke, or the client stopped waiting.
     None,
 }
 
-/// What a client called for.
+/// Kind of a client's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// POST of a job.
@@ -64,221 +64,221 @@
     Count,
 }
 
-/// One call of a client.
+/// A client's call.
 #[derive(Clone, Debug)]
 pub struct ClientCall {
-    /// What was called for.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Which job; 0 for a count.
+    /// The job; 0 for a count.
     pub job: u64,
-    /// Prefix of the queue that was named.
+    /// Prefix of the queue.
     pub prefix: String,
-    /// Which edge it went to.
+    /// The edge that received the call.
     pub edge: Machine,
     /// When it was sent.
     pub sent_at: u64,
-    /// How long the client waits.
+    /// How long the client waits for an answer, in nanoseconds.
     pub patience: u64,
-    /// The answer; `None` while it is awaited.
+    /// Time and content of the answer; `None` while the call is pending.
     pub answer: Option<(u64, Answer)>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunEnd {
-    /// When.
+    /// When the run ended.
     pub at: u64,
-    /// How; `None`: its worker crashed or left.
+    /// The kind of end; `None` if the worker crashed or left.
     pub how: Option<EndKind>,
-    /// Its number in the worker's list.
+    /// Sequence number of the end in the worker's list.
     pub sequence: u64,
-    /// When it was recorded while the worker's lease had not lapsed in between.
+    /// When the end was recorded by the leader, provided the worker's lease did not expire before that.
     pub recorded_at: Option<u64>,
-    /// The worker's lease lapsed before it was recorded, at this time.
+    /// When the end was recorded by the leader, if the worker's lease expired before that.
     pub recorded_after_lapse: Option<u64>,
 }
 
 /// One run of a task on a worker.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Which attempt.
+    /// The attempt.
     pub key: AttemptKey,
-    /// Position of the worker.
+    /// The worker's position.
     pub worker: usize,
     /// The worker's incarnation.
     pub instance: String,
-    /// Position of its service.
+    /// Position of the worker's service.
     pub service: usize,
     /// Labels of the worker.
     pub labels: Vec<String>,
-    /// Core machine that sent the order.
+    /// The core machine that sent the order.
     pub sender: Machine,
     /// When the order was sent.
     pub ordered_at: u64,
-    /// When it began.
+    /// When the run started.
     pub started_at: u64,
-    /// The order was carried out late.
+    /// The order was carried out late on purpose.
     pub late: bool,
-    /// The checkpoint that the order brought.
+    /// The checkpoint in the order.
     pub checkpoint: String,
-    /// The order's text was the one that the client sent.
+    /// The specification in the order equals the one that the client sent.
     pub spec_matches: bool,
-    /// The checkpoint was one of the task's, or none.
+    /// The checkpoint in the order is empty or was issued for the task.
     pub checkpoint_matches: bool,
-    /// What the worker had in use beyond its `Available` at the start.
+    /// Resources in use on the worker after the start, if they exceed its available resources.
     pub overload: Option<Resources>,
-    /// Tasks of the step that ran on the worker after this start, of the same time.
+    /// Number of tasks of the same step and repetition on the worker, including this one.
     pub step_mates: u32,
-    /// When a gang's last member was there.
+    /// When the last member of the gang started.
     pub gang_complete_at: Option<u64>,
-    /// How it ended.
+    /// The end of the run; `None` while it goes on.
     pub end: Option<RunEnd>,
 }
 
-/// An order to start what no client sent.
+/// An order to start a task that no client submitted.
 #[derive(Clone, Debug)]
 pub struct UnknownOrder {
-    /// When it arrived.
+    /// When the order arrived.
     pub at: u64,
-    /// What it named.
+    /// The attempt that the order named.
     pub key: AttemptKey,
 }
 
-/// An order to start a task, as the core sent it.
+/// A start order, as a core machine sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct StartOrder {
-    /// When.
+    /// When the order was sent.
     pub at: u64,
-    /// Whose task.
+    /// The job of the task.
     pub job: u64,
-    /// To which worker.
+    /// The worker's position.
     pub worker: usize,
 }
 
-/// One reading of the configuration by the operator, from any machine.
+/// A read of the configuration by the operator, from any machine.
 #[derive(Clone, Debug)]
 pub struct ConfigurationQuery {
-    /// When it was sent.
+    /// When the read was sent.
     pub sent_at: u64,
-    /// When a configuration came, and which; `None`: another answer or none.
+    /// When a configuration arrived, and its body; `None` if there was no answer or another answer.
     pub answer: Option<(u64, Vec<u8>)>,
 }
 
-/// A change of the configuration as the operator sent it.
+/// A configuration change, as the operator sent it.
 #[derive(Clone, Debug)]
 pub struct ConfigurationOrder {
-    /// Its `Version`.
+    /// The value of `Version`.
     pub version: u64,
-    /// Its `If-Match`.
+    /// The value of `If-Match`.
     pub builds_on: u64,
-    /// Its body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// It must not be taken.
+    /// The change must not be accepted.
     pub invalid: bool,
-    /// Prefixes that it has.
+    /// Path prefixes of the configuration.
     pub prefixes: Vec<String>,
     /// When it was first sent.
     pub sent_at: u64,
-    /// When the operator saw its acknowledgement.
+    /// When the operator received the acknowledgement.
     pub acknowledged_at: Option<u64>,
-    /// When a 200 left a core machine, seen or not.
+    /// When a core machine first answered 200, whether or not the answer arrived.
     pub taken_at: Option<u64>,
-    /// Clear refusals: when, and by which status.
+    /// Definite refusals: time and status.
     pub refused: Vec<(u64, u16)>,
-    /// When an acknowledged change was sent again.
+    /// Times at which an acknowledged change was sent again.
     pub repeats: Vec<u64>,
-    /// When the operator gave it up.
+    /// When the operator gave up.
     pub given_up_at: Option<u64>,
 }
 
-/// What a core machine read of the platform's list.
+/// A draining worker in a list that a core machine read.
 #[derive(Clone, Debug)]
 pub struct DrainRead {
-    /// Which machine.
+    /// The machine that read the list.
     pub reader: Machine,
-    /// Which incarnation stands there as draining.
+    /// The incarnation that is listed as draining.
     pub instance: String,
-    /// When the machine had the answer.
+    /// When the machine received the list.
     pub at: u64,
 }
 
-/// A job for which nothing ran although it could have.
+/// A job of which nothing ran for too long although a task could have run.
 #[derive(Clone, Debug)]
 pub struct IdleJob {
-    /// Which job.
+    /// The job.
     pub job: u64,
-    /// Since when.
+    /// When the job became idle.
     pub since: u64,
-    /// When the bound was over.
+    /// When the idle time exceeded its limit.
     pub at: u64,
-    /// Its last run ended with its worker, or with the worker's lease.
+    /// The job's last run ended because its worker or the worker's lease was lost.
     pub worker_was_lost: bool,
 }
 
-/// A machine's own faults, apart from what was done to it.
+/// A fault of a process itself, not caused by fault injection.
 #[derive(Clone, Debug)]
 pub struct ProcessFault {
-    /// Which machine.
+    /// The machine of the process.
     pub machine: Machine,
-    /// When.
+    /// When the fault was observed.
     pub at: u64,
     /// What happened.
     pub text: String,
 }
 
-/// A core process began to lead, or leads no longer.
+/// A core process started or stopped leading.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderChange {
-    /// When.
+    /// When the change took effect.
     pub at: u64,
-    /// Which machine.
+    /// The machine of the process.
     pub machine: Machine,
-    /// In which term.
+    /// The term.
     pub term: u64,
-    /// Whether it leads now.
+    /// Whether the process leads from now on.
     pub leads: bool,
 }
 
-/// All that was seen.
+/// Everything that was observed on a day.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Jobs of the day by identity.
+    /// Jobs of the day by identifier.
     pub jobs: BTreeMap<u64, JobPlan>,
-    /// Calls of clients in the order in which they were sent.
+    /// Calls of clients, in the order of sending.
     pub calls: Vec<ClientCall>,
     /// Runs in the order of their starts.
     pub runs: Vec<Run>,
-    /// Orders to start as the core sent them.
+    /// Start orders, as core machines sent them.
     pub start_orders: Vec<StartOrder>,
-    /// Orders that name unknown tasks.
+    /// Orders to start tasks that no client submitted.
     pub unknown_orders: Vec<UnknownOrder>,
-    /// Changes of the configuration in the order in which they were first sent.
+    /// Configuration changes, in the order of first sending.
     pub configurations: Vec<ConfigurationOrder>,
-    /// The configuration as it was read back at the end; `None`: it did not come.
+    /// The configuration read back at the end of the day; `None` if the read failed.
     pub read_back: Option<Vec<u8>>,
-    /// Configurations that the operator read now and then.
+    /// The operator's reads of the configuration during the day.
     pub configuration_queries: Vec<ConfigurationQuery>,
-    /// Draining workers as core machines saw them listed.
+    /// Draining workers, as core machines saw them listed.
     pub drains: Vec<DrainRead>,
-    /// Jobs that waited for no reason.
+    /// Jobs that stayed idle without a reason.
     pub idle: Vec<IdleJob>,
     /// Faults of machines.
     pub machine_faults: Vec<(Machine, Span)>,
-    /// Spans in which the core was not stable, without what follows them.
+    /// Spans in which the core was not stable, without the time that it needs to recover.
     pub core_faults: Vec<Span>,
-    /// Faults of workers or of what reaches them.
+    /// Faults of workers or of their network.
     pub worker_faults: Vec<(usize, Span, FaultKind)>,
-    /// Spans in which workers carry orders out late.
+    /// Spans in which workers may carry out orders late.
     pub late_orders: Vec<Span>,
     /// Spans in which machines have no power.
     pub dark: Vec<DarkMachine>,
-    /// Clocks of this day jump.
+    /// Whether clocks jump on this day.
     pub clocks_jump: bool,
-    /// Faults of processes themselves.
+    /// Faults of processes themselves, not caused by fault injection.
     pub process_faults: Vec<ProcessFault>,
-    /// The final fault, until the machines were back.
+    /// The final fault, until all machines were back.
     pub final_fault: Option<Span>,
-    /// Changes of leaders, on days on which work takes processor time.
+    /// Changes of the leader, on days that simulate processor time.
     pub leader_changes: Vec<LeaderChange>,
     /// When traffic began and ended.
     pub traffic: Option<Span>,
@@ -287,17 +287,17 @@
 }
 
 impl History {
-    /// Runs that a task had, in the order of their starts.
+    /// Runs of a job's tasks, in the order of their starts.
     pub fn runs_of(&self, job: u64) -> impl Iterator<Item = &Run> {
         self.runs.iter().filter(move |run| run.key.task.job == job)
     }
 
-    /// Orders to start tasks of a job.
+    /// Start orders for tasks of a job.
     pub fn orders_of(&self, job: u64) -> impl Iterator<Item = &StartOrder> {
         self.start_orders.iter().filter(move |order| order.job == job)
     }
 
-    /// Whether a step may have copies side by side.
+    /// Whether copies of a task of this step may run at the same time.
     pub fn is_speculative(&self, key: &AttemptKey) -> bool {
         self.stage_flag(key, |stage| stage.speculative)
     }
@@ -312,7 +312,7 @@
         self.stage_flag(key, |stage| stage.long_running)
     }
 
-    /// The task whose failures a run's failure counts among: a gang fails as one.
+    /// The task to which a run's failure counts. All members of a gang fail as one task.
     pub fn counted_as(&self, key: &AttemptKey) -> TaskKey {
         let index = if self.is_gang(key) { 0 } else { key.task.index };
         TaskKey { index, ..key.task }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
-//! The whole system in simulated time: its own state machines over models of machines, links, disks, clocks, workers,
-//! platform, operator and clients, random scripts of faults, and an oracle of the rules.
+//! Deterministic discrete-event simulation of the whole system: the real state machines run on models of
+//! machines, networks, disks, clocks, workers, platform, operator and clients. Faults come from random
+//! scripts, and an oracle checks the rules of the specification.
 //!
-//! Nothing here knows real time, sockets or threads: a day is a function of its [`site::Site`] and its
-//! [`script::Script`], so that each day found to fail plays again from its seed.
+//! Nothing here uses real time, sockets or threads. A day is a function of its [`site::Site`] and its
+//! [`script::Script`], so a failing day can be replayed from its seed.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulation/src/overload.rs
+++ b/crates/simulation/src/overload.rs
@@ -1,5 +1,6 @@
-//! Days on which a fault meets a system at full traffic, to see whether the state that it leaves ends by itself: once
-//! machines are back and the load is one that they bear, jobs must end in time again within the bound for recovery.
+//! Days on which a fault hits a system at full traffic. They show whether an overload state ends by itself:
+//! once the machines are back and the load is one that they can handle, jobs must end on time again within
+//! the recovery bound.
 
 mod earnings;
 mod recovery;
@@ -17,21 +18,22 @@
 pub use earnings::Earnings;
 pub use recovery::Recovery;
 
-/// From the beginning of traffic until the pace before the fault is measured.
+/// Traffic before the measurement of the normal behaviour, in nanoseconds.
 const WARM_UP: u64 = 4 * SECOND;
-/// How long the pace before the fault is measured.
+/// Length of the measurement before the fault, in nanoseconds.
 const MEASURED_BEFORE: u64 = 3 * SECOND;
-/// From then until the fault: the load may rise, so that a queue waits when the fault begins.
+/// Time between that measurement and the fault, in nanoseconds. The load may rise here, so that a backlog
+/// exists when the fault begins.
 const QUEUE_BUILDS_UP: u64 = 2 * SECOND;
-/// How long the system is watched beyond the bound for recovery.
+/// Observation time beyond the recovery bound, in nanoseconds.
 const WATCHED: u64 = 5 * SECOND;
-/// Time for the last jobs, and for the questions after them.
+/// Time for the last jobs and the final reads, in milliseconds.
 const FINISH_MS: u64 = 4_000;
-/// How long a load without a fault lasts that is more than the system bears.
+/// Duration of an overload without a fault, in nanoseconds.
 const PRESSURE_LASTS: u64 = 8 * SECOND;
-/// Load after the fault, in parts of the full traffic.
+/// Load after the fault, relative to the full traffic.
 const LOAD_AFTER: f64 = 0.9;
-/// Faults that the search draws from.
+/// Fault kinds that a drawn case may have.
 const FAULTS: [FaultKind; 6] = [
     FaultKind::AllCoresPower,
     FaultKind::AllCoresKill,
@@ -40,45 +42,45 @@
     FaultKind::WorkerPartitionFromCore,
     FaultKind::DiskStall(Target::Leader),
 ];
-/// Share of a core that bears the full traffic of the large deployment.
+/// Share of a processor core that handles the full traffic of the large deployment.
 const USUAL_SHARE: f64 = 0.4;
 
-/// A fault at full traffic.
+/// A day with a fault at full traffic, or with a changed load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCase {
-    /// Draws jobs, delays and all else that is left to chance.
+    /// Seed of all random choices of the day.
     pub seed: u64,
     /// The deployment is one part in this many of the large one.
     pub parts: usize,
-    /// Share of a core that each core machine has.
+    /// Share of a processor core that each core machine has.
     pub share: f64,
-    /// Full traffic, in parts of what the large deployment has.
+    /// Full traffic of this case, relative to that of the large deployment.
     pub traffic: f64,
-    /// The fault; `None`: the day is calm, and only the load changes.
+    /// The fault; `None` if only the load changes.
     pub fault: Option<FaultKind>,
-    /// How long it lasts.
+    /// Duration of the fault or of the changed load, in nanoseconds.
     pub lasts: u64,
-    /// Load just before the fault, in parts of the full traffic.
+    /// Load just before the fault, relative to the full traffic.
     pub load_before: f64,
-    /// Load during the fault, in parts of the full traffic.
+    /// Load during the fault, relative to the full traffic.
     pub load_during: f64,
 }
 
-/// What came of a case.
+/// Result of a case.
 #[derive(Clone, Debug)]
 pub struct OverloadReport {
-    /// How the system came back.
+    /// How the system recovered.
     pub recovery: Recovery,
-    /// What jobs were worth before the fault or the change of load.
+    /// Goodput before the fault or the change of the load.
     pub before: Earnings,
-    /// What they were worth meanwhile.
+    /// Goodput during the fault or the changed load.
     pub meanwhile: Earnings,
-    /// Broken rules on what was acknowledged, and faults of processes.
+    /// Violations of the rules, except those on configurations.
     pub breaches: Vec<Breach>,
 }
 
 impl OverloadCase {
-    /// All core machines lose power for a second and a half at full traffic.
+    /// All core machines lose power for 1.5 seconds at full traffic.
     pub fn loss_of_power(seed: u64, parts: usize) -> OverloadCase {
         OverloadCase {
             seed,
@@ -92,17 +94,17 @@
         }
     }
 
-    /// The same day without a fault.
+    /// The day of [`OverloadCase::loss_of_power`] without the fault.
     pub fn calm(seed: u64, parts: usize) -> OverloadCase {
         OverloadCase { fault: None, ..OverloadCase::loss_of_power(seed, parts) }
     }
 
-    /// A day without a fault on which the load is changed for some seconds.
+    /// A day without a fault on which the load changes for some seconds.
     pub fn changed_load(seed: u64, parts: usize, load_during: f64) -> OverloadCase {
         OverloadCase { load_during, lasts: PRESSURE_LASTS, ..OverloadCase::calm(seed, parts) }
     }
 
-    /// A case drawn from its seed.
+    /// Draws a case from its seed.
     pub fn draw(seed: u64, parts: usize) -> OverloadCase {
         let mut rng = Rng::with_seed(seed ^ 0x0f_e11_0ad);
         let share = 0.28 + 0.32 * rng.f64();
@@ -122,7 +124,7 @@
         site.lead + WARM_UP + MEASURED_BEFORE + QUEUE_BUILDS_UP
     }
 
-    /// The deployment with its load.
+    /// The deployment, with the load of this case.
     pub fn site(&self) -> Site {
         let mut site = Site::large_part(self.parts);
         site.bounds.finish_ms = FINISH_MS;
@@ -140,14 +142,14 @@
         site
     }
 
-    /// The fault as a script.
+    /// The script, with the fault of this case.
     pub fn script(&self, site: &Site) -> Script {
         let at = OverloadCase::begins_at(site) / MS * MS;
         let inject = |kind| InjectedFault { at, lasts: self.lasts, kind, pick: self.seed };
         Script { faults: self.fault.map(inject).into_iter().collect(), ..Script::calm(self.seed) }
     }
 
-    /// Plays the case and judges it.
+    /// Simulates the case, measures it and checks the rules.
     pub fn play(&self, trace: bool) -> OverloadReport {
         let site = self.site();
         let mut world = World::new(site.clone(), self.script(&site));
@@ -167,13 +169,13 @@
         }
     }
 
-    /// While the load is changed, but for its first two seconds.
+    /// The span of the changed load, without its first two seconds.
     fn pressure_span(&self, site: &Site) -> Span {
         let begins = OverloadCase::begins_at(site);
         Span { from: begins + (2 * SECOND).min(self.lasts / 2), until: begins + self.lasts }
     }
 
-    /// From the fault until the last of the machines that it affected is back.
+    /// The span from the fault until the last affected machine is back.
     fn fault_span(&self, site: &Site, history: &History) -> Span {
         let from = OverloadCase::begins_at(site);
         let ends = history.machine_faults.iter().map(|(_, span)| span.until);
@@ -181,7 +183,7 @@
     }
 }
 
-/// Broken rules, but for that on configurations, whose bounds are for machines that keep up.
+/// Violations of the rules, except CONFIG: its bounds apply to machines that keep up with their load.
 fn breaches(site: &Site, history: &History) -> Vec<Breach> {
     let mut breaches = oracle::judge(site, history);
     breaches.retain(|breach| breach.rule != Rule::Config);
--- a/crates/simulation/src/overload/earnings.rs
+++ b/crates/simulation/src/overload/earnings.rs
@@ -1,4 +1,5 @@
-//! What jobs were worth: those that ended in time count in full, later ones in part, and others nothing.
+//! Goodput: jobs that end on time count with their full value, late jobs with a part of it, others not at
+//! all.
 
 use std::collections::HashMap;
 
@@ -9,34 +10,35 @@
 use crate::time::{ms, seconds};
 use crate::workload::{JobPlan, STRETCH, TARGET_LATENCY_MS};
 
-/// Worth of a job by the position of its queue.
+/// Value of a job, by the position of its queue.
 const WORTH: [f64; 4] = [2.0, 1.0, 2.0, 1.0];
-/// Part of its worth that a late job earns.
+/// Fraction of its value that a late job yields.
 const LATE_PART: f64 = 0.3;
-/// A job is late, and after this many times its objective without worth.
+/// A job that takes longer than this many times its objective yields nothing.
 const WORTHLESS_FACTOR: u64 = 3;
 
-/// What the jobs handed in during a span were worth.
+/// Goodput of the jobs that were submitted during a span.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Earnings {
-    /// Worth of all jobs.
+    /// Total value of all jobs.
     pub owed: f64,
-    /// Worth that was earned.
+    /// Total value that the jobs yielded.
     pub earned: f64,
     /// Length of the span, in seconds.
     pub seconds: f64,
-    /// Jobs.
+    /// Number of jobs.
     pub jobs: usize,
-    /// Jobs that were never accepted and were rejected at least once.
+    /// Number of jobs that were rejected at least once and never accepted.
     pub rejected: usize,
-    /// The longest time until a client was told that its job is rejected, in nanoseconds.
+    /// Longest time until a client received a rejection, in nanoseconds.
     pub longest_rejection: u64,
-    /// Tasks of these jobs that ended.
+    /// Number of tasks of these jobs that ended successfully.
     pub tasks_done: usize,
 }
 
 impl Earnings {
-    /// Measures the jobs that were handed in during `span` and that nothing but the system delays.
+    /// Measures the jobs that were submitted during `span`, apart from those that are delayed by their own
+    /// nature.
     pub fn measure(history: &History, span: Span) -> Earnings {
         let ends = ends_of_tasks(history);
         let seconds = seconds(span.until - span.from);
@@ -53,12 +55,12 @@
         earnings
     }
 
-    /// Worth earned a second.
+    /// Value yielded per second.
     pub fn per_s(&self) -> f64 {
         self.earned / self.seconds
     }
 
-    /// Worth earned for each task that was done.
+    /// Value yielded per completed task.
     pub fn per_task(&self) -> f64 {
         self.earned / (self.tasks_done as f64).max(1.0)
     }
@@ -81,7 +83,7 @@
     }
 }
 
-/// The part of its worth that a job earns which took so long.
+/// Fraction of its value that a job yields after the given time, in nanoseconds.
 fn part_earned(job: &JobPlan, took: u64) -> f64 {
     let objective = ms((STRETCH * longest_chain_ms(job) as f64) as u64 + TARGET_LATENCY_MS);
     if took <= objective {
@@ -93,7 +95,7 @@
     0.0
 }
 
-/// The longest chain of work among steps that depend on each other, in milliseconds.
+/// Longest chain of work among steps that depend on each other, in milliseconds.
 fn longest_chain_ms(job: &JobPlan) -> u64 {
     let mut ends_ms: Vec<u64> = Vec::with_capacity(job.steps.len());
     for (stage, step) in job.body.stages.iter().zip(&job.steps) {
@@ -104,7 +106,7 @@
     ends_ms.into_iter().max().unwrap_or(0)
 }
 
-/// Whether nothing but the system delays the job: it is neither cancelled nor for a later time, and can be done.
+/// Whether only the system can delay the job: it is not cancelled, has no due times and can complete.
 fn is_ordinary(job: &JobPlan) -> bool {
     job.body.repeat == 0 && job.cancel_at.is_none() && !job.is_poison() && !job.is_long_running()
 }
--- a/crates/simulation/src/overload/recovery.rs
+++ b/crates/simulation/src/overload/recovery.rs
@@ -1,4 +1,4 @@
-//! How fast a system comes back after a fault: its first leader, its first start, and when jobs end in time again.
+//! Recovery after a fault: time to the first leader, to the first start, and until jobs end on time again.
 
 use std::collections::HashMap;
 
@@ -9,36 +9,37 @@
 use crate::time::{seconds, SECOND};
 use crate::workload::JobPlan;
 
-/// A short job is in time if it has ended within this time of being handed in.
+/// A short job is on time if it ends within this time of its submission, in nanoseconds.
 const IN_TIME: u64 = 3 * SECOND;
-/// The pace is back while as many jobs as this, in parts of those before the fault, are in time.
+/// The system has recovered when the fraction of jobs on time is at least this much of the fraction before
+/// the fault.
 const PACE: f64 = 0.8;
-/// Work of a task beyond which its job is not a short one, in milliseconds.
+/// A short job has no task with more work than this, in milliseconds.
 const SHORT_WORK_MS: u64 = 900;
 
-/// How a system came back after a fault. Times count from the moment at which all machines were back.
+/// Recovery after a fault. Times are nanoseconds after the time at which all machines were back.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovery {
-    /// Starts a second before the fault.
+    /// Starts per second before the fault.
     pub starts_before: f64,
-    /// Share of short jobs that ended in time before the fault.
+    /// Fraction of short jobs that ended on time before the fault.
     pub in_time_before: f64,
-    /// Starts a second at the end of the day's traffic.
+    /// Starts per second at the end of the traffic.
     pub starts_at_end: f64,
-    /// Share of short jobs that ended in time, by the second in which they were handed in.
+    /// Fraction of short jobs that ended on time, by the second of their submission.
     pub in_time: Vec<f64>,
-    /// When the first leader was there.
+    /// Time of the first leader.
     pub first_leader: Option<u64>,
-    /// Leaders that began after the fault.
+    /// Number of times that a process started to lead after the fault.
     pub leaders: usize,
-    /// When the first task was started.
+    /// Time of the first start of a task.
     pub first_start: Option<u64>,
-    /// When jobs were in time again and stayed so.
+    /// Time from which jobs ended on time until the end of the measurement; `None` if they did not.
     pub pace: Option<u64>,
 }
 
 impl Recovery {
-    /// Measures a day: `before` was calm, and `after` begins when all machines are back.
+    /// Measures a day. There is no fault during `before`, and `after` begins when all machines are back.
     pub fn measure(history: &History, before: Span, after: Span) -> Recovery {
         let ends = ends_of_tasks(history);
         let in_time_before = share_in_time(history, &ends, before).unwrap_or(0.0);
@@ -63,12 +64,12 @@
         }
     }
 
-    /// Whether the system kept up with its load before the fault: otherwise the day says nothing.
+    /// Whether the system kept up with its load before the fault. Otherwise the day is not meaningful.
     pub fn kept_up_before(&self) -> bool {
         self.in_time_before >= PACE
     }
 
-    /// Whether the pace was back within a time.
+    /// Whether the system recovered within the bound, in nanoseconds.
     pub fn is_within(&self, bound: u64) -> bool {
         self.pace.is_some_and(|pace| pace <= bound)
     }
@@ -110,7 +111,7 @@
     span.from <= at && at < span.until
 }
 
-/// When tasks ended well.
+/// Times at which tasks ended successfully.
 pub(super) fn ends_of_tasks(history: &History) -> HashMap<TaskKey, u64> {
     let mut ends = HashMap::new();
     for run in &history.runs {
@@ -121,7 +122,7 @@
     ends
 }
 
-/// The share of the short jobs handed in within a span that ended in time; `None` if there are none.
+/// Fraction of the short jobs submitted within a span that ended on time; `None` if there are no such jobs.
 fn share_in_time(history: &History, ends: &HashMap<TaskKey, u64>, span: Span) -> Option<f64> {
     let jobs: Vec<&JobPlan> =
         history.jobs.values().filter(|job| is_in(span, job.submit_at) && is_short(job)).collect();
@@ -132,7 +133,7 @@
     (!jobs.is_empty()).then(|| in_time as f64 / jobs.len() as f64)
 }
 
-/// Whether a job is one step of short tasks that nothing but the system delays.
+/// Whether a job is a single step of short tasks that only the system can delay.
 fn is_short(job: &JobPlan) -> bool {
     let is_plain = job.body.stages.len() == 1 && job.body.repeat == 0 && job.cancel_at.is_none();
     let is_short = job.steps.iter().flat_map(|step| &step.work_ms).all(|work| *work <= SHORT_WORK_MS);
--- a/crates/simulation/src/processor.rs
+++ b/crates/simulation/src/processor.rs
@@ -1,90 +1,92 @@
-//! Processor time of core processes: what a turn costs, and the quota that pays for it.
+//! Processor time of core processes: the cost of a turn, and the processor quota of a machine.
 
 use scheduler::leader::LeaderWork;
 
 use crate::time::MS;
 
-/// Length of one period of the quota, in nanoseconds.
+/// Period of the quota, in nanoseconds.
 const QUOTA_PERIOD: u64 = 100 * MS;
 
-/// Costs in nanoseconds of processor time, each for one unit of work.
+/// Processor time of one unit of work, in nanoseconds.
 mod cost {
-    /// A turn, with the wake-up before it.
+    /// A turn, including its wake-up.
     pub const TURN: u64 = 20_000;
-    /// Reading a request of a client and writing its answer.
+    /// Reading a request and writing its answer.
     pub const REQUEST: u64 = 10_000;
     /// Reading and handling a worker's answer.
     pub const WORKER_ANSWER: u64 = 15_000;
-    /// Any other event: a frame of a core machine, a ping, a connection that opens or closes.
+    /// Any other event: a frame from a core machine, a ping, or a connection that opens or closes.
     pub const OTHER_EVENT: u64 = 5_000;
-    /// An instance of the platform's list, read and compared.
+    /// Reading and comparing one instance of the platform's list.
     pub const LISTED_INSTANCE: u64 = 30_000;
-    /// Reading a list of the platform that has not changed.
+    /// Reading a platform list that has not changed.
     pub const UNCHANGED_LIST: u64 = 100_000;
-    /// A command of the log that is applied to the state.
+    /// Applying a command of the log to the state.
     pub const APPLIED_COMMAND: u64 = 2_000;
-    /// A message to another process.
+    /// Sending a message to another process.
     pub const MESSAGE: u64 = 5_000;
-    /// A call to a worker that is sent.
+    /// Sending a call to a worker.
     pub const CALL: u64 = 30_000;
-    /// A call to a worker that is given up: its connection is closed, and another one is opened later.
+    /// Cancelling a call to a worker: its connection is closed and another one is opened later.
     pub const CANCELLED_CALL: u64 = 60_000;
-    /// A write that is handed to the disk.
+    /// Handing a write to the disk.
     pub const DISK_WRITE: u64 = 20_000;
-    /// A byte of a snapshot that is taken.
+    /// One byte of a snapshot.
     pub const SNAPSHOT_BYTE: u64 = 3;
-    /// A job that a new leader takes over from the state.
+    /// Taking over a job from the state as a new leader.
     pub const RECOVERED_JOB: u64 = 3_000;
-    /// A poll of a worker's session.
+    /// Polling a worker's session.
     pub const SESSION_POLL: u64 = 8_000;
     /// A pass over the waiting steps of a service.
     pub const ADMISSION_PASS: u64 = 500;
-    /// A waiting step for which a worker is searched.
+    /// Searching a worker for a waiting step.
     pub const STEP_EXAMINED: u64 = 1_000;
-    /// A worker that such a search examines.
+    /// Examining one worker in such a search.
     pub const WORKER_EXAMINED: u64 = 10;
 }
 
 /// The processor of each core machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Processor {
-    /// Share of a core: full speed until it is spent, then nothing for the rest of the period.
+    /// Share of a processor core. The process runs at full speed until the share is used up, then not at all
+    /// for the rest of the period.
     pub share: f64,
-    /// How many times as long work takes as on the usual processor, but for turns, messages and writes, whose number does
-    /// not depend on the size of a deployment. One with a part of the workers meets the same load with a slower processor.
+    /// Factor by which work takes longer than on the usual processor. Turns, messages and writes are not
+    /// slowed, since their number does not depend on the size of a deployment. A deployment with a fraction
+    /// of the workers models the same load with a slower processor.
     pub slowness: f64,
 }
 
-/// Work of one turn of a core process, counted.
+/// Counted work of a turn of a core process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TurnWork {
     /// Turns.
     pub turns: u64,
-    /// Requests of clients and of the operator.
+    /// Requests from clients and the operator.
     pub requests: u64,
-    /// Answers of workers.
+    /// Answers from workers.
     pub worker_answers: u64,
     /// Other events.
     pub other_events: u64,
-    /// Instances of lists that were read.
+    /// Instances of platform lists that were read.
     pub listed_instances: u64,
-    /// Lists that had not changed.
+    /// Reads of a platform list that had not changed.
     pub unchanged_lists: u64,
     /// Commands applied to the state.
     pub applied_commands: u64,
-    /// Messages to other processes.
+    /// Messages sent to other processes.
     pub messages: u64,
     /// Calls sent to workers.
     pub calls: u64,
-    /// Calls to workers that were given up.
+    /// Cancelled calls to workers.
     pub cancelled_calls: u64,
     /// Writes handed to the disk.
     pub disk_writes: u64,
     /// Bytes of snapshots taken.
     pub snapshot_bytes: u64,
-    /// Jobs that a new leader took over.
+    /// Jobs that a new leader took over from the state.
     pub recovered_jobs: u64,
-    /// Work of the leader's decisions.
+    /// Work of the leader's decision logic.
     pub leader: LeaderWork,
 }
 
@@ -107,7 +109,7 @@
         self.add_leader_work(&other.leader);
     }
 
-    /// Adds work of the leader's decisions.
+    /// Adds work of the leader's decision logic.
     pub fn add_leader_work(&mut self, done: &LeaderWork) {
         let total = &mut self.leader;
         total.inputs += done.inputs;
@@ -140,7 +142,8 @@
             (work.leader.steps_examined, cost::STEP_EXAMINED),
         ];
         let nanos: u64 = parts.iter().map(|(units, each)| units * each).sum();
-        // A search among fewer workers examines as many times fewer, beside being rarer.
+        // With fewer workers there are fewer searches, and each search examines fewer workers, hence the
+        // square.
         let searches =
             (work.leader.workers_examined * cost::WORKER_EXAMINED) as f64 * self.slowness * self.slowness;
         fixed + (nanos as f64 * self.slowness + searches) as u64
@@ -152,7 +155,7 @@
     }
 }
 
-/// What a machine has spent of the present period's quota.
+/// Use of the quota in the current period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaUse {
     period: u64,
@@ -160,7 +163,7 @@
 }
 
 impl QuotaUse {
-    /// When a process that wants to run at `now` gets processor time.
+    /// Time at which a process that wants to run at `now` gets processor time.
     pub fn runs_from(&mut self, processor: &Processor, now: u64) -> u64 {
         self.enter(now);
         if self.spent < processor.quota() {
@@ -169,7 +172,7 @@
         (self.period + 1) * QUOTA_PERIOD
     }
 
-    /// Spends processor time from `now` on; gives when it has been spent.
+    /// Uses processor time from `now` on. Returns the time at which all of it has been used.
     pub fn spend(&mut self, processor: &Processor, now: u64, nanos: u64) -> u64 {
         let (mut at, mut left) = (now, nanos);
         loop {
--- a/crates/simulation/src/script.rs
+++ b/crates/simulation/src/script.rs
@@ -1,4 +1,4 @@
-//! Scripts of faults: drawn from a seed, replayed exactly, and shrunk to what a breach needs.
+//! Fault scripts: drawn from a seed, replayed exactly, and shrunk to what a violation needs.
 
 use fastrand::Rng;
 
@@ -6,32 +6,32 @@
 use crate::site::Site;
 use crate::time::{ms, MS, SECOND};
 
-/// A machine without power, and since when.
+/// A machine without power, and the span of the outage.
 pub type DarkMachine = (Machine, Span);
 
-/// Which core machine a fault affects.
+/// The core machine that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// The one that leads.
+    /// The current leader.
     Leader,
-    /// The one whose disk has lasted longest.
+    /// The machine whose disk has held its data for the longest time.
     Oldest,
-    /// Any.
+    /// A random machine.
     Any,
 }
 
-/// Kinds of fault, in the bench's words where it has one.
+/// Kinds of faults. A name in backquotes is the name of the corresponding fault in the benchmark.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// `node_kill` on the core: SIGKILL, started again after a moment.
+    /// `node_kill` on the core: SIGKILL and a restart within a second.
     CoreKill(Target),
-    /// `node_kill` with `power`: without power for a while.
+    /// `node_kill` with `power`: the machine loses power for a while.
     CorePower(Target),
     /// `node_freeze`.
     CoreFreeze(Target),
     /// `core_cut`: partitioned from the other core machines.
     CorePartition(Target),
-    /// `core_cut` with `one_way`: what it sends to other core machines is lost.
+    /// `core_cut` with `one_way`: bytes that the machine sends to other core machines do not arrive.
     CorePartitionOneWay(Target),
     /// `core_cut` with `refuse`: partitioned from the other core machines by a filter that refuses connections.
     CoreRefuse(Target),
@@ -39,27 +39,28 @@
     CoreIsolate(Target),
     /// `node_slow`: the process is frozen for most of the time.
     CoreSlow(Target),
-    /// `roll_term`: SIGTERM, then started again.
+    /// `roll_term`: SIGTERM and a restart.
     CoreTerm(Target),
-    /// The disk is lost with the power.
+    /// The machine loses power and its disk.
     CoreWipe(Target),
-    /// `replace_core`: gone for good, an empty one comes elsewhere.
+    /// `replace_core`: the machine is removed for good and an empty spare machine starts.
     CoreReplace(Target),
-    /// `replace_core` with `planned`: the empty one comes first, then SIGTERM.
+    /// `replace_core` with `planned`: the spare machine starts first, then the old machine gets SIGTERM.
     CoreReplacePlanned(Target),
-    /// `herd_kill`: all core processes are killed and return within a second.
+    /// `herd_kill`: all core processes are killed and restart within a second.
     AllCoresKill,
-    /// `herd_kill` with `power`: all machines with a disk lose power for a while.
+    /// `herd_kill` with `power`: all core machines lose power for a while.
     AllCoresPower,
-    /// `herd_kill` with `taken`: all machines with a disk lose power right after a job was accepted.
+    /// `herd_kill` with `taken`: all core machines lose power right after a job was accepted.
     AllCoresAfterAccept,
-    /// `after_ack_kill`: the machine that next acknowledges to the operator loses power just after.
+    /// `after_ack_kill`: the machine that next acknowledges a configuration change loses power just after
+    /// that.
     AfterAckPower,
-    /// `after_ack_wipe`: the same, and its disk is lost.
+    /// `after_ack_wipe`: as `after_ack_kill`, and the disk is lost.
     AfterAckWipe,
     /// `after_ack_kill` with `taken`: the leader loses power just after a job was accepted.
     AfterAcceptPower,
-    /// The leader loses power just after a worker learnt that ends are recorded.
+    /// The leader loses power just after a worker learned that its ends are recorded.
     AfterRecordPower,
     /// `disk_slow`.
     DiskSlow(Target),
@@ -67,64 +68,64 @@
     DiskStall(Target),
     /// `disk_full`.
     DiskFull(Target),
-    /// `clock_step`: the time of day of some machines jumps.
+    /// `clock_step`: the wall clock of a machine jumps.
     ClockStep,
     /// `node_kill` of edges.
     EdgeKill,
     /// `node_freeze` of edges.
     EdgeFreeze,
-    /// `herd_kill` with `power` of edges: more than half of them lose power for a while.
+    /// `herd_kill` with `power` on edges: more than half of them lose power for a while.
     EdgesLost,
     /// `node_cut` of edges.
     EdgePartition,
     /// `reset_conns`.
     ResetConnections,
-    /// `srv_crash`, without power for a while.
+    /// `srv_crash`: the worker loses power for a while.
     WorkerCrash,
-    /// `srv_crash` with `gone`.
+    /// `srv_crash` with `gone`: the worker does not come back.
     WorkerGone,
-    /// `srv_slow`.
+    /// `srv_slow`: tasks take longer.
     WorkerSlow,
-    /// `srv_grey` with errors: all that is started there fails.
+    /// `srv_grey` with errors: every run that starts there fails.
     WorkerFailing,
-    /// `srv_grey` with hang: tasks stall.
+    /// `srv_grey` with hang: runs make no progress.
     WorkerStalled,
     /// `srv_grey` with busy: calls are refused.
     WorkerBusy,
-    /// `srv_grey` with mute: calls are carried out and not answered.
+    /// `srv_grey` with mute: calls are carried out but not answered.
     WorkerMute,
     /// Calls are neither carried out nor answered.
     WorkerHang,
     /// `node_cut` of workers.
     WorkerPartition,
-    /// `srv_cut`: workers are partitioned from the core.
+    /// `srv_cut`: workers are partitioned from the core machines.
     WorkerPartitionFromCore,
-    /// `applied_late`.
+    /// `applied_late`: workers carry out some orders late.
     AppliedLate,
-    /// `scale_in`.
+    /// `scale_in`: workers are drained and removed.
     ScaleIn,
-    /// `scale_in` with `spot`.
+    /// `scale_in` with `spot`: the same at short notice.
     ScaleInSpot,
-    /// `config_change`.
+    /// `config_change`: the operator changes the configuration.
     ConfigChange,
-    /// `config_race`.
+    /// `config_race`: the operator sends two concurrent changes.
     ConfigRace,
-    /// `bad_config`.
+    /// `bad_config`: the operator sends an invalid configuration.
     BadConfig,
-    /// `ack_lost`.
+    /// `ack_lost`: acknowledgements to the operator are lost.
     AckLost,
-    /// `burst`.
+    /// `burst`: additional jobs arrive for some seconds.
     Burst,
-    /// `poison`.
+    /// `poison`: a burst in which half of the jobs can never complete.
     Poison,
     /// `give_up`: clients cancel many jobs.
     Cancels,
-    /// `give_up`: clients leave early.
+    /// `give_up`: clients stop waiting early.
     GiveUp,
 }
 
 impl FaultKind {
-    /// Every kind, targets left to chance.
+    /// The faults that a drawn day chooses from.
     pub const ALL: [FaultKind; 50] = {
         use FaultKind::*;
         use Target::{Any, Leader, Oldest};
@@ -181,13 +182,13 @@
             Cancels,
         ]
     };
-    /// Changes that come on most days.
+    /// The faults by operator and clients that most days have in addition.
     const OPERATOR: [FaultKind; 6] = {
         use FaultKind::*;
         [ConfigChange, ConfigRace, BadConfig, AckLost, Poison, GiveUp]
     };
 
-    /// Whether a core machine counts as lost meanwhile.
+    /// Whether a core machine counts as lost during the fault.
     pub fn loses_core(self) -> bool {
         use FaultKind::*;
         matches!(
@@ -214,14 +215,14 @@
         )
     }
 
-    /// Whether it partitions a core machine, which may take long.
+    /// Whether the fault partitions a core machine. Such faults may last longer.
     fn partitions_core(self) -> bool {
         use FaultKind::*;
         matches!(self, CorePartition(_) | CorePartitionOneWay(_) | CoreRefuse(_) | CoreIsolate(_))
     }
 
-    /// How long after its beginning at the latest workers that it affects are out of the core's reach; `None`: they stay in
-    /// reach.
+    /// Latest time after the beginning of the fault, in nanoseconds, at which affected workers are
+    /// unreachable from the core; `None` if they stay reachable.
     pub fn hides_worker_after(self) -> Option<u64> {
         use FaultKind::*;
         match self {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Which core machine it affects.
+    /// The core machine that the fault affects.
     pub fn target(self) -> Target {
         use FaultKind::*;
         match self {
@@ -256,50 +257,50 @@
     }
 }
 
-/// One fault of a day.
+/// A fault of a day.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
-    /// When it begins.
+    /// When the fault begins.
     pub at: u64,
-    /// How long it lasts.
+    /// How long the fault lasts, in nanoseconds.
     pub lasts: u64,
-    /// What it is.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Chooses whom it affects.
+    /// A random number that selects the affected machines or workers and other details.
     pub pick: u64,
 }
 
-/// What is injected at the end, right after an acknowledgement.
+/// The final fault of a day, injected right after an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
-    /// `power_off_all`.
+    /// `power_off_all`: all machines lose power.
     PowerOffAll,
-    /// `wipe_after_ack`.
+    /// `wipe_after_ack`: the acknowledging machine loses power and its disk.
     WipeAfterAck,
-    /// `kill_all`.
+    /// `kill_all`: all processes are killed.
     KillAll,
 }
 
 /// The faults of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// Draws jobs, delays and all else that is left to chance.
+    /// Seed of all random choices of the day.
     pub seed: u64,
-    /// The faults in order.
+    /// The faults in the order of their beginnings.
     pub faults: Vec<InjectedFault>,
-    /// A final fault.
+    /// The final fault, if any.
     pub closing: Option<Closing>,
 }
 
-/// Most faults of a drawn day.
+/// Maximum number of faults of a normal drawn day.
 const MAX_FAULTS: usize = 7;
-/// Faults of a harsh day.
+/// Number of faults of a harsh day.
 const HARSH_FAULTS: std::ops::RangeInclusive<usize> = 8..=16;
-/// Longest fault, but for partitions of core machines.
+/// Longest fault in nanoseconds, apart from partitions of core machines.
 const LONGEST: u64 = 9 * SECOND;
-/// Longest partition of a core machine.
+/// Longest partition of a core machine, in nanoseconds.
 const LONGEST_CORE_PARTITION: u64 = 20 * SECOND;
-/// Changes of the operator on a drawn day.
+/// Maximum number of `OPERATOR` faults of a drawn day.
 const MAX_CHANGES: usize = 4;
 
 impl Script {
@@ -308,12 +309,12 @@
         Script { seed, faults: Vec::new(), closing: None }
     }
 
-    /// A day drawn from its seed.
+    /// Draws a day from its seed.
     pub fn draw(site: &Site, seed: u64) -> Script {
         Script::draw_with(site, seed, 1..=MAX_FAULTS)
     }
 
-    /// A day drawn from its seed on which many faults overlap.
+    /// Draws a day with many overlapping faults from its seed.
     pub fn draw_harsh(site: &Site, seed: u64) -> Script {
         Script::draw_with(site, seed, HARSH_FAULTS)
     }
@@ -335,7 +336,7 @@
         Script { seed, faults, closing }
     }
 
-    /// Scripts that are a little less than this one, the smaller ones first.
+    /// Scripts with fewer faults than this one, the smallest first.
     fn smaller(&self) -> Vec<Script> {
         let mut scripts = Vec::new();
         let half = self.faults.len() / 2;
@@ -354,7 +355,7 @@
         scripts
     }
 
-    /// Leaves faults out for as long as the day still fails.
+    /// Removes faults for as long as the day still fails.
     pub fn shrink(&self, mut fails: impl FnMut(&Script) -> bool) -> Script {
         let mut smallest = self.clone();
         while let Some(script) = smallest.smaller().into_iter().find(|script| fails(script)) {
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -1,4 +1,4 @@
-//! A deployment: machines, services with their workers, bounds of the rules.
+//! Deployments: machines, services with their workers, and the time limits of the rules.
 
 mod large;
 
@@ -12,79 +12,79 @@
 /// One service and its workers.
 #[derive(Clone, Debug)]
 pub struct ServiceSite {
-    /// Its name in configurations.
+    /// The service's name in configurations.
     pub name: &'static str,
-    /// How many workers it has.
+    /// Number of workers.
     pub workers: usize,
-    /// What a worker of the usual size has.
+    /// Resources of a worker of the usual size.
     pub available: Resources,
-    /// Workers that share a rack.
+    /// Number of workers in a rack.
     pub rack_size: usize,
-    /// Whether workers refuse what does not fit.
+    /// Whether workers refuse tasks that do not fit.
     pub guards: bool,
-    /// Sizes of workers, in halves of the usual one, one after the other.
+    /// Sizes of consecutive workers, in halves of the usual size; the sequence repeats.
     pub sizes: &'static [u64],
 }
 
 /// A deployment.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Figures of the rules.
+    /// Time limits of the rules.
     pub bounds: Bounds,
-    /// Zones, by number.
+    /// Number of zones.
     pub zones: usize,
-    /// Core machines; the first three are the seeds.
+    /// Number of core machines; the first three are the seeds.
     pub cores: usize,
-    /// Empty core machines that may replace others.
+    /// Number of empty core machines that may replace others.
     pub spare_cores: usize,
-    /// Edge machines.
+    /// Number of edge machines.
     pub edges: usize,
-    /// How many core machines may be lost at one time.
+    /// Number of core machines that may be lost at the same time.
     pub tolerated: usize,
-    /// Time that a sync of a core machine's disk takes.
+    /// Time of a sync of a core machine's disk, in nanoseconds.
     pub sync: u64,
-    /// One way within a zone.
+    /// One-way delay within a zone, in nanoseconds.
     pub near_delay: u64,
-    /// One way between zones.
+    /// One-way delay between zones, in nanoseconds.
     pub far_delay: u64,
-    /// One way between clients and edges, and between the operator and the core.
+    /// One-way delay between clients and edges, and between the operator and the core, in nanoseconds.
     pub client_delay: u64,
-    /// By how much the platform's list lags.
+    /// Lag of the platform's worker list, in nanoseconds.
     pub list_lag: u64,
-    /// Readings of the list that the platform answers a second.
+    /// Number of list reads per second that the platform answers.
     pub list_rate: u64,
-    /// Time before traffic starts.
+    /// Time before the traffic starts, in nanoseconds.
     pub lead: u64,
-    /// How long traffic lasts.
+    /// Duration of the traffic, in nanoseconds.
     pub length: u64,
-    /// Jobs a second.
+    /// Jobs per second.
     pub jobs_per_s: f64,
-    /// Changes of the load, in order of their times.
+    /// Changes of the load, in the order of their times.
     pub load: Vec<LoadChange>,
-    /// Its queues with their mix of jobs.
+    /// The queues with their mix of jobs.
     pub queues: &'static [Queue; 4],
-    /// Its services.
+    /// The services.
     pub services: Vec<ServiceSite>,
-    /// The processors of core machines; `None`: work takes no time.
+    /// The processors of the core machines; `None` if work takes no time.
     pub processor: Option<Processor>,
 }
 
 /// A change of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadChange {
-    /// When.
+    /// When the load changes.
     pub at: u64,
-    /// How many times `jobs_per_s` come from then on.
+    /// Factor of `jobs_per_s` from then on.
     pub factor: f64,
 }
 
-/// Figures of the published example.
+/// The time limits of the published example.
 fn published_bounds() -> Bounds {
     Bounds::default()
 }
 
 impl Site {
-    /// A small deployment of two services, both guarded, shaped like the published ones.
+    /// A small deployment with two services, both guarded, similar to the published ones.
     pub fn small() -> Site {
         let plain = Resources { cpu: 32_000, mem_mb: 65_536, gpu: 0 };
         let with_devices = Resources { cpu: 64_000, mem_mb: 131_072, gpu: 8 };
@@ -128,29 +128,30 @@
         }
     }
 
-    /// How many times `jobs_per_s` come at a time.
+    /// Factor of `jobs_per_s` at a time.
     pub fn load_at(&self, at: u64) -> f64 {
         self.load.iter().rev().find(|change| change.at <= at).map_or(1.0, |change| change.factor)
     }
 
-    /// The small deployment with five core machines, two of which may be lost at one time, and unguarded workers.
+    /// The small deployment with five core machines, two of which may be lost at the same time, and unguarded
+    /// workers.
     pub fn five() -> Site {
         Site { cores: 5, spare_cores: 2, tolerated: 2, ..Site::unguarded() }
     }
 
-    /// The small deployment with a first service whose workers start whatever they are ordered.
+    /// The small deployment with a first service whose workers start every ordered task.
     pub fn unguarded() -> Site {
         let mut site = Site::small();
         site.services[0].guards = false;
         site
     }
 
-    /// Total length of a day: lead, traffic and the time until jobs are asked for.
+    /// Length of a day: time before the traffic, traffic, and time until the final reads.
     pub fn day_length(&self) -> u64 {
         self.lead + self.length + ms(self.bounds.finish_ms)
     }
 
-    /// Core machines, spare ones included.
+    /// Number of core machines, including spare ones.
     pub fn all_cores(&self) -> usize {
         self.cores + self.spare_cores
     }
--- a/crates/simulation/src/site/large.rs
+++ b/crates/simulation/src/site/large.rs
@@ -1,4 +1,5 @@
-//! Large deployments: over a thousand workers, hundreds of jobs a second, and core machines with a part of a core.
+//! Large deployments: more than a thousand workers, hundreds of jobs per second, and core machines with a
+//! share of a processor core.
 
 use configuration::Bounds;
 use scheduler::placement::Resources;
@@ -8,13 +9,13 @@
 use crate::time::{ms, SECOND};
 use crate::workload::Queue;
 
-/// Workers of the plain service and of the one with devices.
+/// Number of workers of the plain service and of the service with GPUs.
 const WORKERS: [usize; 2] = [792, 308];
-/// Jobs a second.
+/// Jobs per second.
 const JOBS_PER_S: f64 = 235.0;
-/// Share of a core that each core machine has.
+/// Share of a processor core that each core machine has.
 const PROCESSOR_SHARE: f64 = 0.4;
-/// Edge machines: fewer than real ones, which would only ping more.
+/// Number of edge machines. Real deployments have more, but those would only add pings.
 const EDGES: usize = 24;
 
 fn bounds() -> Bounds {
@@ -37,8 +38,8 @@
         Site::large_part(1)
     }
 
-    /// One part in `parts` of a large deployment: as many times fewer workers and jobs, and processors as many times as
-    /// slow, so that the core machines are as busy as those of the whole.
+    /// One part in `parts` of a large deployment: workers and jobs are divided by `parts` and processors are
+    /// slower by the same factor, so the core machines are as busy as in the whole deployment.
     pub fn large_part(parts: usize) -> Site {
         let plain = Resources { cpu: 32_000, mem_mb: 65_536, gpu: 0 };
         let with_devices = Resources { cpu: 64_000, mem_mb: 262_144, gpu: 8 };
--- a/crates/simulation/src/time.rs
+++ b/crates/simulation/src/time.rs
@@ -1,18 +1,18 @@
 //! Units of simulated time. World times are nanoseconds since the start of the day.
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds per millisecond.
 pub const MS: u64 = 1_000_000;
-/// Nanoseconds of a second.
+/// Nanoseconds per second.
 pub const SECOND: u64 = 1_000 * MS;
-/// Time of day at the start of a simulated day, in milliseconds since 1970.
+/// Wall-clock time at the start of a simulated day, in milliseconds since 1970.
 pub const DAY_BEGINS_MS: u64 = 1_790_000_000_000;
 
-/// Nanoseconds of a number of milliseconds.
+/// Converts milliseconds to nanoseconds.
 pub fn ms(milliseconds: u64) -> u64 {
     milliseconds.saturating_mul(MS)
 }
 
-/// Shows a world time in seconds.
+/// Converts a world time to seconds.
 pub fn seconds(at: u64) -> f64 {
     at as f64 / SECOND as f64
 }
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,4 +1,4 @@
-//! Jobs of a day as clients will hand them in, and the truth about their tasks that only workers know.
+//! The jobs of a day: what clients submit, and the actual work of the tasks, which only the workers know.
 
 use fastrand::Rng;
 use messages::job::{JobSpec, Stage};
@@ -7,81 +7,81 @@
 use crate::site::Site;
 use crate::time::{ms, DAY_BEGINS_MS, MS, SECOND};
 
-/// What a step's tasks really do.
+/// Actual behaviour of a step's tasks.
 #[derive(Clone, Debug, Default)]
 pub struct StepTruth {
-    /// Work of each task near its data on a usual worker, in milliseconds.
+    /// Work of each task on a usual worker close to its data, in milliseconds.
     pub work_ms: Vec<u64>,
-    /// Chance that a run fails by the job's own fault.
+    /// Probability that a run fails through the fault of the job.
     pub fail_chance: f64,
-    /// Every run fails.
+    /// Every run of the step fails.
     pub poison: bool,
 }
 
-/// One job of the day.
+/// A job of the day.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
-    /// Identity that the client chose.
+    /// The identifier that the client chose.
     pub id: u64,
-    /// Position of its queue in `Queue::ALL`.
+    /// Position of the job's queue in `Queue::ALL`.
     pub queue: usize,
-    /// What the client hands in.
+    /// What the client submits.
     pub body: JobSpec,
-    /// What the workers know.
+    /// Actual behaviour of the steps.
     pub steps: Vec<StepTruth>,
-    /// When it is first handed in.
+    /// When the job is first submitted.
     pub submit_at: u64,
-    /// When the client cancels it.
+    /// When the client cancels the job.
     pub cancel_at: Option<u64>,
-    /// How long the client waits before it gives an answer up.
+    /// How long the client waits for an answer, in nanoseconds.
     pub patience: u64,
 }
 
 /// A queue of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Queue {
-    /// Name of its route.
+    /// Name of the queue's route.
     pub route: &'static str,
-    /// Its path prefix.
+    /// Path prefix of the queue.
     pub prefix: &'static str,
-    /// Position of its service in the site.
+    /// Position of the queue's service in the site.
     pub service: usize,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs that end a job.
+    /// Number of failed runs of a task that fails the job.
     pub max_retries: u32,
-    /// Share of the jobs.
+    /// Share of the queue in all jobs.
     share: f64,
-    /// Mean number of steps.
+    /// Mean number of steps of a job.
     steps: f64,
     /// Mean number of tasks of a step.
     width: f64,
-    /// Mean work of a task in milliseconds.
+    /// Mean work of a task, in milliseconds.
     work_ms: u64,
-    /// Mean need in thousandths of a core.
+    /// Mean CPU need of a task, in thousandths of a core.
     cpu: u64,
-    /// Mean need of memory.
+    /// Mean memory need of a task, in MB.
     mem_mb: u64,
-    /// Whether tasks take devices.
+    /// Whether tasks need GPUs.
     gpu: bool,
-    /// Share of steps that are gangs.
+    /// Fraction of the steps that are gangs.
     gang: f64,
-    /// Share of steps that save checkpoints.
+    /// Fraction of the steps that save checkpoints.
     saves: f64,
-    /// Share of steps whose tasks may run twice side by side.
+    /// Fraction of the steps that allow speculative copies of tasks.
     twice: f64,
-    /// Share of jobs with due times.
+    /// Fraction of the jobs that have due times.
     timed: f64,
-    /// Chance that a run fails.
+    /// Probability that a run fails.
     fail_chance: f64,
-    /// Most tasks of a step.
+    /// Maximum number of tasks of a step.
     max_width: u32,
-    /// Most members of a gang.
+    /// Maximum number of members of a gang.
     max_gang: u32,
 }
 
 impl Queue {
-    /// All queues, shaped like those of the published sites.
+    /// All queues, similar to those of the published sites.
     pub const ALL: [Queue; 4] = [
         Queue {
             route: "r-compile",
@@ -169,8 +169,8 @@
         },
     ];
 
-    /// The same queues with the mix of a large deployment: nearly all jobs are one step of a few short tasks, and the
-    /// others are wide.
+    /// The same queues with the mix of a large deployment: nearly all jobs have one step of a few short
+    /// tasks, and the others are wide.
     pub const LARGE: [Queue; 4] = [
         Queue {
             share: 0.0164,
@@ -219,26 +219,26 @@
     ];
 }
 
-/// How many times its longest chain of work a job may take, beside its target latency (`Stretch`).
+/// Multiple of its longest chain of work that a job may take, in addition to its target latency (`Stretch`).
 pub const STRETCH: f64 = 2.2;
-/// The target latency of all queues (`TargetLatencyMs`).
+/// Target latency of all queues (`TargetLatencyMs`).
 pub const TARGET_LATENCY_MS: u64 = 1_000;
-/// Share of jobs that their clients cancel.
+/// Fraction of the jobs that their clients cancel.
 const CANCELLED: f64 = 0.04;
-/// Share of jobs that can never be done.
+/// Fraction of the jobs that can never complete.
 const POISON: f64 = 0.015;
-/// Share of jobs whose tasks run until they are cancelled.
+/// Fraction of the jobs whose tasks run until the job is cancelled.
 const LONG_RUNNING: f64 = 0.02;
-/// Share of steps that need a label.
+/// Fraction of the steps that require a label.
 const CONSTRAINED: f64 = 0.12;
-/// Share of steps whose data lies on a rack.
+/// Fraction of the steps whose data is on one rack.
 const NEAR_DATA: f64 = 0.2;
-/// Share of steps with few tasks allowed on a worker.
+/// Fraction of the steps that limit the number of their tasks on one worker.
 const APART: f64 = 0.12;
-/// Labels that workers of a service carry by turns.
+/// Labels of consecutive workers of a service; the sequence repeats.
 pub const KINDS: [&str; 3] = ["a", "a", "b"];
 
-/// Makes a job of a queue that is handed in at `submit_at`.
+/// Draws a job of a queue that is first submitted at `submit_at`.
 pub fn make_job(site: &Site, queue: usize, submit_at: u64, rng: &mut Rng) -> JobPlan {
     let kind = &site.queues[queue];
     let steps = draw_count(kind.steps, rng).min(6);
@@ -320,7 +320,7 @@
     StepTruth { work_ms, fail_chance: kind.fail_chance, poison }
 }
 
-/// Draws the jobs of a day, in order of their submission.
+/// Draws the jobs of a day, in the order of submission.
 pub fn make_day(site: &Site, seed: u64) -> Vec<JobPlan> {
     let mut rng = Rng::with_seed(seed);
     let mut jobs = Vec::new();
@@ -333,7 +333,7 @@
     jobs
 }
 
-/// Draws a queue by its share.
+/// Draws a queue according to the shares.
 pub fn draw_queue(site: &Site, rng: &mut Rng) -> usize {
     let mut left = rng.f64();
     for (position, queue) in site.queues.iter().enumerate() {
@@ -346,12 +346,12 @@
 }
 
 impl JobPlan {
-    /// How often its steps run.
+    /// Number of repetitions of the job's steps.
     pub fn times(&self) -> u32 {
         self.body.repeat.max(1)
     }
 
-    /// When one of its times falls due, in milliseconds since 1970; 0: at once.
+    /// Due time of a repetition, in milliseconds since 1970; 0 means at once.
     pub fn due_ms(&self, time: u32) -> u64 {
         if self.body.repeat == 0 {
             return 0;
@@ -359,7 +359,8 @@
         self.body.start_at_ms + u64::from(time) * self.body.interval_ms
     }
 
-    /// After how much work a run fails by the job's own fault, in milliseconds; `None` if it does not.
+    /// Amount of work after which a run fails through the fault of the job, in milliseconds; `None` if it
+    /// does not fail.
     pub fn fails_after_ms(&self, key: &AttemptKey, work_ms: u64) -> Option<u64> {
         let truth = self.steps.get(key.task.step as usize)?;
         let mut rng = Rng::with_seed(self.id ^ mix(key));
@@ -367,12 +368,12 @@
         fails.then(|| (work_ms as f64 * (0.2 + 0.7 * rng.f64())) as u64)
     }
 
-    /// Whether one of its runs can ever end well.
+    /// Whether the job can never complete because every run of one of its steps fails.
     pub fn is_poison(&self) -> bool {
         self.steps.iter().any(|step| step.poison)
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the job's tasks run until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.body.stages.iter().any(|stage| stage.long_running)
     }
@@ -380,19 +381,19 @@
 
 fn mix(key: &AttemptKey) -> u64 {
     let task = &key.task;
-    // A gang's members share their fate: one that fails breaks all.
+    // The members of a gang draw independently; one failing member breaks the whole gang.
     let place = u64::from(task.time) << 40 | u64::from(task.step) << 24 | u64::from(task.index);
     place.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(key.attempt)
 }
 
 impl JobPlan {
-    /// The tasks of a step at one of its times.
+    /// The tasks of a step in one repetition.
     pub fn step_tasks(&self, time: u32, step: u32) -> impl Iterator<Item = TaskKey> + use<> {
         let (job, count) = (self.id, self.body.stages.get(step as usize).map_or(0, |stage| stage.count));
         (0..count).map(move |index| TaskKey { job, time, step, index })
     }
 
-    /// All tasks of all times.
+    /// All tasks of all repetitions.
     pub fn all_tasks(&self) -> impl Iterator<Item = TaskKey> + '_ {
         let steps = self.body.stages.len() as u32;
         (0..self.times()).flat_map(move |time| (0..steps).flat_map(move |step| self.step_tasks(time, step)))
--- a/crates/simulation/tests/calm_days.rs
+++ b/crates/simulation/tests/calm_days.rs
@@ -1,4 +1,4 @@
-//! Days without faults: every rule is kept, and everything that can be done is done.
+//! Days without faults: no rule is violated, and every job that can end does end.
 
 use simulation::day::{figures, play};
 use simulation::history::{Answer, CallKind, History};
@@ -36,7 +36,7 @@
     assert_eq!(unfinished, Vec::<String>::new());
 }
 
-/// Jobs that were last seen pending or running although nothing hinders them.
+/// Jobs that were last seen as pending or running.
 fn unfinished(history: &History) -> Vec<String> {
     let last_state = |job: u64| {
         let reads = history.calls.iter().rev().filter(|call| call.kind == CallKind::Read && call.job == job);
--- a/crates/simulation/tests/digested/mod.rs
+++ b/crates/simulation/tests/digested/mod.rs
@@ -1,4 +1,4 @@
-//! Days and the digests of their whole histories.
+//! Days and the digests of their histories.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -8,7 +8,7 @@
 use simulation::script::Script;
 use simulation::site::Site;
 
-/// A day and how it is called.
+/// A named day.
 pub struct Day {
     name: String,
     site: Site,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A line for each day, played as many at a time as there are processors.
+/// One line per day. Days are simulated in parallel on all processors.
 pub fn digests(days: &[Day]) -> Vec<String> {
     let next = AtomicUsize::new(0);
     let lines = Mutex::new(vec![String::new(); days.len()]);
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -1,9 +1,9 @@
-//! What the system does on fifty days, pinned: a digest of each day's whole history against those in
+//! Pins the behaviour of the system on fifty days: the digest of each day's history must equal the one in
 //! `fixtures/digests.txt`.
 //!
-//! A change that is meant to change nothing leaves the file as it is. One that changes a decision, a message, a record
-//! of the log or a time on purpose writes the file anew and says so in its commit:
-//! `WRITE_DIGESTS=1 cargo test -p simulation --test digests`.
+//! A change that must not alter behaviour leaves the file as it is. A change that alters a decision, a
+//! message, a log record or a time on purpose rewrites the file and says so in its commit: `WRITE_DIGESTS=1
+//! cargo test -p simulation --test digests`.
 
 mod digested;
 
@@ -15,7 +15,7 @@
 use simulation::site::Site;
 
 const PINNED: &str = include_str!("fixtures/digests.txt");
-/// Set to write the digests in place of comparing them.
+/// If set, the digests are written instead of compared.
 const WRITE: &str = "WRITE_DIGESTS";
 const NORMAL_DAYS: u64 = 36;
 const HARSH_DAYS: u64 = 8;
--- a/crates/simulation/tests/oracle.rs
+++ b/crates/simulation/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! For each rule, a day made by hand that breaks it is caught, and nothing else is found on it.
+//! For each rule, the oracle detects its violation in a history made by hand and reports no other rule.
 
 mod support;
 
--- a/crates/simulation/tests/oracle_configuration.rs
+++ b/crates/simulation/tests/oracle_configuration.rs
@@ -1,4 +1,4 @@
-//! For each rule on configurations, a day made by hand that breaks it is caught.
+//! For each part of the rule CONFIG, the oracle detects its violation in a history made by hand.
 
 mod support;
 
@@ -13,7 +13,7 @@
     broken(&history)
 }
 
-/// Version 2 follows version 1 and is read back.
+/// Adds version 2, based on version 1, and reads it back at the end.
 fn with_second(day: &mut History) {
     let second = configuration(2, 1, 20 * SECOND);
     day.read_back = Some(second.body.clone());
@@ -132,7 +132,7 @@
     assert_eq!(refused(true), []);
 }
 
-/// The operator reads this version, from a moment to another.
+/// Adds a read of the given version from `sent_at` to `at`.
 fn read(day: &mut History, version: usize, sent_at: u64, at: u64) {
     let body = day.configurations[version - 1].body.clone();
     day.configuration_queries.push(ConfigurationQuery { sent_at, answer: Some((at, body)) });
--- a/crates/simulation/tests/overload.rs
+++ b/crates/simulation/tests/overload.rs
@@ -1,27 +1,28 @@
-//! Faults at full traffic on a quarter of a large deployment: what they leave must end by itself.
+//! Faults at full traffic on a quarter of a large deployment. The resulting overload must end by itself.
 
 use simulation::overload::{OverloadCase, OverloadReport};
 use simulation::time::ms;
 
 /// One part in this many of the large deployment.
 const PARTS: usize = 4;
-/// Days of the same loss of power.
+/// Seeds of the days with the loss of power.
 const LOSSES_OF_POWER: [u64; 2] = [4, 6];
-/// Drawn cases: the leader loses power, most edges are lost, and workers are cut off.
+/// Seeds of drawn cases: the leader loses power, most edges are lost, and workers are partitioned.
 const DRAWN: [u64; 3] = [11, 12, 17];
 
-/// Days on which more comes than the leader bears.
+/// Seeds of the days with more load, or with less processor time.
 const PRESSED: [u64; 2] = [21, 22];
-/// Load that no leader of these days bears, in parts of the full traffic.
+/// A load that no leader of these days can handle, relative to the full traffic.
 const BEYOND_BEARING: f64 = 3.0;
-/// A part of the processor time of a usual day.
+/// A fraction of the usual processor time.
 const LESS_PROCESSOR: f64 = 0.7;
-/// Half of it.
+/// Half of the usual processor time.
 const HALF: f64 = 0.5;
-/// How soon jobs are in time again once the load is what the leader bears: as soon as LOST wants an accepted job to run.
+/// Time until jobs must end on time again after the load returns to normal. It equals the time that LOST
+/// allows until an accepted job runs.
 const BACK_AFTER_MS: u64 = 3_000;
 
-/// Plays cases; gives what is wrong with those that break a rule or are not back at their pace in time.
+/// Simulates cases and describes those that violate a rule or do not recover in time.
 fn failures(cases: impl IntoIterator<Item = OverloadCase>) -> Vec<String> {
     cases.into_iter().filter_map(|case| failure(&case)).collect()
 }
@@ -55,14 +56,14 @@
     assert!(stuck.is_empty(), "{stuck:#?}");
 }
 
-/// The day without pressure that a pressed one is held against.
+/// The same day with the usual load and processor time, for comparison.
 fn usual_day(case: &OverloadCase) -> OverloadReport {
     let usual = OverloadCase::calm(case.seed, PARTS).play(false);
     assert!(usual.recovery.kept_up_before(), "{case:?} says nothing: {}", usual.recovery);
     usual
 }
 
-/// What is wrong with a pressed day that is to earn `part` of the usual worth a second.
+/// Describes what is wrong with a case that must yield at least `part` of the usual value per second.
 fn failure_under_pressure(case: &OverloadCase, part: f64, back_after: Option<u64>) -> Option<String> {
     let (usual, pressed) = (usual_day(case), case.play(false));
     let earns = pressed.meanwhile.per_s() >= part * usual.before.per_s();
@@ -83,7 +84,7 @@
     })
 }
 
-/// The same day with a part of the usual processor time.
+/// The same day with a fraction of the usual processor time.
 fn with_less_processor_time(seed: u64, part: f64) -> OverloadCase {
     let usual = OverloadCase::changed_load(seed, PARTS, 1.0);
     OverloadCase { share: usual.share * part, ..usual }
--- a/crates/simulation/tests/random_days.rs
+++ b/crates/simulation/tests/random_days.rs
@@ -1,4 +1,4 @@
-//! Days with random faults keep all rules.
+//! Days with random faults violate no rule.
 
 use simulation::day::play;
 use simulation::oracle::Breach;
@@ -6,10 +6,10 @@
 use simulation::site::Site;
 use simulation::time::{ms, SECOND};
 
-/// Days that are played in each run of the tests; `examples/search.rs` plays many more.
+/// Seeds that each test run simulates; `examples/search.rs` simulates many more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=20;
 
-/// Whether a finding is of a job that waits although it could run.
+/// Whether the violation is a job that stays idle without a reason.
 fn is_idle(breach: &Breach) -> bool {
     breach.text.starts_with("nothing of job")
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// A day whose only fault begins in the middle of traffic.
+/// A day with a single fault, which begins in the middle of the traffic.
 fn single(seed: u64, kind: FaultKind) -> Script {
     let fault = InjectedFault { at: 22 * SECOND, lasts: ms(4_000), kind, pick: seed };
     Script { faults: vec![fault], ..Script::calm(seed) }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Seeds on which a search found a breach, of the program or of the simulation itself.
+/// On these seeds a search once found a violation, caused by the system or by the simulation itself.
 #[test]
 fn days_on_which_the_search_once_found_a_breach_keep_all_rules() {
     let site = Site::small();
--- a/crates/simulation/tests/same_in_every_process.rs
+++ b/crates/simulation/tests/same_in_every_process.rs
@@ -1,4 +1,5 @@
-//! A day is a function of its site and its script: another process, whose hash maps have other seeds, plays the same.
+//! A day is a function of its site and its script: another process, whose hash maps have other seeds, must
+//! produce the same day.
 
 mod digested;
 
@@ -8,12 +9,13 @@
 use simulation::script::Script;
 use simulation::site::Site;
 
-/// Set for the process that only plays and prints.
+/// Set in the child process, which only simulates and prints.
 const ONLY_PRINTS: &str = "SIMULATION_TEST_ONLY_PRINTS";
-/// Precedes each line that is compared, since the test harness prints lines of its own.
+/// Marks the lines to compare, since the test harness prints lines of its own.
 const MARK: &str = "played: ";
 
-/// The first four went two ways while the services of a configuration were visited in the order of a hash map.
+/// The first four days once had two outcomes, because services of a configuration were visited in hash map
+/// order.
 fn days() -> Vec<Day> {
     let (small, five) = (Site::small(), Site::five());
     vec![
@@ -43,7 +45,7 @@
     const TEST: &str = "another_process_plays_the_same_days";
     let here = digests(&days());
     if std::env::var_os(ONLY_PRINTS).is_some() {
-        // The harness has begun a line of its own.
+        // The harness has printed the start of a line.
         println!();
         here.iter().for_each(|line| println!("{MARK}{line}"));
         return;
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Histories made by hand: one job of two steps, and runs that keep all rules until a test changes one of them.
+//! Histories made by hand: a job of two steps whose runs violate no rule until a test changes the history.
 
 use messages::job::{EndKind, JobSpec, Stage};
 use scheduler::ids::{AttemptKey, TaskKey};
@@ -8,9 +8,9 @@
 use simulation::time::SECOND;
 use simulation::workload::{JobPlan, Queue, StepTruth};
 
-/// Identity of the job.
+/// Identifier of the job.
 pub const JOB: u64 = 0x00c0_ffee;
-/// Position of the job's queue; it allows two failures.
+/// Position of the job's queue. The queue allows two failures.
 pub const QUEUE: usize = 3;
 /// When the day ends.
 pub const END: u64 = 60 * SECOND;
@@ -20,7 +20,7 @@
     AttemptKey { task: TaskKey { job: JOB, time: 0, step, index }, attempt }
 }
 
-/// A run on a sound worker that has not ended.
+/// A run on a healthy worker. The run has not ended.
 pub fn run(key: AttemptKey, started_at: u64) -> Run {
     Run {
         key,
@@ -49,7 +49,7 @@
     run
 }
 
-/// A client's call about the job that was answered.
+/// A client's call about the job, with an answer.
 pub fn call(kind: CallKind, sent_at: u64, answer: Answer) -> ClientCall {
     ClientCall {
         kind,
@@ -62,12 +62,12 @@
     }
 }
 
-/// A client that sees the job in a state.
+/// A read that shows the job in the given state.
 pub fn sees(at: u64, state: &str) -> ClientCall {
     call(CallKind::Read, at, Answer::State(state.to_owned()))
 }
 
-/// A configuration that was acknowledged.
+/// A configuration change that was acknowledged.
 pub fn configuration(version: u64, builds_on: u64, sent_at: u64) -> ConfigurationOrder {
     ConfigurationOrder {
         version,
@@ -98,7 +98,7 @@
     }
 }
 
-/// A day on which the job is handed in, runs and completes, and all rules are kept.
+/// A history in which the job is submitted, runs and completes without a violation.
 pub fn good_day() -> History {
     let mut history = History { ended_at: END, ..History::default() };
     history.traffic = Some(Span { from: 10 * SECOND, until: 44 * SECOND });
@@ -115,7 +115,7 @@
     history
 }
 
-/// The rules that a day breaks.
+/// The rules that a history violates.
 pub fn broken(history: &History) -> Vec<Rule> {
     let mut rules: Vec<Rule> = judge(&Site::small(), history).iter().map(|breach| breach.rule).collect();
     rules.sort_unstable();
