--- a/crates/simulation/examples/overload.rs
+++ b/crates/simulation/examples/overload.rs
@@ -75,8 +75,8 @@
     let begun = Instant::now();
     let report = case.play(arguments.trace);
     println!("{}", report.recovery);
-    report.breaches.iter().take(MAX_SHOWN).for_each(|breach| println!("{breach}"));
-    println!("{} breaches", report.breaches.len());
+    report.violations.iter().take(MAX_SHOWN).for_each(|violation| println!("{violation}"));
+    println!("{} breaches", report.violations.len());
     println!("played in {:.1} s", begun.elapsed().as_secs_f64());
 }
 
@@ -87,21 +87,21 @@
         let case = loaded(OverloadCase::draw(seed, arguments.parts), arguments);
         let report = case.play(false);
         let bound = ms(case.site().bounds.recovery_ms);
-        broken += u64::from(!report.breaches.is_empty());
-        for breach in report.breaches.iter().take(MAX_SHOWN) {
-            println!("seed {seed} breaks {breach}");
+        broken += u64::from(!report.violations.is_empty());
+        for violation in report.violations.iter().take(MAX_SHOWN) {
+            println!("seed {seed} breaks {violation}");
         }
         if !report.recovery.kept_up_before() {
             unfit += 1;
             println!("seed {seed} did not keep up before the fault: {case:?}: {}", report.recovery);
-        } else if !report.recovery.is_within(bound) {
+        } else if !report.recovery.recovered_within(bound) {
             stuck += 1;
             println!("seed {seed} does not come back: {case:?}: {}", report.recovery);
         }
     }
-    let (days, took) = (arguments.days, begun.elapsed().as_secs_f64());
+    let (days, duration) = (arguments.days, begun.elapsed().as_secs_f64());
     println!(
-        "{days} cases in {took:.0} s: {stuck} do not come back, {broken} break a rule, {unfit} say nothing"
+        "{days} cases in {duration:.0} s: {stuck} do not come back, {broken} break a rule, {unfit} say nothing"
     );
 }
 
--- a/crates/simulation/examples/search.rs
+++ b/crates/simulation/examples/search.rs
@@ -62,7 +62,7 @@
 }
 
 fn rules(report: &DayReport) -> BTreeSet<Rule> {
-    report.breaches.iter().map(|breach| breach.rule).collect()
+    report.violations.iter().map(|violation| violation.rule).collect()
 }
 
 fn shrink(site: &Site, script: &Script) -> Script {
@@ -101,16 +101,16 @@
         }
         let report = play(site, &script, true);
         println!("{:?}", report.figures);
-        report.breaches.iter().for_each(|breach| println!("{breach}"));
+        report.violations.iter().for_each(|violation| println!("{violation}"));
         return;
     }
     let begun = Instant::now();
     let mut failed = 0;
     for seed in arguments.seed..arguments.seed + arguments.days {
         let report = play(site, &draw(seed), false);
-        failed += u64::from(!report.breaches.is_empty());
+        failed += u64::from(!report.violations.is_empty());
         for rule in rules(&report) {
-            let of_rule = report.breaches.iter().filter(|breach| breach.rule == rule);
+            let of_rule = report.violations.iter().filter(|violation| violation.rule == rule);
             let count = of_rule.clone().count();
             let first = of_rule.map(ToString::to_string).next().unwrap_or_default();
             println!("{{\"seed\":{seed},\"rule\":\"{rule:?}\",\"count\":{count},\"first\":{first:?}}}");
--- a/crates/simulation/src/core_process/clients.rs
+++ b/crates/simulation/src/core_process/clients.rs
@@ -160,7 +160,7 @@
     }
 
     /// Announces the current leader to every edge.
-    pub(super) fn announce(&mut self) {
+    pub(super) fn announce_leader(&mut self) {
         let notice = self.notice();
         for connection in &self.edges {
             let notice = notice.clone();
--- a/crates/simulation/src/core_process/disk.rs
+++ b/crates/simulation/src/core_process/disk.rs
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn take_snapshot_if_due(&mut self) {
-        if self.snapshot_under_way || self.entries_since_snapshot < self.pacing.snapshot_entries {
+        if self.snapshot_under_way || self.entries_since_snapshot < self.snapshot_policy.snapshot_entries {
             return;
         }
         let Some(meta) = self.node.snapshot_meta(self.applied_index) else { return };
--- a/crates/simulation/src/core_process/effects.rs
+++ b/crates/simulation/src/core_process/effects.rs
@@ -7,7 +7,7 @@
 use super::{identity, CoreFrame, CoreOutput, CoreProcess};
 
 /// Maximum number of rounds in which all effects of one event must be carried out.
-const MAX_TURNS: usize = 60;
+const MAX_ROUNDS: usize = 60;
 
 /// An effect of a consensus output that waits to be carried out.
 #[derive(Debug)]
@@ -60,16 +60,16 @@
     }
 
     /// Carries out effects and leader outputs until none is left.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn run_until_idle(&mut self) {
         for turn in 0.. {
             let is_drained = self.drain_effects();
             self.flush_leader();
             if self.leader_outputs.is_empty() && (self.effects.is_empty() || !is_drained) {
                 return;
             }
-            if turn >= MAX_TURNS {
+            if turn >= MAX_ROUNDS {
                 let text =
-                    format!("does not settle: {MAX_TURNS} turns, still pending {:?}", self.leader_outputs);
+                    format!("does not settle: {MAX_ROUNDS} turns, still pending {:?}", self.leader_outputs);
                 self.out.push(CoreOutput::Failed(text));
                 return;
             }
@@ -95,12 +95,12 @@
                 }
                 Effect::Restore(snapshot) => self.restore(&snapshot),
                 Effect::ProposalDropped => self.notify_leader(Input::ProposalDropped),
-                Effect::BecameLeader { term } => self.begin_to_lead(term),
+                Effect::BecameLeader { term } => self.start_leading(term),
                 Effect::SteppedDown => self.stop_leading(),
-                Effect::Announce => self.announce(),
+                Effect::Announce => self.announce_leader(),
                 Effect::MembershipChanged => {
-                    self.learn_members();
-                    self.announce();
+                    self.update_addresses();
+                    self.announce_leader();
                 }
                 Effect::Removed => self.out.push(CoreOutput::Removed),
             }
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(super) fn learn_members(&mut self) {
+    pub(super) fn update_addresses(&mut self) {
         for member in &self.node.membership().members {
             if let Some(machine) = identity::machine_at(&member.address) {
                 self.addresses.insert(member.id, machine);
--- a/crates/simulation/src/core_process/identity.rs
+++ b/crates/simulation/src/core_process/identity.rs
@@ -80,7 +80,7 @@
         let members = founders.iter().map(|founder| member(*founder, founder_id(*founder), true));
         let restored = Node::bootstrap(Membership { members: members.collect() });
         let id = founder_id(machine);
-        found(&mut store, id, &restored)?;
+        write_first_log(&mut store, id, &restored)?;
         return Ok(Opened { store, id, restored });
     }
     let id = (u64::from(rng.u32(1..)) << ADDRESS_BITS) | founder_id(machine);
@@ -94,7 +94,11 @@
 }
 
 /// Writes the first log. The identity is written last: without it the disk still counts as empty.
-fn found(store: &mut Store<ModelDirectory>, id: NodeId, restored: &Restored) -> Result<(), StorageError> {
+fn write_first_log(
+    store: &mut Store<ModelDirectory>,
+    id: NodeId,
+    restored: &Restored,
+) -> Result<(), StorageError> {
     let first = restored.entries.first().map(|entry| entry.index);
     let batch = write_batch(Some(&restored.hard_state), first, restored.entries.clone());
     store.write(&batch)?;
--- a/crates/simulation/src/core_process/interface.rs
+++ b/crates/simulation/src/core_process/interface.rs
@@ -20,23 +20,23 @@
     /// Settings of the leader.
     pub leader: LeaderSettings,
     /// When snapshots are taken and how much of the log is kept.
-    pub pacing: Pacing,
+    pub snapshot_policy: SnapshotPolicy,
 }
 
 /// When a process takes snapshots, and how much of the log it keeps.
 #[derive(Clone, Copy, Debug)]
-pub struct Pacing {
+pub struct SnapshotPolicy {
     /// Number of entries after which a snapshot is taken.
     pub snapshot_entries: usize,
     /// Number of entries that are kept before a snapshot.
     pub retained_entries: u64,
 }
 
-impl Pacing {
+impl SnapshotPolicy {
     /// Snapshots far more often than in the control role, so that simulated days include some.
-    pub const FREQUENT: Pacing = Pacing { snapshot_entries: 400, retained_entries: 64 };
+    pub const FREQUENT: SnapshotPolicy = SnapshotPolicy { snapshot_entries: 400, retained_entries: 64 };
     /// The settings of the control role.
-    pub const USUAL: Pacing = Pacing { snapshot_entries: 20_000, retained_entries: 1_024 };
+    pub const USUAL: SnapshotPolicy = SnapshotPolicy { snapshot_entries: 20_000, retained_entries: 1_024 };
 }
 
 /// Frames that core processes send each other.
--- a/crates/simulation/src/core_process/joining.rs
+++ b/crates/simulation/src/core_process/joining.rs
@@ -6,12 +6,12 @@
 use crate::time::{MS, SECOND};
 
 /// Time between two requests to join, in nanoseconds.
-const ASK_INTERVAL: u64 = 300 * MS;
+const JOIN_INTERVAL_NS: u64 = 300 * MS;
 /// After another process listed this one as a member, time to wait for the log before asking again, in
 /// nanoseconds.
-const LISTED_PAUSE: u64 = 2 * SECOND;
+const LISTED_PAUSE_NS: u64 = 2 * SECOND;
 /// Time without a leader after which this process may have been removed from the group, in nanoseconds.
-const LOST_AFTER: u64 = 3 * SECOND;
+const LEADERLESS_TIMEOUT_NS: u64 = 3 * SECOND;
 
 /// Decides when a process asks to join.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     own_machine: usize,
     /// Seeds, and members that were named in notices.
     contacts: Vec<usize>,
-    in_touch: u64,
+    last_contact: u64,
     next_ask: u64,
 }
 
@@ -29,7 +29,7 @@
     pub fn new(own_id: u64, own_machine: usize, seeds: &[usize], now: u64) -> Self {
         let mut contacts = seeds.to_vec();
         contacts.retain(|machine| *machine != own_machine);
-        Joining { own_id, own_machine, contacts, in_touch: now, next_ask: now }
+        Joining { own_id, own_machine, contacts, last_contact: now, next_ask: now }
     }
 
     /// Machines that may know the group.
@@ -49,21 +49,21 @@
             }
         }
         if is_listed && notice.leader_id != 0 {
-            self.next_ask = self.next_ask.max(now + LISTED_PAUSE);
+            self.next_ask = self.next_ask.max(now + LISTED_PAUSE_NS);
         }
     }
 
     /// Whether a request to join is due.
     pub fn poll(&mut self, now: u64, is_member: bool, knows_leader: bool) -> bool {
         if is_member && knows_leader {
-            self.in_touch = now;
+            self.last_contact = now;
             return false;
         }
-        let is_lost = !is_member || now >= self.in_touch + LOST_AFTER;
+        let is_lost = !is_member || now >= self.last_contact + LEADERLESS_TIMEOUT_NS;
         if !is_lost || now < self.next_ask {
             return false;
         }
-        self.next_ask = now + ASK_INTERVAL;
+        self.next_ask = now + JOIN_INTERVAL_NS;
         true
     }
 
@@ -73,7 +73,7 @@
             return u64::MAX;
         }
         if is_member {
-            return self.next_ask.max(self.in_touch + LOST_AFTER);
+            return self.next_ask.max(self.last_contact + LEADERLESS_TIMEOUT_NS);
         }
         self.next_ask
     }
--- a/crates/simulation/src/core_process/leading.rs
+++ b/crates/simulation/src/core_process/leading.rs
@@ -8,14 +8,14 @@
 
 impl CoreProcess {
     /// Starts to lead in a term. The state must be complete.
-    pub(super) fn begin_to_lead(&mut self, term: u64) {
+    pub(super) fn start_leading(&mut self, term: u64) {
         self.stop_leading();
         let seed = self.rng.u64(..);
         self.leader_term = term;
         self.work.recovered_jobs += self.state.jobs().count() as u64;
         self.leader = Some(Leader::new(term, self.leader_settings.clone(), &self.state, self.now, seed));
         self.announced_lease = 0;
-        self.announce();
+        self.announce_leader();
         self.wake_leader();
     }
 
@@ -29,7 +29,7 @@
         self.leader_term = 0;
         self.wake_at = u64::MAX;
         self.abort_pending();
-        self.announce();
+        self.announce_leader();
     }
 
     pub(super) fn wake_leader(&mut self) {
--- a/crates/simulation/src/core_process/mod.rs
+++ b/crates/simulation/src/core_process/mod.rs
@@ -24,7 +24,7 @@
 use storage::model::ModelDirectory;
 use storage::StorageError;
 
-pub use interface::{CoreEvent, CoreFrame, CoreOutput, CoreSettings, OperatorReply, Pacing};
+pub use interface::{CoreEvent, CoreFrame, CoreOutput, CoreSettings, OperatorReply, SnapshotPolicy};
 pub use turns::MAX_EVENTS_PER_TURN;
 
 use clients::Pending;
@@ -47,7 +47,7 @@
     applied_index: u64,
     snapshot_under_way: bool,
     entries_since_snapshot: usize,
-    pacing: Pacing,
+    snapshot_policy: SnapshotPolicy,
     /// Number of committed entries that this turn may still apply.
     apply_budget: usize,
     /// Work of this turn so far.
@@ -83,7 +83,7 @@
         let opened = identity::open(directory, settings.machine, &settings.founders, &mut rng)?;
         let mut options = Options::new(opened.id);
         options.target_voters = settings.target_voters;
-        options.retained_entries = settings.pacing.retained_entries;
+        options.retained_entries = settings.snapshot_policy.retained_entries;
         let entries = opened.restored.entries.len();
         let snapshot = opened.restored.snapshot.clone();
         let node = Node::new(options, opened.restored, now, rng.u64(..));
@@ -99,7 +99,7 @@
             applied_index: 0,
             snapshot_under_way: false,
             entries_since_snapshot: entries,
-            pacing: settings.pacing,
+            snapshot_policy: settings.snapshot_policy,
             apply_budget: usize::MAX,
             work: TurnWork::default(),
             leader: None,
@@ -122,7 +122,7 @@
         if let Some(snapshot) = &snapshot {
             process.restore(snapshot);
         }
-        process.learn_members();
+        process.update_addresses();
         Ok(process)
     }
 
@@ -183,7 +183,7 @@
     /// Handles due timers and everything that follows.
     fn finish_turn(&mut self) {
         self.tick();
-        self.settle();
+        self.run_until_idle();
         self.take_snapshot_if_due();
         if self.stopping && !self.node.is_leader() && self.pending.is_empty() {
             self.out.push(CoreOutput::Stopped);
--- a/crates/simulation/src/core_process/writer.rs
+++ b/crates/simulation/src/core_process/writer.rs
@@ -29,19 +29,19 @@
     store: Store<ModelDirectory>,
     directory: ModelDirectory,
     queue: VecDeque<LogWrite>,
-    in_hand: Option<LogWrite>,
+    in_progress: Option<LogWrite>,
 }
 
 impl Writer {
     /// Creates a writer that owns the store.
     pub fn new(store: Store<ModelDirectory>, directory: ModelDirectory) -> Self {
-        Writer { store, directory, queue: VecDeque::new(), in_hand: None }
+        Writer { store, directory, queue: VecDeque::new(), in_progress: None }
     }
 
     /// Queues a write. Returns true if the disk was idle and starts this write now.
     pub fn push(&mut self, write: LogWrite) -> bool {
         self.queue.push_back(write);
-        self.in_hand.is_none() && self.begin()
+        self.in_progress.is_none() && self.begin()
     }
 
     /// Starts the next write, merging waiting changes into it. Returns false if none waits.
@@ -55,13 +55,13 @@
                 }
             }
         }
-        self.in_hand = Some(first);
+        self.in_progress = Some(first);
         true
     }
 
     /// Finishes the write in progress. Returns its result and whether another write starts.
     pub fn finish(&mut self) -> (Option<Written>, bool) {
-        let Some(write) = self.in_hand.take() else { return (None, false) };
+        let Some(write) = self.in_progress.take() else { return (None, false) };
         match self.carry_out(&write) {
             Ok(()) => {
                 let written = match write {
@@ -72,7 +72,7 @@
                 (Some(written), more)
             }
             Err(StorageError::Full { .. } | StorageError::Io { .. }) => {
-                self.in_hand = Some(write);
+                self.in_progress = Some(write);
                 (Some(Written::Retry), false)
             }
             Err(error) => (Some(Written::Failed(error.to_string())), false),
@@ -93,7 +93,7 @@
 
     /// Interrupts the write in progress after the given number of disk operations, because the process dies.
     pub fn halt(&mut self, operations: u64) {
-        if let Some(write) = self.in_hand.take() {
+        if let Some(write) = self.in_progress.take() {
             self.directory.halt_after(operations);
             // The next start finds out whether the write was completed.
             let _ = self.carry_out(&write);
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::history::{Answer, CallKind, History};
-use crate::oracle::{self, Breach};
+use crate::oracle::{self, Violation};
 use crate::script::Script;
 use crate::site::Site;
 use crate::world::World;
@@ -14,7 +14,7 @@
     /// The script of the day.
     pub script: Script,
     /// Violations of the rules.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Statistics of the day.
     pub figures: Figures,
 }
@@ -41,8 +41,8 @@
         world = world.with_trace();
     }
     let history = world.play();
-    let breaches = oracle::judge(site, &history);
-    DayReport { script: script.clone(), breaches, figures: figures(&history) }
+    let violations = oracle::check(site, &history);
+    DayReport { script: script.clone(), violations, figures: figures(&history) }
 }
 
 /// Simulates a day and returns the digest of all its events: every message, log entry, answer, start and end,
--- a/crates/simulation/src/digest/history.rs
+++ b/crates/simulation/src/digest/history.rs
@@ -55,7 +55,7 @@
         span(digest, during);
     });
     digest.each(&history.late_orders, span);
-    digest.each(&history.dark, |digest, (machine, during)| {
+    digest.each(&history.power_outages, |digest, (machine, during)| {
         digest.number(*machine as u64);
         span(digest, during);
     });
@@ -82,7 +82,7 @@
 }
 
 fn job(digest: &mut DayDigest, job: &JobPlan) {
-    digest.numbers(&[job.id, job.queue as u64, job.submit_at, job.patience]);
+    digest.numbers(&[job.id, job.queue as u64, job.submit_at, job.timeout]);
     digest.optional(job.cancel_at);
     digest.bytes(&encode(&job.body));
     digest.each(&job.steps, |digest, step| {
@@ -98,7 +98,7 @@
         CallKind::Cancel => 3,
         CallKind::Count => 4,
     };
-    digest.numbers(&[kind, call.job, call.edge as u64, call.sent_at, call.patience]);
+    digest.numbers(&[kind, call.job, call.edge as u64, call.sent_at, call.timeout]);
     digest.text(&call.prefix);
     digest.optional(call.answer.as_ref().map(|(at, _)| *at));
     if let Some((_, given)) = &call.answer {
@@ -129,7 +129,7 @@
     digest.numbers(&[run.worker as u64, run.service as u64, run.sender as u64, run.ordered_at]);
     digest.text(&run.instance);
     digest.each(&run.labels, |digest, label| digest.text(label));
-    digest.numbers(&[run.started_at, run.step_mates.into()]);
+    digest.numbers(&[run.started_at, run.step_tasks_on_worker.into()]);
     digest.text(&run.checkpoint);
     digest.flag(run.late);
     digest.flag(run.spec_matches);
@@ -157,7 +157,7 @@
     digest.bytes(&order.body);
     digest.each(&order.prefixes, |digest, prefix| digest.text(prefix));
     digest.optional(order.acknowledged_at);
-    digest.optional(order.taken_at);
+    digest.optional(order.accepted_at);
     digest.optional(order.given_up_at);
     digest.each(&order.refused, |digest, (at, status)| digest.numbers(&[*at, (*status).into()]));
     digest.each(&order.repeats, |digest, at| digest.number(*at));
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -6,7 +6,7 @@
 use scheduler::ids::{AttemptKey, TaskKey};
 use scheduler::placement::Resources;
 
-use crate::script::{DarkMachine, FaultKind};
+use crate::script::{FaultKind, PowerOutage};
 use crate::workload::JobPlan;
 
 /// Number of a core or edge machine, unique among both.
@@ -78,7 +78,7 @@
     /// When it was sent.
     pub sent_at: u64,
     /// How long the client waits for an answer, in nanoseconds.
-    pub patience: u64,
+    pub timeout: u64,
     /// Time and content of the answer; `None` while the call is pending.
     pub answer: Option<(u64, Answer)>,
 }
@@ -128,7 +128,7 @@
     /// Resources in use on the worker after the start, if they exceed its available resources.
     pub overload: Option<Resources>,
     /// Number of tasks of the same step and repetition on the worker, including this one.
-    pub step_mates: u32,
+    pub step_tasks_on_worker: u32,
     /// When the last member of the gang started.
     pub gang_complete_at: Option<u64>,
     /// The end of the run; `None` while it goes on.
@@ -182,7 +182,7 @@
     /// When the operator received the acknowledgement.
     pub acknowledged_at: Option<u64>,
     /// When a core machine first answered 200, whether or not the answer arrived.
-    pub taken_at: Option<u64>,
+    pub accepted_at: Option<u64>,
     /// Definite refusals: time and status.
     pub refused: Vec<(u64, u16)>,
     /// Times at which an acknowledged change was sent again.
@@ -271,7 +271,7 @@
     /// Spans in which workers may carry out orders late.
     pub late_orders: Vec<Span>,
     /// Spans in which machines have no power.
-    pub dark: Vec<DarkMachine>,
+    pub power_outages: Vec<PowerOutage>,
     /// Whether clocks jump on this day.
     pub clocks_jump: bool,
     /// Faults of processes themselves, not caused by fault injection.
@@ -313,7 +313,7 @@
     }
 
     /// The task to which a run's failure counts. All members of a gang fail as one task.
-    pub fn counted_as(&self, key: &AttemptKey) -> TaskKey {
+    pub fn failure_counted_for(&self, key: &AttemptKey) -> TaskKey {
         let index = if self.is_gang(key) { 0 } else { key.task.index };
         TaskKey { index, ..key.task }
     }
--- a/crates/simulation/src/oracle/touch.rs
+++ b/crates/simulation/src/oracle/connectivity.rs
@@ -6,17 +6,17 @@
 use crate::time::ms;
 
 /// Answers questions on contact and stability from the faults of a day.
-pub struct Touch<'a> {
+pub struct Connectivity<'a> {
     /// Time limits of the rules.
     pub bounds: &'a Bounds,
     history: &'a History,
     contact: u64,
 }
 
-impl<'a> Touch<'a> {
+impl<'a> Connectivity<'a> {
     /// Uses the faults of the given history.
-    pub fn new(bounds: &'a Bounds, history: &'a History) -> Touch<'a> {
-        Touch { bounds, history, contact: ms(bounds.contact_ms) }
+    pub fn new(bounds: &'a Bounds, history: &'a History) -> Connectivity<'a> {
+        Connectivity { bounds, history, contact: ms(bounds.contact_ms) }
     }
 
     /// Whether the core was stable at a time.
@@ -31,20 +31,20 @@
     }
 
     /// Whether a machine was in contact at a time.
-    pub fn is_in_touch(&self, machine: Machine, at: u64) -> bool {
-        self.is_in_touch_through(machine, at, at)
+    pub fn is_in_contact(&self, machine: Machine, at: u64) -> bool {
+        self.is_in_contact_through(machine, at, at)
     }
 
     /// Whether a machine was in contact throughout a span.
-    pub fn is_in_touch_through(&self, machine: Machine, from: u64, until: u64) -> bool {
+    pub fn is_in_contact_through(&self, machine: Machine, from: u64, until: u64) -> bool {
         let since = from.saturating_sub(self.contact);
         let faults = &self.history.machine_faults;
-        let own = faults.iter().any(|(troubled, span)| *troubled == machine && span.touches(since, until));
+        let own = faults.iter().any(|(faulty, span)| *faulty == machine && span.touches(since, until));
         !own && self.is_stable_through(from, until)
     }
 
     /// Whether no fault of machines, workers or orders overlaps a span.
-    pub fn is_calm(&self, from: u64, until: u64) -> bool {
+    pub fn is_fault_free(&self, from: u64, until: u64) -> bool {
         let since = from.saturating_sub(self.contact);
         let history = self.history;
         let machines = history.machine_faults.iter().any(|(_, span)| span.touches(since, until));
@@ -54,10 +54,10 @@
 
     /// Whether no order can be carried out late in a span.
     pub fn orders_are_prompt(&self, from: u64, until: u64) -> bool {
-        let since = from.saturating_sub(LONGEST_LATE);
+        let since = from.saturating_sub(MAX_LATENESS_NS);
         !self.history.late_orders.iter().any(|span| span.touches(since, until))
     }
 }
 
 /// Longest time after its sending at which a late order may be carried out, in nanoseconds.
-const LONGEST_LATE: u64 = 13_000_000_000;
+const MAX_LATENESS_NS: u64 = 13_000_000_000;
--- a/crates/simulation/src/oracle/jobs.rs
+++ b/crates/simulation/src/oracle/jobs.rs
@@ -5,17 +5,17 @@
 use messages::job::EndKind;
 use scheduler::ids::TaskKey;
 
-use super::{Breach, Rule, Touch};
+use super::{Connectivity, Rule, Violation};
 use crate::history::{Answer, CallKind, ClientCall, History};
 use crate::time::{ms, SECOND};
 use crate::workload::Queue;
 
 /// Window at the end of the day that contains all final reads of a job, in nanoseconds. One answered read is
 /// enough.
-const FINAL_TRIES: u64 = 4 * SECOND;
+const FINAL_READ_WINDOW_NS: u64 = 4 * SECOND;
 
 /// REFUSED: no task may start if every submission of its job was rejected.
-pub fn refused(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
+pub fn refused(_connectivity: &Connectivity<'_>, history: &History, out: &mut Vec<Violation>) {
     let mut may_be_taken = BTreeSet::new();
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Submit) {
         let rejected =
@@ -29,13 +29,13 @@
         let job = run.key.task.job;
         if !may_be_taken.contains(&job) && reported.insert(job) {
             let text = format!("{} started although every try of its job was rejected", run.key);
-            out.push(Breach::new(Rule::Refused, run.started_at, text));
+            out.push(Violation::new(Rule::Refused, run.started_at, text));
         }
     }
 }
 
 /// MIXED: a job must not be shown as completed before all of its tasks have ended successfully.
-pub fn mixed(_touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
+pub fn mixed(_connectivity: &Connectivity<'_>, history: &History, out: &mut Vec<Violation>) {
     let mut reported = BTreeSet::new();
     let mut done: HashMap<TaskKey, u64> = HashMap::new();
     for run in &history.runs {
@@ -47,12 +47,12 @@
     for (call, at, state) in shown_states(history) {
         let known = ["pending", "running", "completed", "failed", "cancelled"].contains(&state);
         if !known {
-            out.push(Breach::new(Rule::Mixed, at, format!("job {:016x} shows as {state:?}", call.job)));
+            out.push(Violation::new(Rule::Mixed, at, format!("job {:016x} shows as {state:?}", call.job)));
         }
         let Some(job) = history.jobs.get(&call.job).filter(|_| state == "completed") else { continue };
         let missing = job.all_tasks().find(|task| done.get(task).is_none_or(|done| *done > at));
         if let Some(task) = missing.filter(|_| reported.insert(call.job)) {
-            out.push(Breach::new(Rule::Mixed, at, format!("shown as completed, but {task} was not done")));
+            out.push(Violation::new(Rule::Mixed, at, format!("shown as completed, but {task} was not done")));
         }
     }
 }
@@ -78,48 +78,51 @@
 
 /// LOST: an accepted job must stay known, must not end without a cause, must answer the final reads, and must
 /// not stay idle without a reason.
-pub fn lost(touch: &Touch<'_>, history: &History, out: &mut Vec<Breach>) {
+pub fn lost(connectivity: &Connectivity<'_>, history: &History, out: &mut Vec<Violation>) {
     let accepted = acceptances(history);
     let cancelled: HashSet<u64> =
         history.calls.iter().filter(|call| call.kind == CallKind::Cancel).map(|call| call.job).collect();
-    gone(touch, history, &accepted, &cancelled, out);
+    gone_after_acceptance(connectivity, history, &accepted, &cancelled, out);
     ended_without_cause(history, &cancelled, out);
-    final_question(history, &accepted, out);
+    unanswered_final_reads(history, &accepted, out);
     for idle in &history.idle {
         let since = crate::time::seconds(idle.since);
         let cause = if idle.worker_was_lost { " (its worker was lost)" } else { "" };
         let text =
             format!("nothing of job {:016x} runs since {since:.3} s, though it could{cause}", idle.job);
-        out.push(Breach::new(Rule::Lost, idle.at, text));
+        out.push(Violation::new(Rule::Lost, idle.at, text));
     }
 }
 
 /// LOST: a read of an accepted job must not be answered with 410.
-fn gone(
-    touch: &Touch<'_>,
+fn gone_after_acceptance(
+    connectivity: &Connectivity<'_>,
     history: &History,
     accepted: &BTreeMap<u64, u64>,
     cancelled: &HashSet<u64>,
-    out: &mut Vec<Breach>,
+    out: &mut Vec<Violation>,
 ) {
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Read) {
         let (Some(taken), Some((at, Answer::Gone))) = (accepted.get(&call.job), &call.answer) else {
             continue;
         };
-        let late = call.sent_at > taken + ms(touch.bounds.visible_ms);
-        if late && !cancelled.contains(&call.job) && touch.is_in_touch_through(call.edge, call.sent_at, *at) {
-            out.push(Breach::new(Rule::Lost, *at, format!("410 for the accepted job {:016x}", call.job)));
+        let late = call.sent_at > taken + ms(connectivity.bounds.visible_ms);
+        if late
+            && !cancelled.contains(&call.job)
+            && connectivity.is_in_contact_through(call.edge, call.sent_at, *at)
+        {
+            out.push(Violation::new(Rule::Lost, *at, format!("410 for the accepted job {:016x}", call.job)));
         }
     }
 }
 
 /// LOST: a job must not be shown as failed or cancelled without a cause.
-fn ended_without_cause(history: &History, cancelled: &HashSet<u64>, out: &mut Vec<Breach>) {
+fn ended_without_cause(history: &History, cancelled: &HashSet<u64>, out: &mut Vec<Violation>) {
     let mut failures: BTreeMap<TaskKey, u32> = BTreeMap::new();
     let mut counted = HashSet::new();
     for run in &history.runs {
         let failed = run.end.as_ref().is_some_and(|end| end.how == Some(EndKind::FAILED));
-        let task = history.counted_as(&run.key);
+        let task = history.failure_counted_for(&run.key);
         if failed && (!history.is_gang(&run.key) || counted.insert((task, run.key.attempt))) {
             *failures.entry(task).or_insert(0) += 1;
         }
@@ -136,7 +139,7 @@
             _ => true,
         };
         if !allowed && reported.insert(call.job) {
-            out.push(Breach::new(
+            out.push(Violation::new(
                 Rule::Lost,
                 at,
                 format!("job {:016x} shows as {state} without cause", call.job),
@@ -146,9 +149,9 @@
 }
 
 /// LOST: at least one of an accepted job's final reads must return its state.
-fn final_question(history: &History, accepted: &BTreeMap<u64, u64>, out: &mut Vec<Breach>) {
+fn unanswered_final_reads(history: &History, accepted: &BTreeMap<u64, u64>, out: &mut Vec<Violation>) {
     let last_read = history.calls.iter().rev().find(|call| call.kind == CallKind::Read);
-    let from = last_read.map_or(0, |call| call.sent_at.saturating_sub(FINAL_TRIES));
+    let from = last_read.map_or(0, |call| call.sent_at.saturating_sub(FINAL_READ_WINDOW_NS));
     let mut answered = HashSet::new();
     let mut asked = BTreeSet::new();
     for call in history.calls.iter().filter(|call| call.kind == CallKind::Read && call.sent_at >= from) {
@@ -159,6 +162,6 @@
     }
     for job in accepted.keys().filter(|job| asked.contains(job) && !answered.contains(job)) {
         let text = format!("asked for at the end, job {job:016x} is not known or gets no answer");
-        out.push(Breach::new(Rule::Lost, history.ended_at, text));
+        out.push(Violation::new(Rule::Lost, history.ended_at, text));
     }
 }
--- a/crates/simulation/src/oracle/mod.rs
+++ b/crates/simulation/src/oracle/mod.rs
@@ -1,16 +1,16 @@
 //! The oracle: one check for each rule, based only on the observed history.
 
 mod configuration;
+mod connectivity;
 mod jobs;
 mod recovery;
 mod tasks;
-mod touch;
 
 use crate::history::History;
 use crate::site::Site;
 use crate::time::seconds;
 
-pub use touch::Touch;
+pub use connectivity::Connectivity;
 
 /// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,7 +47,7 @@
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// The violated rule.
     pub rule: Rule,
     /// When the violation was observed.
@@ -56,23 +56,23 @@
     pub text: String,
 }
 
-impl Breach {
-    fn new(rule: Rule, at: u64, text: String) -> Breach {
-        Breach { rule, at, text }
+impl Violation {
+    fn new(rule: Rule, at: u64, text: String) -> Violation {
+        Violation { rule, at, text }
     }
 }
 
-impl std::fmt::Display for Breach {
+impl std::fmt::Display for Violation {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "{:?} at {:.3} s: {}", self.rule, seconds(self.at), self.text)
     }
 }
 
 /// Checks a rule and adds its violations.
-type Judge = fn(&Touch<'_>, &History, &mut Vec<Breach>);
+type RuleCheck = fn(&Connectivity<'_>, &History, &mut Vec<Violation>);
 
 /// The check of each rule.
-pub const JUDGES: [(Rule, Judge); 14] = [
+pub const RULE_CHECKS: [(Rule, RuleCheck); 14] = [
     (Rule::Twice, tasks::twice),
     (Rule::Order, tasks::order),
     (Rule::Route, tasks::route),
@@ -90,12 +90,12 @@
 ];
 
 /// Checks all rules on a history. Violations are sorted by time.
-pub fn judge(site: &Site, history: &History) -> Vec<Breach> {
-    let touch = Touch::new(&site.bounds, history);
-    let mut breaches = Vec::new();
-    for (_, judge) in JUDGES {
-        judge(&touch, history, &mut breaches);
+pub fn check(site: &Site, history: &History) -> Vec<Violation> {
+    let connectivity = Connectivity::new(&site.bounds, history);
+    let mut violations = Vec::new();
+    for (_, check) in RULE_CHECKS {
+        check(&connectivity, history, &mut violations);
     }
-    breaches.sort_by_key(|breach| breach.at);
-    breaches
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
--- a/crates/simulation/src/overload.rs
+++ b/crates/simulation/src/overload.rs
@@ -2,37 +2,37 @@
 //! once the machines are back and the load is one that they can handle, jobs must end on time again within
 //! the recovery bound.
 
-mod earnings;
+mod goodput;
 mod recovery;
 
 use fastrand::Rng;
 
 use crate::history::{History, Span};
-use crate::oracle::{self, Breach, Rule};
+use crate::oracle::{self, Rule, Violation};
 use crate::processor::Processor;
 use crate::script::{FaultKind, InjectedFault, Script, Target};
 use crate::site::{LoadChange, Site};
 use crate::time::{ms, MS, SECOND};
 use crate::world::World;
 
-pub use earnings::Earnings;
+pub use goodput::Goodput;
 pub use recovery::Recovery;
 
 /// Traffic before the measurement of the normal behaviour, in nanoseconds.
-const WARM_UP: u64 = 4 * SECOND;
+const WARM_UP_NS: u64 = 4 * SECOND;
 /// Length of the measurement before the fault, in nanoseconds.
-const MEASURED_BEFORE: u64 = 3 * SECOND;
+const BASELINE_NS: u64 = 3 * SECOND;
 /// Time between that measurement and the fault, in nanoseconds. The load may rise here, so that a backlog
 /// exists when the fault begins.
-const QUEUE_BUILDS_UP: u64 = 2 * SECOND;
+const BACKLOG_BUILD_UP_NS: u64 = 2 * SECOND;
 /// Observation time beyond the recovery bound, in nanoseconds.
-const WATCHED: u64 = 5 * SECOND;
+const OBSERVATION_NS: u64 = 5 * SECOND;
 /// Time for the last jobs and the final reads, in milliseconds.
 const FINISH_MS: u64 = 4_000;
 /// Duration of an overload without a fault, in nanoseconds.
-const PRESSURE_LASTS: u64 = 8 * SECOND;
+const OVERLOAD_DURATION_NS: u64 = 8 * SECOND;
 /// Load after the fault, relative to the full traffic.
-const LOAD_AFTER: f64 = 0.9;
+const LOAD_AFTER_FAULT: f64 = 0.9;
 /// Fault kinds that a drawn case may have.
 const FAULTS: [FaultKind; 6] = [
     FaultKind::AllCoresPower,
@@ -43,7 +43,7 @@
     FaultKind::DiskStall(Target::Leader),
 ];
 /// Share of a processor core that handles the full traffic of the large deployment.
-const USUAL_SHARE: f64 = 0.4;
+const USUAL_PROCESSOR_SHARE: f64 = 0.4;
 
 /// A day with a fault at full traffic, or with a changed load.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,11 +72,11 @@
     /// How the system recovered.
     pub recovery: Recovery,
     /// Goodput before the fault or the change of the load.
-    pub before: Earnings,
+    pub before: Goodput,
     /// Goodput during the fault or the changed load.
-    pub meanwhile: Earnings,
+    pub during: Goodput,
     /// Violations of the rules, except those on configurations.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
 
 impl OverloadCase {
@@ -85,7 +85,7 @@
         OverloadCase {
             seed,
             parts,
-            share: USUAL_SHARE,
+            share: USUAL_PROCESSOR_SHARE,
             traffic: 1.0,
             fault: Some(FaultKind::AllCoresPower),
             lasts: ms(1_500),
@@ -101,7 +101,7 @@
 
     /// A day without a fault on which the load changes for some seconds.
     pub fn changed_load(seed: u64, parts: usize, load_during: f64) -> OverloadCase {
-        OverloadCase { load_during, lasts: PRESSURE_LASTS, ..OverloadCase::calm(seed, parts) }
+        OverloadCase { load_during, lasts: OVERLOAD_DURATION_NS, ..OverloadCase::calm(seed, parts) }
     }
 
     /// Draws a case from its seed.
@@ -112,7 +112,7 @@
             seed,
             parts,
             share,
-            traffic: share / USUAL_SHARE,
+            traffic: share / USUAL_PROCESSOR_SHARE,
             fault: Some(FAULTS[rng.usize(0..FAULTS.len())]),
             lasts: ms(rng.u64(500..5_000)),
             load_before: 1.0 + 2.0 * rng.f64() * f64::from(rng.u8(0..2)),
@@ -120,8 +120,8 @@
         }
     }
 
-    fn begins_at(site: &Site) -> u64 {
-        site.lead + WARM_UP + MEASURED_BEFORE + QUEUE_BUILDS_UP
+    fn fault_begins_at(site: &Site) -> u64 {
+        site.traffic_start + WARM_UP_NS + BASELINE_NS + BACKLOG_BUILD_UP_NS
     }
 
     /// The deployment, with the load of this case.
@@ -132,19 +132,20 @@
         if let Some(processor) = &mut site.processor {
             *processor = Processor { share: self.share, ..*processor };
         }
-        let begins = OverloadCase::begins_at(&site);
-        site.load = vec![
-            LoadChange { at: begins - QUEUE_BUILDS_UP, factor: self.load_before },
+        let begins = OverloadCase::fault_begins_at(&site);
+        site.load_changes = vec![
+            LoadChange { at: begins - BACKLOG_BUILD_UP_NS, factor: self.load_before },
             LoadChange { at: begins, factor: self.load_during },
-            LoadChange { at: begins + self.lasts, factor: LOAD_AFTER },
+            LoadChange { at: begins + self.lasts, factor: LOAD_AFTER_FAULT },
         ];
-        site.length = begins + self.lasts + ms(site.bounds.recovery_ms) + WATCHED + SECOND - site.lead;
+        site.traffic_length =
+            begins + self.lasts + ms(site.bounds.recovery_ms) + OBSERVATION_NS + SECOND - site.traffic_start;
         site
     }
 
     /// The script, with the fault of this case.
     pub fn script(&self, site: &Site) -> Script {
-        let at = OverloadCase::begins_at(site) / MS * MS;
+        let at = OverloadCase::fault_begins_at(site) / MS * MS;
         let inject = |kind| InjectedFault { at, lasts: self.lasts, kind, pick: self.seed };
         Script { faults: self.fault.map(inject).into_iter().collect(), ..Script::calm(self.seed) }
     }
@@ -158,34 +159,37 @@
         }
         let history = world.play();
         let fault = self.fault_span(&site, &history);
-        let until = site.lead + site.length - SECOND;
-        let before = Span { from: site.lead + WARM_UP, until: site.lead + WARM_UP + MEASURED_BEFORE };
+        let until = site.traffic_start + site.traffic_length - SECOND;
+        let before = Span {
+            from: site.traffic_start + WARM_UP_NS,
+            until: site.traffic_start + WARM_UP_NS + BASELINE_NS,
+        };
         let recovery = Recovery::measure(&history, before, Span { from: fault.until, until });
         OverloadReport {
             recovery,
-            before: Earnings::measure(&history, before),
-            meanwhile: Earnings::measure(&history, self.pressure_span(&site)),
-            breaches: breaches(&site, &history),
+            before: Goodput::measure(&history, before),
+            during: Goodput::measure(&history, self.changed_load_span(&site)),
+            violations: violations(&site, &history),
         }
     }
 
     /// The span of the changed load, without its first two seconds.
-    fn pressure_span(&self, site: &Site) -> Span {
-        let begins = OverloadCase::begins_at(site);
+    fn changed_load_span(&self, site: &Site) -> Span {
+        let begins = OverloadCase::fault_begins_at(site);
         Span { from: begins + (2 * SECOND).min(self.lasts / 2), until: begins + self.lasts }
     }
 
     /// The span from the fault until the last affected machine is back.
     fn fault_span(&self, site: &Site, history: &History) -> Span {
-        let from = OverloadCase::begins_at(site);
+        let from = OverloadCase::fault_begins_at(site);
         let ends = history.machine_faults.iter().map(|(_, span)| span.until);
         Span { from, until: ends.fold(from + self.lasts, u64::max) }
     }
 }
 
 /// Violations of the rules, except CONFIG: its bounds apply to machines that keep up with their load.
-fn breaches(site: &Site, history: &History) -> Vec<Breach> {
-    let mut breaches = oracle::judge(site, history);
-    breaches.retain(|breach| breach.rule != Rule::Config);
-    breaches
+fn violations(site: &Site, history: &History) -> Vec<Violation> {
+    let mut violations = oracle::check(site, history);
+    violations.retain(|violation| violation.rule != Rule::Config);
+    violations
 }
--- a/crates/simulation/src/overload/earnings.rs
+++ b/crates/simulation/src/overload/goodput.rs
@@ -5,25 +5,25 @@
 
 use scheduler::ids::TaskKey;
 
-use super::recovery::{ends_of_tasks, is_in};
+use super::recovery::{ends_of_tasks, span_contains};
 use crate::history::{Answer, CallKind, History, Span};
 use crate::time::{ms, seconds};
 use crate::workload::{JobPlan, STRETCH, TARGET_LATENCY_MS};
 
 /// Value of a job, by the position of its queue.
-const WORTH: [f64; 4] = [2.0, 1.0, 2.0, 1.0];
+const QUEUE_VALUES: [f64; 4] = [2.0, 1.0, 2.0, 1.0];
 /// Fraction of its value that a late job yields.
-const LATE_PART: f64 = 0.3;
+const LATE_VALUE_FRACTION: f64 = 0.3;
 /// A job that takes longer than this many times its objective yields nothing.
-const WORTHLESS_FACTOR: u64 = 3;
+const MAX_LATENESS_FACTOR: u64 = 3;
 
 /// Goodput of the jobs that were submitted during a span.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Earnings {
+pub struct Goodput {
     /// Total value of all jobs.
-    pub owed: f64,
+    pub offered_value: f64,
     /// Total value that the jobs yielded.
-    pub earned: f64,
+    pub yielded_value: f64,
     /// Length of the span, in seconds.
     pub seconds: f64,
     /// Number of jobs.
@@ -36,44 +36,48 @@
     pub tasks_done: usize,
 }
 
-impl Earnings {
+impl Goodput {
     /// Measures the jobs that were submitted during `span`, apart from those that are delayed by their own
     /// nature.
-    pub fn measure(history: &History, span: Span) -> Earnings {
+    pub fn measure(history: &History, span: Span) -> Goodput {
         let ends = ends_of_tasks(history);
         let seconds = seconds(span.until - span.from);
-        let mut earnings = Earnings { seconds, ..Earnings::default() };
+        let mut goodput = Goodput { seconds, ..Goodput::default() };
         let mut answers: HashMap<u64, Vec<(u64, &Answer)>> = HashMap::new();
         for call in history.calls.iter().filter(|call| call.kind == CallKind::Submit) {
             if let Some((at, answer)) = &call.answer {
                 answers.entry(call.job).or_default().push((at - call.sent_at, answer));
             }
         }
-        for job in history.jobs.values().filter(|job| is_in(span, job.submit_at) && is_ordinary(job)) {
-            earnings.add_job(job, &ends, answers.get(&job.id).map_or(&[][..], Vec::as_slice));
+        for job in history
+            .jobs
+            .values()
+            .filter(|job| span_contains(span, job.submit_at) && is_delayed_only_by_system(job))
+        {
+            goodput.add_job(job, &ends, answers.get(&job.id).map_or(&[][..], Vec::as_slice));
         }
-        earnings
+        goodput
     }
 
     /// Value yielded per second.
-    pub fn per_s(&self) -> f64 {
-        self.earned / self.seconds
+    pub fn value_per_s(&self) -> f64 {
+        self.yielded_value / self.seconds
     }
 
     /// Value yielded per completed task.
-    pub fn per_task(&self) -> f64 {
-        self.earned / (self.tasks_done as f64).max(1.0)
+    pub fn value_per_task(&self) -> f64 {
+        self.yielded_value / (self.tasks_done as f64).max(1.0)
     }
 
     fn add_job(&mut self, job: &JobPlan, ends: &HashMap<TaskKey, u64>, answers: &[(u64, &Answer)]) {
-        let worth = WORTH[job.queue];
+        let value = QUEUE_VALUES[job.queue];
         self.jobs += 1;
-        self.owed += worth;
+        self.offered_value += value;
         self.tasks_done += job.all_tasks().filter(|task| ends.contains_key(task)).count();
         let last_end =
             job.all_tasks().map(|task| ends.get(&task).copied()).max_by_key(|end| end.unwrap_or(u64::MAX));
         if let Some(Some(end)) = last_end {
-            self.earned += worth * part_earned(job, end.saturating_sub(job.submit_at));
+            self.yielded_value += value * value_fraction(job, end.saturating_sub(job.submit_at));
         }
         let rejections = || answers.iter().filter(|(_, answer)| **answer == Answer::Rejected);
         let was_accepted = answers.iter().any(|(_, answer)| **answer == Answer::Done);
@@ -84,13 +88,13 @@
 }
 
 /// Fraction of its value that a job yields after the given time, in nanoseconds.
-fn part_earned(job: &JobPlan, took: u64) -> f64 {
+fn value_fraction(job: &JobPlan, duration: u64) -> f64 {
     let objective = ms((STRETCH * longest_chain_ms(job) as f64) as u64 + TARGET_LATENCY_MS);
-    if took <= objective {
+    if duration <= objective {
         return 1.0;
     }
-    if took <= WORTHLESS_FACTOR * objective {
-        return LATE_PART;
+    if duration <= MAX_LATENESS_FACTOR * objective {
+        return LATE_VALUE_FRACTION;
     }
     0.0
 }
@@ -107,6 +111,6 @@
 }
 
 /// Whether only the system can delay the job: it is not cancelled, has no due times and can complete.
-fn is_ordinary(job: &JobPlan) -> bool {
+fn is_delayed_only_by_system(job: &JobPlan) -> bool {
     job.body.repeat == 0 && job.cancel_at.is_none() && !job.is_poison() && !job.is_long_running()
 }
--- a/crates/simulation/src/processor.rs
+++ b/crates/simulation/src/processor.rs
@@ -5,10 +5,10 @@
 use crate::time::MS;
 
 /// Period of the quota, in nanoseconds.
-const QUOTA_PERIOD: u64 = 100 * MS;
+const QUOTA_PERIOD_NS: u64 = 100 * MS;
 
 /// Processor time of one unit of work, in nanoseconds.
-mod cost {
+mod cost_ns {
     /// A turn, including its wake-up.
     pub const TURN: u64 = 20_000;
     /// Reading a request and writing its answer.
@@ -124,34 +124,35 @@
 impl Processor {
     /// Processor time of a turn in nanoseconds.
     pub fn cost_of(&self, work: &TurnWork) -> u64 {
-        let fixed =
-            work.turns * cost::TURN + work.messages * cost::MESSAGE + work.disk_writes * cost::DISK_WRITE;
+        let fixed = work.turns * cost_ns::TURN
+            + work.messages * cost_ns::MESSAGE
+            + work.disk_writes * cost_ns::DISK_WRITE;
         let parts = [
-            (work.requests, cost::REQUEST),
-            (work.worker_answers, cost::WORKER_ANSWER),
-            (work.other_events, cost::OTHER_EVENT),
-            (work.listed_instances, cost::LISTED_INSTANCE),
-            (work.unchanged_lists, cost::UNCHANGED_LIST),
-            (work.applied_commands, cost::APPLIED_COMMAND),
-            (work.calls, cost::CALL),
-            (work.cancelled_calls, cost::CANCELLED_CALL),
-            (work.snapshot_bytes, cost::SNAPSHOT_BYTE),
-            (work.recovered_jobs, cost::RECOVERED_JOB),
-            (work.leader.sessions_polled, cost::SESSION_POLL),
-            (work.leader.admission_passes, cost::ADMISSION_PASS),
-            (work.leader.steps_examined, cost::STEP_EXAMINED),
+            (work.requests, cost_ns::REQUEST),
+            (work.worker_answers, cost_ns::WORKER_ANSWER),
+            (work.other_events, cost_ns::OTHER_EVENT),
+            (work.listed_instances, cost_ns::LISTED_INSTANCE),
+            (work.unchanged_lists, cost_ns::UNCHANGED_LIST),
+            (work.applied_commands, cost_ns::APPLIED_COMMAND),
+            (work.calls, cost_ns::CALL),
+            (work.cancelled_calls, cost_ns::CANCELLED_CALL),
+            (work.snapshot_bytes, cost_ns::SNAPSHOT_BYTE),
+            (work.recovered_jobs, cost_ns::RECOVERED_JOB),
+            (work.leader.sessions_polled, cost_ns::SESSION_POLL),
+            (work.leader.admission_passes, cost_ns::ADMISSION_PASS),
+            (work.leader.steps_examined, cost_ns::STEP_EXAMINED),
         ];
         let nanos: u64 = parts.iter().map(|(units, each)| units * each).sum();
         // With fewer workers there are fewer searches, and each search examines fewer workers, hence the
         // square.
         let searches =
-            (work.leader.workers_examined * cost::WORKER_EXAMINED) as f64 * self.slowness * self.slowness;
+            (work.leader.workers_examined * cost_ns::WORKER_EXAMINED) as f64 * self.slowness * self.slowness;
         fixed + (nanos as f64 * self.slowness + searches) as u64
     }
 
     /// Processor time of one period in nanoseconds.
     fn quota(&self) -> u64 {
-        ((QUOTA_PERIOD as f64 * self.share) as u64).max(1)
+        ((QUOTA_PERIOD_NS as f64 * self.share) as u64).max(1)
     }
 }
 
@@ -165,11 +166,11 @@
 impl QuotaUse {
     /// Time at which a process that wants to run at `now` gets processor time.
     pub fn runs_from(&mut self, processor: &Processor, now: u64) -> u64 {
-        self.enter(now);
+        self.enter_period(now);
         if self.spent < processor.quota() {
             return now;
         }
-        (self.period + 1) * QUOTA_PERIOD
+        (self.period + 1) * QUOTA_PERIOD_NS
     }
 
     /// Uses processor time from `now` on. Returns the time at which all of it has been used.
@@ -177,8 +178,8 @@
         let (mut at, mut left) = (now, nanos);
         loop {
             at = self.runs_from(processor, at);
-            self.enter(at);
-            let period_end = (self.period + 1) * QUOTA_PERIOD;
+            self.enter_period(at);
+            let period_end = (self.period + 1) * QUOTA_PERIOD_NS;
             let runs_for = left.min(processor.quota() - self.spent).min(period_end - at);
             self.spent += runs_for;
             at += runs_for;
@@ -189,8 +190,8 @@
         }
     }
 
-    fn enter(&mut self, now: u64) {
-        let period = now / QUOTA_PERIOD;
+    fn enter_period(&mut self, now: u64) {
+        let period = now / QUOTA_PERIOD_NS;
         if self.period != period {
             *self = QuotaUse { period, spent: 0 };
         }
--- a/crates/simulation/src/script.rs
+++ b/crates/simulation/src/script.rs
@@ -7,7 +7,7 @@
 use crate::time::{ms, MS, SECOND};
 
 /// A machine without power, and the span of the outage.
-pub type DarkMachine = (Machine, Span);
+pub type PowerOutage = (Machine, Span);
 
 /// The core machine that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -183,7 +183,7 @@
         ]
     };
     /// The faults by operator and clients that most days have in addition.
-    const OPERATOR: [FaultKind; 6] = {
+    const ADDITIONAL: [FaultKind; 6] = {
         use FaultKind::*;
         [ConfigChange, ConfigRace, BadConfig, AckLost, Poison, GiveUp]
     };
@@ -223,7 +223,7 @@
 
     /// Latest time after the beginning of the fault, in nanoseconds, at which affected workers are
     /// unreachable from the core; `None` if they stay reachable.
-    pub fn hides_worker_after(self) -> Option<u64> {
+    pub fn makes_worker_unreachable_after(self) -> Option<u64> {
         use FaultKind::*;
         match self {
             WorkerCrash | WorkerGone | WorkerPartition | WorkerPartitionFromCore | WorkerHang => Some(0),
@@ -297,10 +297,10 @@
 /// Number of faults of a harsh day.
 const HARSH_FAULTS: std::ops::RangeInclusive<usize> = 8..=16;
 /// Longest fault in nanoseconds, apart from partitions of core machines.
-const LONGEST: u64 = 9 * SECOND;
+const MAX_FAULT_NS: u64 = 9 * SECOND;
 /// Longest partition of a core machine, in nanoseconds.
-const LONGEST_CORE_PARTITION: u64 = 20 * SECOND;
-/// Maximum number of `OPERATOR` faults of a drawn day.
+const MAX_CORE_PARTITION_NS: u64 = 20 * SECOND;
+/// Maximum number of `ADDITIONAL` faults of a drawn day.
 const MAX_CHANGES: usize = 4;
 
 impl Script {
@@ -327,7 +327,7 @@
             faults.push(draw_fault(site, kind, &mut rng));
         }
         for _ in 0..rng.usize(0..=MAX_CHANGES) {
-            let kind = FaultKind::OPERATOR[rng.usize(0..FaultKind::OPERATOR.len())];
+            let kind = FaultKind::ADDITIONAL[rng.usize(0..FaultKind::ADDITIONAL.len())];
             faults.push(draw_fault(site, kind, &mut rng));
         }
         faults.sort_by_key(|fault| fault.at);
@@ -366,8 +366,8 @@
 }
 
 fn draw_fault(site: &Site, kind: FaultKind, rng: &mut Rng) -> InjectedFault {
-    let at = site.lead + rng.u64(0..site.length * 9 / 10);
-    let longest = if kind.partitions_core() { LONGEST_CORE_PARTITION } else { LONGEST };
+    let at = site.traffic_start + rng.u64(0..site.traffic_length * 9 / 10);
+    let longest = if kind.partitions_core() { MAX_CORE_PARTITION_NS } else { MAX_FAULT_NS };
     let drawn = rng.u64(800..8_000);
     let stretch = if kind.partitions_core() { rng.u64(1..=4) } else { 1 };
     InjectedFault { at: at / MS * MS, lasts: ms(drawn * stretch).min(longest), kind, pick: rng.u64(..) }
--- a/crates/simulation/src/site.rs
+++ b/crates/simulation/src/site.rs
@@ -40,27 +40,27 @@
     /// Number of edge machines.
     pub edges: usize,
     /// Number of core machines that may be lost at the same time.
-    pub tolerated: usize,
+    pub tolerated_core_losses: usize,
     /// Time of a sync of a core machine's disk, in nanoseconds.
-    pub sync: u64,
+    pub disk_sync: u64,
     /// One-way delay within a zone, in nanoseconds.
-    pub near_delay: u64,
+    pub same_zone_delay: u64,
     /// One-way delay between zones, in nanoseconds.
-    pub far_delay: u64,
+    pub cross_zone_delay: u64,
     /// One-way delay between clients and edges, and between the operator and the core, in nanoseconds.
     pub client_delay: u64,
     /// Lag of the platform's worker list, in nanoseconds.
     pub list_lag: u64,
     /// Number of list reads per second that the platform answers.
-    pub list_rate: u64,
+    pub list_reads_per_s: u64,
     /// Time before the traffic starts, in nanoseconds.
-    pub lead: u64,
+    pub traffic_start: u64,
     /// Duration of the traffic, in nanoseconds.
-    pub length: u64,
+    pub traffic_length: u64,
     /// Jobs per second.
     pub jobs_per_s: f64,
     /// Changes of the load, in the order of their times.
-    pub load: Vec<LoadChange>,
+    pub load_changes: Vec<LoadChange>,
     /// The queues with their mix of jobs.
     pub queues: &'static [Queue; 4],
     /// The services.
@@ -94,17 +94,17 @@
             cores: 3,
             spare_cores: 1,
             edges: 4,
-            tolerated: 1,
-            sync: ms(4),
-            near_delay: ms(1) / 4,
-            far_delay: ms(1) + ms(1) * 2 / 5,
+            tolerated_core_losses: 1,
+            disk_sync: ms(4),
+            same_zone_delay: ms(1) / 4,
+            cross_zone_delay: ms(1) + ms(1) * 2 / 5,
             client_delay: ms(3),
             list_lag: ms(800),
-            list_rate: 30,
-            lead: 10 * SECOND,
-            length: 34 * SECOND,
+            list_reads_per_s: 30,
+            traffic_start: 10 * SECOND,
+            traffic_length: 34 * SECOND,
             jobs_per_s: 5.0,
-            load: Vec::new(),
+            load_changes: Vec::new(),
             queues: &Queue::ALL,
             services: vec![
                 ServiceSite {
@@ -130,13 +130,13 @@
 
     /// Factor of `jobs_per_s` at a time.
     pub fn load_at(&self, at: u64) -> f64 {
-        self.load.iter().rev().find(|change| change.at <= at).map_or(1.0, |change| change.factor)
+        self.load_changes.iter().rev().find(|change| change.at <= at).map_or(1.0, |change| change.factor)
     }
 
     /// The small deployment with five core machines, two of which may be lost at the same time, and unguarded
     /// workers.
     pub fn five() -> Site {
-        Site { cores: 5, spare_cores: 2, tolerated: 2, ..Site::unguarded() }
+        Site { cores: 5, spare_cores: 2, tolerated_core_losses: 2, ..Site::unguarded() }
     }
 
     /// The small deployment with a first service whose workers start every ordered task.
@@ -148,7 +148,7 @@
 
     /// Length of a day: time before the traffic, traffic, and time until the final reads.
     pub fn day_length(&self) -> u64 {
-        self.lead + self.length + ms(self.bounds.finish_ms)
+        self.traffic_start + self.traffic_length + ms(self.bounds.finish_ms)
     }
 
     /// Number of core machines, including spare ones.
--- a/crates/simulation/src/workers/gangs.rs
+++ b/crates/simulation/src/workers/gangs.rs
@@ -16,7 +16,7 @@
 
 impl Fleet {
     /// Adds a member to a gang. The work begins when the last member has started.
-    pub(super) fn member_came(
+    pub(super) fn member_started(
         &mut self,
         now: u64,
         gang: GangKey,
--- a/crates/simulation/src/workers/lists.rs
+++ b/crates/simulation/src/workers/lists.rs
@@ -16,7 +16,7 @@
     }
 
     /// Drops ends up to `last_seen`, which the leader has recorded.
-    pub(super) fn note_ends(&mut self, now: u64, last_seen: u64, history: &mut History) {
+    pub(super) fn drop_recorded_ends(&mut self, now: u64, last_seen: u64, history: &mut History) {
         self.last_seen = self.last_seen.max(last_seen);
         while self.finished.front().is_some_and(|finished| finished.end.sequence <= self.last_seen) {
             let Some(finished) = self.finished.pop_front() else { return };
@@ -51,7 +51,7 @@
             incarnation.waiters.push(super::Waiter { token, until: now + ms(wait_ms) });
             return None;
         }
-        self.lists(position, now)
+        self.answer_with_lists(position, now)
     }
 
     /// Answers long polls whose time is over, or all of them if there are ends to list.
@@ -66,7 +66,7 @@
             .collect();
         incarnation.waiters.retain(|waiter| !all && waiter.until > now);
         for token in due {
-            if let Some(outcome) = self.lists(position, now) {
+            if let Some(outcome) = self.answer_with_lists(position, now) {
                 self.answered.push((token, outcome));
             }
         }
@@ -85,7 +85,7 @@
         self.reschedule(position);
     }
 
-    fn lists(&mut self, position: usize, now: u64) -> Option<CallOutcome> {
+    fn answer_with_lists(&mut self, position: usize, now: u64) -> Option<CallOutcome> {
         let now_ms = self.workers[position].clock_ms(now);
         let save_ms = self.bounds.save_ms as f64;
         let incarnation = self.workers[position].incarnation.as_mut()?;
--- a/crates/simulation/src/workers/mod.rs
+++ b/crates/simulation/src/workers/mod.rs
@@ -72,13 +72,13 @@
     /// The incarnation's identifier.
     pub instance: String,
     /// World time at which the incarnation started.
-    pub born: u64,
+    pub booted_at: u64,
     fencing_token: u64,
     worker_lease_until_ms: u64,
-    hold_runs: bool,
+    has_lease: bool,
     lapses: u64,
     runs: BTreeMap<AttemptKey, LiveRun>,
-    barred: BTreeMap<TaskKey, u32>,
+    superseded_attempts: BTreeMap<TaskKey, u32>,
     finished: VecDeque<FinishedRun>,
     next_sequence: u64,
     last_seen: u64,
@@ -186,13 +186,13 @@
         worker.incarnations += 1;
         worker.incarnation = Some(Incarnation {
             instance: format!("i-{position:03}-{}", worker.incarnations),
-            born: now,
+            booted_at: now,
             fencing_token: 0,
             worker_lease_until_ms: 0,
-            hold_runs: false,
+            has_lease: false,
             lapses: 0,
             runs: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            superseded_attempts: BTreeMap::new(),
             finished: VecDeque::new(),
             next_sequence: 1,
             last_seen: 0,
@@ -263,7 +263,7 @@
 
     fn lapse(&mut self, position: usize, now: u64, history: &mut History) {
         let Some(incarnation) = self.workers[position].incarnation.as_mut() else { return };
-        incarnation.hold_runs = false;
+        incarnation.has_lease = false;
         incarnation.lapses += 1;
         let keys: Vec<AttemptKey> = incarnation.runs.keys().copied().collect();
         for key in keys {
@@ -279,8 +279,8 @@
         run.update(now);
         let saved = if kind == EndKind::STOPPED { run.done_ms } else { run.saved_ms(save_ms) };
         let checkpoint = run.checkpoint(&key, saved);
-        let barred = incarnation.barred.entry(key.task).or_insert(0);
-        *barred = (*barred).max(key.attempt);
+        let superseded_attempt = incarnation.superseded_attempts.entry(key.task).or_insert(0);
+        *superseded_attempt = (*superseded_attempt).max(key.attempt);
         let sequence = incarnation.next_sequence;
         incarnation.next_sequence += 1;
         let end = WorkerEnd {
@@ -322,7 +322,7 @@
     }
 
     /// Whether a checkpoint is empty or was issued for this task.
-    fn knows_checkpoint(&self, key: &AttemptKey, gang: bool, text: &str) -> bool {
+    fn is_issued_checkpoint(&self, key: &AttemptKey, gang: bool, text: &str) -> bool {
         text.is_empty() || self.checkpoints.contains(&(checkpoint_owner(&key.task, gang), text.to_owned()))
     }
 
@@ -342,7 +342,7 @@
     }
 
     /// Position of the worker at an address.
-    pub fn at_address(&self, address: &str) -> Option<usize> {
+    pub fn worker_at_address(&self, address: &str) -> Option<usize> {
         self.workers.iter().position(|worker| worker.address == address)
     }
 
@@ -377,22 +377,22 @@
 
     /// The worker's clock, in milliseconds since the start of the incarnation.
     fn clock_ms(&self, now: u64) -> u64 {
-        let born = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.born);
-        let passed = now.saturating_sub(born);
+        let booted_at = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.booted_at);
+        let passed = now.saturating_sub(booted_at);
         (passed - passed / 1_000 * self.clock_slow) / MS
     }
 
     /// World time at which the worker's clock shows `clock_ms`.
-    fn time_of_clock(&self, clock_ms: u64) -> u64 {
-        let born = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.born);
-        born + (clock_ms as f64 * MS as f64 * 1_000.0 / (1_000 - self.clock_slow) as f64) as u64 + 1
+    fn world_time_of_clock(&self, clock_ms: u64) -> u64 {
+        let booted_at = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.booted_at);
+        booted_at + (clock_ms as f64 * MS as f64 * 1_000.0 / (1_000 - self.clock_slow) as f64) as u64 + 1
     }
 
     fn worker_lease_is_over(&self, now: u64) -> bool {
         let clock = self.clock_ms(now);
         self.incarnation
             .as_ref()
-            .is_some_and(|incarnation| incarnation.hold_runs && clock >= incarnation.worker_lease_until_ms)
+            .is_some_and(|incarnation| incarnation.has_lease && clock >= incarnation.worker_lease_until_ms)
     }
 
     /// Resources in use, including those of tasks that are being stopped.
@@ -417,8 +417,8 @@
     fn next_due(&self) -> u64 {
         let Some(incarnation) = &self.incarnation else { return u64::MAX };
         let mut due = incarnation.waiters.iter().map(|waiter| waiter.until).min().unwrap_or(u64::MAX);
-        if incarnation.hold_runs {
-            due = due.min(self.time_of_clock(incarnation.worker_lease_until_ms));
+        if incarnation.has_lease {
+            due = due.min(self.world_time_of_clock(incarnation.worker_lease_until_ms));
         }
         incarnation.runs.values().map(LiveRun::ends_at).fold(due, u64::min)
     }
--- a/crates/simulation/src/workers/orders.rs
+++ b/crates/simulation/src/workers/orders.rs
@@ -3,7 +3,7 @@
 use scheduler::ids::AttemptKey;
 use scheduler::worker::{CallOutcome, Refusal, WorkerRequest};
 
-use super::progress::saved_of;
+use super::progress::checkpoint_work_ms;
 use super::{add, fits, need_of, Fleet, GangKey, LiveRun, Phase};
 use crate::history::{History, Machine, Run, UnknownOrder};
 use crate::time::{ms, MS};
@@ -25,7 +25,7 @@
     /// Identifies the call, for an answer that is sent later.
     pub token: u64,
     /// A random number between 0 and 1 that decides how a faulty worker treats the call.
-    pub luck: f64,
+    pub random: f64,
 }
 
 struct StartDetails<'a> {
@@ -63,14 +63,14 @@
             return Some(CallOutcome::Refused { now_ms: None, reason: Refusal::WrongIncarnation });
         }
         let condition = worker.condition;
-        if delivery.luck < condition.hanging {
+        if delivery.random < condition.hanging {
             return None;
         }
         let now_ms = worker.clock_ms(now);
-        if delivery.luck < condition.busy {
+        if delivery.random < condition.busy {
             return Some(CallOutcome::Refused { now_ms: Some(now_ms), reason: Refusal::Unhealthy });
         }
-        let mute = delivery.luck < condition.mute;
+        let mute = delivery.random < condition.mute;
         let answer = match &delivery.request {
             WorkerRequest::Start { key, spec, checkpoint, deadline_ms, fencing_token, .. } => {
                 let details = StartDetails { key: *key, spec, checkpoint, delivery };
@@ -85,7 +85,7 @@
                 }
                 self.extend_worker_lease(position, now, *deadline_ms);
                 if let Some(incarnation) = self.workers[position].incarnation.as_mut() {
-                    incarnation.note_ends(now, *last_seen, history);
+                    incarnation.drop_recorded_ends(now, *last_seen, history);
                 }
                 if mute {
                     return None;
@@ -115,7 +115,7 @@
         let until = deadline_ms.min(latest);
         if until > clock {
             incarnation.worker_lease_until_ms = incarnation.worker_lease_until_ms.max(until);
-            incarnation.hold_runs = true;
+            incarnation.has_lease = true;
         }
     }
 
@@ -133,8 +133,8 @@
         }
         let takes_ms = (key.task.index as u64 * 37 + now / MS) % self.bounds.stop_ms.max(1);
         let incarnation = self.workers[position].incarnation.as_mut()?;
-        let barred = incarnation.barred.entry(key.task).or_insert(0);
-        *barred = (*barred).max(key.attempt);
+        let superseded_attempt = incarnation.superseded_attempts.entry(key.task).or_insert(0);
+        *superseded_attempt = (*superseded_attempt).max(key.attempt);
         if let Some(run) = incarnation.runs.get_mut(key) {
             run.update(now);
             if !matches!(run.phase, Phase::Stopping { .. }) {
@@ -175,8 +175,8 @@
         }
         let newest_here =
             incarnation.runs.keys().filter(|run| run.task == key.task).map(|run| run.attempt).max();
-        let barred = incarnation.barred.get(&key.task).copied().unwrap_or(0);
-        if key.attempt <= barred || newest_here.is_some_and(|newest| key.attempt < newest) {
+        let superseded_attempt = incarnation.superseded_attempts.get(&key.task).copied().unwrap_or(0);
+        if key.attempt <= superseded_attempt || newest_here.is_some_and(|newest| key.attempt < newest) {
             return refused(now_ms, Refusal::SupersededAttempt);
         }
         let need = need_of(&stage);
@@ -204,15 +204,15 @@
         let worker = &self.workers[position];
         let Some(incarnation) = worker.incarnation.as_ref() else { return };
         let step = key.task.step_key();
-        let mut peers: Vec<u32> = incarnation
+        let mut step_indices: Vec<u32> = incarnation
             .runs
             .keys()
             .filter(|run| run.task.step_key() == step)
             .map(|run| run.task.index)
             .collect();
-        peers.push(key.task.index);
-        peers.sort_unstable();
-        peers.dedup();
+        step_indices.push(key.task.index);
+        step_indices.sort_unstable();
+        step_indices.dedup();
         history.runs.push(Run {
             key,
             worker: position,
@@ -225,9 +225,9 @@
             late: details.delivery.late,
             checkpoint: details.checkpoint.to_owned(),
             spec_matches: details.spec == job.body.spec,
-            checkpoint_matches: self.knows_checkpoint(&key, stage.gang, details.checkpoint),
+            checkpoint_matches: self.is_issued_checkpoint(&key, stage.gang, details.checkpoint),
             overload: overload.then(|| add(worker.used(), need_of(stage))),
-            step_mates: peers.len() as u32,
+            step_tasks_on_worker: step_indices.len() as u32,
             gang_complete_at: None,
             end: None,
         });
@@ -236,7 +236,7 @@
             incarnation.runs.insert(key, run);
         }
         if let Some(gang) = gang {
-            self.member_came(now, gang, key.task.index, position, history);
+            self.member_started(now, gang, key.task.index, position, history);
         }
     }
 
@@ -259,7 +259,8 @@
         let far_factor = if far { self.bounds.far_factor } else { 1.0 };
         let fails =
             if worker.condition.failing { Some(work_ms / 4) } else { job.fails_after_ms(&key, work_ms) };
-        let began_ms = if stage.checkpoints { saved_of(details.checkpoint).min(work_ms as f64) } else { 0.0 };
+        let began_ms =
+            if stage.checkpoints { checkpoint_work_ms(details.checkpoint).min(work_ms as f64) } else { 0.0 };
         let restore_left_ms = if details.checkpoint.is_empty() { 0.0 } else { self.bounds.restore_ms as f64 };
         let gang = stage.gang.then(|| GangKey { step: key.task.step_key(), attempt: key.attempt });
         let waiting = Phase::Waiting { until: now + ms(self.bounds.gang_ms) };
--- a/crates/simulation/src/workers/progress.rs
+++ b/crates/simulation/src/workers/progress.rs
@@ -16,11 +16,11 @@
         }
         let restoring = passed_ms.min(self.restore_left_ms);
         self.restore_left_ms -= restoring;
-        self.done_ms = (self.done_ms + (passed_ms - restoring) * self.rate).min(self.goal_ms());
+        self.done_ms = (self.done_ms + (passed_ms - restoring) * self.rate).min(self.end_after_ms());
     }
 
     /// Amount of work after which the run ends, in milliseconds.
-    fn goal_ms(&self) -> f64 {
+    fn end_after_ms(&self) -> f64 {
         let full = if self.long_running { f64::MAX } else { self.work_ms };
         self.fails_after_ms.map_or(full, |fails| fails.max(self.began_ms).min(full))
     }
@@ -31,7 +31,8 @@
             Phase::Waiting { until } | Phase::Stopping { until } => until,
             Phase::Working if self.stalled => u64::MAX,
             Phase::Working => {
-                let left_ms = self.restore_left_ms + (self.goal_ms() - self.done_ms).max(0.0) / self.rate;
+                let left_ms =
+                    self.restore_left_ms + (self.end_after_ms() - self.done_ms).max(0.0) / self.rate;
                 if left_ms > 1e9 {
                     return u64::MAX;
                 }
@@ -76,7 +77,7 @@
 }
 
 /// The saved work that a checkpoint represents, in milliseconds.
-pub fn saved_of(checkpoint: &str) -> f64 {
+pub fn checkpoint_work_ms(checkpoint: &str) -> f64 {
     let digits = checkpoint.get(..8).unwrap_or("0");
     u64::from_str_radix(digits, 16).map_or(0.0, |saved| saved as f64)
 }
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -34,7 +34,7 @@
     /// When the client cancels the job.
     pub cancel_at: Option<u64>,
     /// How long the client waits for an answer, in nanoseconds.
-    pub patience: u64,
+    pub timeout: u64,
 }
 
 /// A queue of the deployment.
@@ -65,13 +65,13 @@
     /// Whether tasks need GPUs.
     gpu: bool,
     /// Fraction of the steps that are gangs.
-    gang: f64,
+    gang_share: f64,
     /// Fraction of the steps that save checkpoints.
-    saves: f64,
+    checkpoint_share: f64,
     /// Fraction of the steps that allow speculative copies of tasks.
-    twice: f64,
+    speculative_share: f64,
     /// Fraction of the jobs that have due times.
-    timed: f64,
+    timed_share: f64,
     /// Probability that a run fails.
     fail_chance: f64,
     /// Maximum number of tasks of a step.
@@ -96,10 +96,10 @@
             cpu: 6_300,
             mem_mb: 9_000,
             gpu: false,
-            gang: 0.0,
-            saves: 0.0,
-            twice: 0.0,
-            timed: 0.12,
+            gang_share: 0.0,
+            checkpoint_share: 0.0,
+            speculative_share: 0.0,
+            timed_share: 0.12,
             fail_chance: 0.005,
             max_width: 16,
             max_gang: 4,
@@ -117,10 +117,10 @@
             cpu: 5_200,
             mem_mb: 7_500,
             gpu: false,
-            gang: 0.1,
-            saves: 0.8,
-            twice: 0.2,
-            timed: 0.0,
+            gang_share: 0.1,
+            checkpoint_share: 0.8,
+            speculative_share: 0.2,
+            timed_share: 0.0,
             fail_chance: 0.03,
             max_width: 16,
             max_gang: 4,
@@ -138,10 +138,10 @@
             cpu: 21_000,
             mem_mb: 40_000,
             gpu: true,
-            gang: 0.5,
-            saves: 0.7,
-            twice: 0.0,
-            timed: 0.0,
+            gang_share: 0.5,
+            checkpoint_share: 0.7,
+            speculative_share: 0.0,
+            timed_share: 0.0,
             fail_chance: 0.03,
             max_width: 16,
             max_gang: 4,
@@ -159,10 +159,10 @@
             cpu: 2_200,
             mem_mb: 2_200,
             gpu: false,
-            gang: 0.0,
-            saves: 0.0,
-            twice: 0.0,
-            timed: 0.05,
+            gang_share: 0.0,
+            checkpoint_share: 0.0,
+            speculative_share: 0.0,
+            timed_share: 0.05,
             fail_chance: 0.03,
             max_width: 16,
             max_gang: 4,
@@ -189,7 +189,7 @@
             work_ms: 4_700,
             cpu: 10_000,
             mem_mb: 19_000,
-            gang: 0.0,
+            gang_share: 0.0,
             fail_chance: 0.05,
             max_width: 420,
             ..Queue::ALL[1]
@@ -224,27 +224,27 @@
 /// Target latency of all queues (`TargetLatencyMs`).
 pub const TARGET_LATENCY_MS: u64 = 1_000;
 /// Fraction of the jobs that their clients cancel.
-const CANCELLED: f64 = 0.04;
+const CANCELLED_SHARE: f64 = 0.04;
 /// Fraction of the jobs that can never complete.
-const POISON: f64 = 0.015;
+const POISON_SHARE: f64 = 0.015;
 /// Fraction of the jobs whose tasks run until the job is cancelled.
-const LONG_RUNNING: f64 = 0.02;
+const LONG_RUNNING_SHARE: f64 = 0.02;
 /// Fraction of the steps that require a label.
-const CONSTRAINED: f64 = 0.12;
+const CONSTRAINED_SHARE: f64 = 0.12;
 /// Fraction of the steps whose data is on one rack.
-const NEAR_DATA: f64 = 0.2;
+const DATA_LOCAL_SHARE: f64 = 0.2;
 /// Fraction of the steps that limit the number of their tasks on one worker.
-const APART: f64 = 0.12;
+const SPREAD_SHARE: f64 = 0.12;
 /// Labels of consecutive workers of a service; the sequence repeats.
-pub const KINDS: [&str; 3] = ["a", "a", "b"];
+pub const WORKER_KINDS: [&str; 3] = ["a", "a", "b"];
 
 /// Draws a job of a queue that is first submitted at `submit_at`.
 pub fn make_job(site: &Site, queue: usize, submit_at: u64, rng: &mut Rng) -> JobPlan {
     let kind = &site.queues[queue];
     let steps = draw_count(kind.steps, rng).min(6);
-    let long_running = rng.f64() < LONG_RUNNING;
-    let poison = rng.f64() < POISON;
-    let timed = !long_running && rng.f64() < kind.timed;
+    let long_running = rng.f64() < LONG_RUNNING_SHARE;
+    let poison = rng.f64() < POISON_SHARE;
+    let timed = !long_running && rng.f64() < kind.timed_share;
     let mut body = JobSpec { spec: format!("spec-{:08x}", rng.u32(..)), ..JobSpec::default() };
     let mut truths = Vec::new();
     for step in 0..steps {
@@ -257,9 +257,9 @@
         body.interval_ms = rng.u64(1_000..3_000);
         body.start_at_ms = DAY_BEGINS_MS + submit_at / MS + rng.u64(500..3_000);
     }
-    let cancels = long_running || rng.f64() < CANCELLED;
+    let cancels = long_running || rng.f64() < CANCELLED_SHARE;
     let cancel_at = cancels.then(|| submit_at + ms(rng.u64(300..8_000)));
-    JobPlan { id: rng.u64(..), queue, body, steps: truths, submit_at, cancel_at, patience: ms(3_000) }
+    JobPlan { id: rng.u64(..), queue, body, steps: truths, submit_at, cancel_at, timeout: ms(3_000) }
 }
 
 fn draw_count(mean: f64, rng: &mut Rng) -> u32 {
@@ -267,26 +267,26 @@
     (drawn.round() as u32).max(1)
 }
 
-fn around(mean: u64, rng: &mut Rng) -> u64 {
+fn vary(mean: u64, rng: &mut Rng) -> u64 {
     (mean as f64 * (0.5 + rng.f64())) as u64
 }
 
 fn make_stage(site: &Site, kind: &Queue, step: u32, long_running: bool, rng: &mut Rng) -> Stage {
     let service = &site.services[kind.service];
-    let gang = !long_running && rng.f64() < kind.gang;
+    let gang = !long_running && rng.f64() < kind.gang_share;
     let mut count = draw_count(kind.width, rng).min(kind.max_width);
     if gang {
         count = count.clamp(2, kind.max_gang);
     }
     let mut stage = Stage {
         count,
-        cpu: around(kind.cpu, rng).min(service.available.cpu / 2),
-        mem_mb: around(kind.mem_mb, rng).min(service.available.mem_mb / 2),
-        est_runtime_ms: around(kind.work_ms, rng),
-        checkpoints: rng.f64() < kind.saves,
+        cpu: vary(kind.cpu, rng).min(service.available.cpu / 2),
+        mem_mb: vary(kind.mem_mb, rng).min(service.available.mem_mb / 2),
+        est_runtime_ms: vary(kind.work_ms, rng),
+        checkpoints: rng.f64() < kind.checkpoint_share,
         gang,
         rack_local: gang && rng.f64() < 0.5,
-        speculative: !gang && !long_running && rng.f64() < kind.twice,
+        speculative: !gang && !long_running && rng.f64() < kind.speculative_share,
         long_running,
         ..Stage::default()
     };
@@ -296,14 +296,14 @@
     if step > 0 {
         stage.depends_on.push(rng.u32(0..step));
     }
-    if rng.f64() < CONSTRAINED {
-        stage.constraint = KINDS[rng.usize(0..KINDS.len())].to_owned();
+    if rng.f64() < CONSTRAINED_SHARE {
+        stage.constraint = WORKER_KINDS[rng.usize(0..WORKER_KINDS.len())].to_owned();
     }
-    if rng.f64() < NEAR_DATA {
+    if rng.f64() < DATA_LOCAL_SHARE {
         let racks = service.workers.div_ceil(service.rack_size);
         stage.affinity = rack_name(kind.service, rng.usize(0..racks));
     }
-    if !gang && rng.f64() < APART {
+    if !gang && rng.f64() < SPREAD_SHARE {
         stage.anti_affinity = rng.u32(1..4);
     }
     stage
@@ -315,7 +315,7 @@
 }
 
 fn make_truth(kind: &Queue, stage: &Stage, poison: bool, rng: &mut Rng) -> StepTruth {
-    let base = around(kind.work_ms, rng).max(50);
+    let base = vary(kind.work_ms, rng).max(50);
     let work_ms = (0..stage.count).map(|_| base + rng.u64(0..=base / 4)).collect();
     StepTruth { work_ms, fail_chance: kind.fail_chance, poison }
 }
@@ -324,8 +324,8 @@
 pub fn make_day(site: &Site, seed: u64) -> Vec<JobPlan> {
     let mut rng = Rng::with_seed(seed);
     let mut jobs = Vec::new();
-    let mut at = site.lead;
-    while at < site.lead + site.length {
+    let mut at = site.traffic_start;
+    while at < site.traffic_start + site.traffic_length {
         jobs.push(make_job(site, draw_queue(site, &mut rng), at, &mut rng));
         let mean_gap = SECOND as f64 / (site.jobs_per_s * site.load_at(at));
         at += (mean_gap * 2.0 * rng.f64()) as u64;
@@ -363,7 +363,7 @@
     /// does not fail.
     pub fn fails_after_ms(&self, key: &AttemptKey, work_ms: u64) -> Option<u64> {
         let truth = self.steps.get(key.task.step as usize)?;
-        let mut rng = Rng::with_seed(self.id ^ mix(key));
+        let mut rng = Rng::with_seed(self.id ^ run_seed(key));
         let fails = truth.poison || rng.f64() < truth.fail_chance;
         fails.then(|| (work_ms as f64 * (0.2 + 0.7 * rng.f64())) as u64)
     }
@@ -379,7 +379,7 @@
     }
 }
 
-fn mix(key: &AttemptKey) -> u64 {
+fn run_seed(key: &AttemptKey) -> u64 {
     let task = &key.task;
     // The members of a gang draw independently; one failing member breaks the whole gang.
     let place = u64::from(task.time) << 40 | u64::from(task.step) << 24 | u64::from(task.index);
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -17,9 +17,9 @@
 pub(super) type WorkerCallId = u64;
 
 /// Shortest delay of an order that is carried out late, in milliseconds.
-const LEAST_LATE_MS: u64 = 2_000;
+const MIN_LATENESS_MS: u64 = 2_000;
 /// Longest delay of an order that is carried out late, in milliseconds.
-const MOST_LATE_MS: u64 = 12_000;
+const MAX_LATENESS_MS: u64 = 12_000;
 
 /// A call in flight.
 struct Exchange {
@@ -51,7 +51,7 @@
         instance: String,
         request: WorkerRequest,
     ) {
-        let Some(worker) = self.fleet.at_address(address) else {
+        let Some(worker) = self.fleet.worker_at_address(address) else {
             self.report_call(machine, term, call, CallOutcome::NotSent);
             return;
         };
@@ -61,19 +61,19 @@
         self.worker_calls.next += 1;
         let id = self.worker_calls.next;
         let late = self.late_share > 0.0 && self.rng.f64() < self.late_share;
-        let luck = self.rng.f64();
+        let random = self.rng.f64();
         let (sender, sent_at) = (machine, self.now);
-        let delivery = Delivery { instance, request, sender, sent_at, late, token: id, luck };
+        let delivery = Delivery { instance, request, sender, sent_at, late, token: id, random };
         let incarnation = self.cores[machine].incarnation;
         let exchange = Exchange { machine, incarnation, term, call, worker, delivery, abandoned: false };
         self.worker_calls.exchanges.insert(id, exchange);
         self.worker_calls.by_caller.insert((machine, term, call), id);
         let event = Event::CallArrives { call: id };
         if late {
-            let at = self.now + ms(self.rng.u64(LEAST_LATE_MS..=MOST_LATE_MS));
+            let at = self.now + ms(self.rng.u64(MIN_LATENESS_MS..=MAX_LATENESS_MS));
             self.queue.push(at, event);
         } else {
-            self.send_alone(Endpoint::Core(machine), Endpoint::Worker(worker), event);
+            self.send_unordered(Endpoint::Core(machine), Endpoint::Worker(worker), event);
         }
     }
 
@@ -114,18 +114,18 @@
             return;
         }
         if let Some(outcome) = outcome {
-            self.late_answer(call, outcome);
+            self.send_worker_answer(call, outcome);
         }
     }
 
     /// Sends a worker's answer to its caller.
-    pub(super) fn late_answer(&mut self, call: WorkerCallId, outcome: CallOutcome) {
+    pub(super) fn send_worker_answer(&mut self, call: WorkerCallId, outcome: CallOutcome) {
         let Some(exchange) = self.worker_calls.exchanges.get(&call) else { return };
         let (from, to) = (Endpoint::Worker(exchange.worker), Endpoint::Core(exchange.machine));
         if self.trace {
             self.trace(|| format!("{from:?} answers {outcome:?}"));
         }
-        self.send_alone(from, to, Event::CallAnswered { call, outcome });
+        self.send_unordered(from, to, Event::CallAnswered { call, outcome });
     }
 
     pub(super) fn call_answered(&mut self, call: WorkerCallId, outcome: CallOutcome) {
--- a/crates/simulation/src/world/clients.rs
+++ b/crates/simulation/src/world/clients.rs
@@ -20,18 +20,18 @@
 /// Maximum number of attempts to cancel a job.
 const MAX_CANCELS: u32 = 10;
 /// Longest pause between two reads of a job's state, in nanoseconds.
-const MAX_PAUSE: u64 = 8_000 * MS;
+const MAX_READ_PAUSE_NS: u64 = 8_000 * MS;
 /// Size that an edge accounts for each request, in bytes.
-const WEIGHT: usize = 2_000;
+const REQUEST_SIZE_BYTES: usize = 2_000;
 
 /// State of the clients.
 #[derive(Default)]
 pub(super) struct Clients {
     jobs: HashMap<u64, ClientJob>,
     /// Calls in flight, by edge.
-    in_hand: HashMap<usize, Vec<usize>>,
+    in_flight: HashMap<usize, Vec<usize>>,
     /// Clients give up on submissions before their timeout.
-    pub(super) hurry: bool,
+    pub(super) leave_early: bool,
 }
 
 #[derive(Default)]
@@ -69,11 +69,11 @@
             }
         };
         let plan = &self.history.jobs[&job];
-        let (prefix, mut patience) = (Queue::ALL[plan.queue].prefix.to_owned(), plan.patience);
-        if self.clients.hurry && kind == CallKind::Submit && self.rng.f64() < 0.4 {
-            patience = ms(self.rng.u64(5..300));
+        let (prefix, mut timeout) = (Queue::ALL[plan.queue].prefix.to_owned(), plan.timeout);
+        if self.clients.leave_early && kind == CallKind::Submit && self.rng.f64() < 0.4 {
+            timeout = ms(self.rng.u64(5..300));
         }
-        self.send_call(kind, job, prefix, patience);
+        self.send_call(kind, job, prefix, timeout);
     }
 
     /// Sends a client's request for the number of pending jobs in a queue.
@@ -81,7 +81,7 @@
         self.send_call(CallKind::Count, 0, prefix, ms(3_000));
     }
 
-    fn send_call(&mut self, kind: CallKind, job: u64, prefix: String, patience: u64) {
+    fn send_call(&mut self, kind: CallKind, job: u64, prefix: String, timeout: u64) {
         let edge = self.choose_edge();
         let sent_at = self.now;
         let call = self.history.calls.len();
@@ -92,10 +92,10 @@
             prefix,
             edge: machine,
             sent_at,
-            patience,
+            timeout,
             answer: None,
         });
-        self.queue.push(sent_at + patience, Event::ClientLeaves { call });
+        self.queue.push(sent_at + timeout, Event::ClientLeaves { call });
         let delay = self.delay(Endpoint::Outside, Endpoint::Edge(edge));
         let event = if self.edges[edge].upstream.is_some() {
             Event::ClientArrives { call, edge_incarnation: self.edges[edge].incarnation }
@@ -108,7 +108,8 @@
     /// Chooses the edge that receives a new connection: one that passes its readiness probes, or any if none
     /// does.
     fn choose_edge(&mut self) -> usize {
-        let ready: Vec<usize> = (0..self.edges.len()).filter(|edge| self.edges[*edge].is_in()).collect();
+        let ready: Vec<usize> =
+            (0..self.edges.len()).filter(|edge| self.edges[*edge].receives_connections()).collect();
         if ready.is_empty() {
             return self.rng.usize(0..self.edges.len());
         }
@@ -127,8 +128,8 @@
             return;
         }
         let request = self.forward_request(call);
-        self.clients.in_hand.entry(edge).or_default().push(call);
-        self.edge_does(edge, |upstream, now, out| upstream.request(now, call as u64, request, out));
+        self.clients.in_flight.entry(edge).or_default().push(call);
+        self.run_edge(edge, |upstream, now, out| upstream.request(now, call as u64, request, out));
     }
 
     fn forward_request(&self, call: usize) -> ForwardRequest {
@@ -146,14 +147,20 @@
             CallKind::Count => OneOfcall::count(CountRequest {}),
         };
         let passed = self.now.saturating_sub(record.sent_at);
-        let timeout_ms = (record.patience.saturating_sub(passed) / MS) as u32;
-        ForwardRequest { host: HOST.to_owned(), path, timeout_ms, call: one_of, size_bytes: WEIGHT }
+        let timeout_ms = (record.timeout.saturating_sub(passed) / MS) as u32;
+        ForwardRequest {
+            host: HOST.to_owned(),
+            path,
+            timeout_ms,
+            call: one_of,
+            size_bytes: REQUEST_SIZE_BYTES,
+        }
     }
 
     /// Passes an edge's reply on to the client.
     pub(super) fn answer_client(&mut self, edge: usize, call: usize, reply: &ClientReply) {
-        if let Some(in_hand) = self.clients.in_hand.get_mut(&edge) {
-            in_hand.retain(|known| *known != call);
+        if let Some(in_flight) = self.clients.in_flight.get_mut(&edge) {
+            in_flight.retain(|known| *known != call);
         }
         let answer = match reply.outcome {
             Outcome::ACCEPTED | Outcome::CANCEL_DONE => Answer::Done,
@@ -171,7 +178,7 @@
 
     /// Breaks the connections between an edge and its clients.
     pub(super) fn break_clients_of(&mut self, edge: usize) {
-        for call in self.clients.in_hand.remove(&edge).unwrap_or_default() {
+        for call in self.clients.in_flight.remove(&edge).unwrap_or_default() {
             let delay = self.delay(Endpoint::Edge(edge), Endpoint::Outside);
             self.queue.push(self.now + delay, Event::ClientAnswered { call, answer: Answer::None });
         }
@@ -182,11 +189,11 @@
             return;
         }
         let edge = self.history.calls[call].edge - FIRST_EDGE;
-        if let Some(in_hand) = self.clients.in_hand.get_mut(&edge) {
-            in_hand.retain(|known| *known != call);
+        if let Some(in_flight) = self.clients.in_flight.get_mut(&edge) {
+            in_flight.retain(|known| *known != call);
         }
         if self.edges[edge].frozen_until <= self.now {
-            self.edge_does(edge, |upstream, _, _| upstream.abandon(call as u64));
+            self.run_edge(edge, |upstream, _, _| upstream.abandon(call as u64));
         }
         self.client_answered(call, Answer::None);
     }
@@ -211,8 +218,8 @@
     }
 
     fn after_submit(&mut self, job: u64, answer: &Answer) {
-        let again = ms(self.rng.u64(80..400));
-        let insists = self.rng.bool();
+        let retry_delay = ms(self.rng.u64(80..400));
+        let retries_rejected = self.rng.bool();
         let Some(state) = self.clients.jobs.get_mut(&job) else { return };
         let tries_left = state.submits < MAX_SUBMITS;
         match answer {
@@ -225,10 +232,10 @@
                 self.queue.push(at, Event::ClientSends { job, intent: Intent::Read });
             }
             Answer::Unsure | Answer::None if tries_left => {
-                self.queue.push(self.now + again, Event::ClientSends { job, intent: Intent::Submit });
+                self.queue.push(self.now + retry_delay, Event::ClientSends { job, intent: Intent::Submit });
             }
-            Answer::Rejected if tries_left && insists => {
-                let at = self.now + ms(1_000) + again;
+            Answer::Rejected if tries_left && retries_rejected => {
+                let at = self.now + ms(1_000) + retry_delay;
                 self.queue.push(at, Event::ClientSends { job, intent: Intent::Submit });
             }
             _ => {}
@@ -244,39 +251,39 @@
         if state.ended {
             return;
         }
-        let pause = ms(700 << state.reads.min(6)).min(MAX_PAUSE);
+        let pause = ms(700 << state.reads.min(6)).min(MAX_READ_PAUSE_NS);
         let at = self.now + pause;
-        if at < self.final_question() {
+        if at < self.final_reads_at() {
             self.queue.push(at, Event::ClientSends { job, intent: Intent::Read });
         }
     }
 
     fn after_cancel(&mut self, job: u64, answer: &Answer) {
-        let again = ms(self.rng.u64(100..500));
+        let retry_delay = ms(self.rng.u64(100..500));
         let Some(state) = self.clients.jobs.get_mut(&job) else { return };
         if matches!(answer, Answer::Done | Answer::Gone) || state.cancels >= MAX_CANCELS {
             return;
         }
-        self.queue.push(self.now + again, Event::ClientSends { job, intent: Intent::Cancel });
+        self.queue.push(self.now + retry_delay, Event::ClientSends { job, intent: Intent::Cancel });
     }
 
     /// Time at which clients read the states of all accepted jobs.
-    pub(super) fn final_question(&self) -> u64 {
+    pub(super) fn final_reads_at(&self) -> u64 {
         let finish = ms(self.site.bounds.finish_ms);
         let recovery = if self.script.closing.is_some() { ms(self.site.bounds.recovery_ms) } else { 0 };
-        self.site.lead + self.site.length + recovery + finish
+        self.site.traffic_start + self.site.traffic_length + recovery + finish
     }
 }
 
 impl World {
     /// Reads the state of every accepted job, three times each.
-    pub(super) fn ask_for_all_jobs(&mut self) {
+    pub(super) fn read_all_jobs(&mut self) {
         let accepted = self.clients.jobs.iter().filter(|(_, state)| state.accepted);
         let mut jobs: Vec<u64> = accepted.map(|(job, _)| *job).collect();
         jobs.sort_unstable();
         for job in jobs {
-            for again in 0..3 {
-                let at = self.now + ms(1_500 * again) + self.rng.u64(0..ms(500));
+            for attempt in 0..3 {
+                let at = self.now + ms(1_500 * attempt) + self.rng.u64(0..ms(500));
                 self.queue.push(at, Event::ClientSends { job, intent: Intent::Read });
             }
         }
--- a/crates/simulation/src/world/cores.rs
+++ b/crates/simulation/src/world/cores.rs
@@ -9,13 +9,13 @@
 use super::network::Endpoint;
 use super::turns::Turns;
 use super::World;
-use crate::core_process::{CoreEvent, CoreFrame, CoreOutput, CoreProcess, CoreSettings, Pacing};
+use crate::core_process::{CoreEvent, CoreFrame, CoreOutput, CoreProcess, CoreSettings, SnapshotPolicy};
 use crate::time::{ms, DAY_BEGINS_MS, MS, SECOND};
 
 /// Pause before a failed write is retried, in nanoseconds.
-const DISK_RETRY: u64 = SECOND;
+const DISK_RETRY_NS: u64 = SECOND;
 /// Time within which an edge's keepalive probes detect that the other machine is gone, in nanoseconds.
-const KEEPALIVE: u64 = 6 * SECOND;
+const KEEPALIVE_TIMEOUT_NS: u64 = 6 * SECOND;
 /// Maximum number of disk operations that a write still completes when the process dies.
 const MAX_HALTED_OPERATIONS: u64 = 6;
 /// Number of seeds: the first machines of the core.
@@ -37,25 +37,25 @@
     pub(super) frozen_until: u64,
     pub(super) disk_factor: u64,
     pub(super) disk_stalled_until: u64,
-    pub(super) day_offset_ms: i64,
+    pub(super) wall_clock_offset_ms: i64,
     /// The machine counts as lost until this time.
     pub(super) lost_until: u64,
     pub(super) had_first_start: bool,
     /// Time since which the disk has held its data without loss.
     pub(super) disk_since: u64,
     /// The machine was replaced: its process does not restart after it ends.
-    pub(super) leaves: bool,
+    pub(super) retired: bool,
     /// Turns of the process, on days that simulate processor time.
     pub(super) turns: Turns,
     /// The platform list that the machine read last: leadership term and list version.
     pub(super) last_list: Option<(u64, usize)>,
-    pub(super) steady_offset: u64,
+    pub(super) monotonic_offset: u64,
     generation: u64,
     wakes_at: u64,
 }
 
 impl CoreMachine {
-    pub(super) fn new(seed: u64, exists: bool, steady_offset: u64) -> Self {
+    pub(super) fn new(seed: u64, exists: bool, monotonic_offset: u64) -> Self {
         CoreMachine {
             process: None,
             incarnation: 0,
@@ -66,14 +66,14 @@
             frozen_until: 0,
             disk_factor: 1,
             disk_stalled_until: 0,
-            day_offset_ms: 0,
+            wall_clock_offset_ms: 0,
             lost_until: 0,
             had_first_start: false,
             disk_since: 0,
-            leaves: false,
+            retired: false,
             turns: Turns::default(),
             last_list: None,
-            steady_offset,
+            monotonic_offset,
             generation: 0,
             wakes_at: u64::MAX,
         }
@@ -101,9 +101,13 @@
             machine,
             founders,
             seeds: (0..SEEDS.min(self.site.cores)).collect(),
-            target_voters: (2 * self.site.tolerated + 1).max(SEEDS.min(self.site.cores)),
+            target_voters: (2 * self.site.tolerated_core_losses + 1).max(SEEDS.min(self.site.cores)),
             leader: self.leader_settings(),
-            pacing: if self.site.processor.is_some() { Pacing::USUAL } else { Pacing::FREQUENT },
+            snapshot_policy: if self.site.processor.is_some() {
+                SnapshotPolicy::USUAL
+            } else {
+                SnapshotPolicy::FREQUENT
+            },
         };
         let rng = fastrand::Rng::with_seed(self.rng.u64(..));
         let now = self.now;
@@ -111,8 +115,8 @@
         core.had_first_start = true;
         core.powered = true;
         core.incarnation += 1;
-        let steady = now + core.steady_offset;
-        match CoreProcess::start(&settings, &core.directory, steady, rng) {
+        let monotonic_now = now + core.monotonic_offset;
+        match CoreProcess::start(&settings, &core.directory, monotonic_now, rng) {
             Ok(process) => {
                 core.process = Some(process);
                 core.wakes_at = u64::MAX;
@@ -124,7 +128,7 @@
     }
 
     /// Ends a machine's process. If `power_lost`, data that was not synced may be lost as well.
-    pub(super) fn core_dies(&mut self, machine: usize, power_lost: bool, wipe: bool) {
+    pub(super) fn end_core_process(&mut self, machine: usize, power_lost: bool, wipe: bool) {
         let now = self.now;
         let operations = self.rng.u64(0..=MAX_HALTED_OPERATIONS);
         let core = &mut self.cores[machine];
@@ -146,7 +150,7 @@
         }
         self.trace(|| format!("core {machine} dies (power lost: {power_lost}, disk lost: {wipe})"));
         if power_lost {
-            self.lose_connections_of(machine);
+            self.schedule_keepalive_timeouts(machine);
         } else {
             self.break_streams_of(machine);
         }
@@ -154,8 +158,8 @@
 
     /// Schedules the time at which edges notice a machine without power. Such a machine closes no
     /// connections, so only the edges' keepalive probes find out.
-    fn lose_connections_of(&mut self, machine: usize) {
-        let at = self.now + KEEPALIVE;
+    fn schedule_keepalive_timeouts(&mut self, machine: usize) {
+        let at = self.now + KEEPALIVE_TIMEOUT_NS;
         for (position, connection) in self.connections.iter().enumerate() {
             if connection.core == machine && connection.is_open {
                 self.queue.push(at, Event::EdgeHungUp { connection: position });
@@ -277,14 +281,14 @@
         }
         let now = self.now;
         let core = &mut self.cores[machine];
-        let steady = now + core.steady_offset;
-        let day = (DAY_BEGINS_MS + now / MS).saturating_add_signed(core.day_offset_ms);
+        let monotonic_now = now + core.monotonic_offset;
+        let time_of_day_ms = (DAY_BEGINS_MS + now / MS).saturating_add_signed(core.wall_clock_offset_ms);
         let Some(process) = core.process.as_mut() else { return };
         let was_leading = process.is_leading();
         let mut out = Vec::new();
-        process.handle(steady, day, event, &mut out);
+        process.handle(monotonic_now, time_of_day_ms, event, &mut out);
         let leads = process.is_leading();
-        let holds_lease = process.holds_lease(steady);
+        let holds_lease = process.holds_lease(monotonic_now);
         if leads != was_leading {
             let term = process.node().term();
             self.trace(|| {
@@ -306,7 +310,7 @@
         let holds_too = |machine: &usize| {
             let core = &self.cores[*machine];
             let process = core.process.as_ref().filter(|_| *machine != holder);
-            process.is_some_and(|process| process.holds_lease(now + core.steady_offset))
+            process.is_some_and(|process| process.holds_lease(now + core.monotonic_offset))
         };
         if let Some(other) = (0..self.cores.len()).find(holds_too) {
             self.record_process_fault(
@@ -320,7 +324,7 @@
         let now = self.now;
         let core = &mut self.cores[machine];
         let Some(process) = &core.process else { return };
-        let next = process.next_timer().saturating_sub(core.steady_offset).max(now + 1);
+        let next = process.next_timer().saturating_sub(core.monotonic_offset).max(now + 1);
         if next >= core.wakes_at && core.wakes_at > now {
             return;
         }
@@ -357,16 +361,16 @@
             CoreOutput::DiskBegins => self.disk_begins(machine),
             CoreOutput::DiskRetries => {
                 let event = Event::DiskDone { machine, incarnation: self.cores[machine].incarnation };
-                self.queue.push(self.now + DISK_RETRY, event);
+                self.queue.push(self.now + DISK_RETRY_NS, event);
             }
             CoreOutput::Removed => {
                 self.trace(|| format!("core {machine} was removed from the group"));
-                self.core_dies(machine, false, true);
+                self.end_core_process(machine, false, true);
                 self.restart_core(machine, 0);
             }
             CoreOutput::Stopped => {
                 if self.cores[machine].process.is_some() {
-                    self.core_dies(machine, false, false);
+                    self.end_core_process(machine, false, false);
                     self.restart_core(machine, ms(300));
                 }
             }
@@ -376,8 +380,8 @@
 
     fn disk_begins(&mut self, machine: usize) {
         let core = &self.cores[machine];
-        let spread = self.rng.u64(0..=self.site.sync / 2);
-        let at = self.now + (self.site.sync + spread) * core.disk_factor;
+        let spread = self.rng.u64(0..=self.site.disk_sync / 2);
+        let at = self.now + (self.site.disk_sync + spread) * core.disk_factor;
         self.queue.push(at, Event::DiskDone { machine, incarnation: core.incarnation });
     }
 
@@ -398,7 +402,7 @@
     }
 
     pub(super) fn restart_core(&mut self, machine: usize, after: u64) {
-        if self.cores[machine].leaves {
+        if self.cores[machine].retired {
             self.cores[machine].exists = false;
             return;
         }
@@ -418,7 +422,7 @@
 
     pub(super) fn grace_ends(&mut self, machine: usize, incarnation: u32) {
         if self.cores[machine].incarnation == incarnation && self.cores[machine].process.is_some() {
-            self.core_dies(machine, false, false);
+            self.end_core_process(machine, false, false);
             self.restart_core(machine, ms(300));
         }
     }
--- a/crates/simulation/src/world/edges.rs
+++ b/crates/simulation/src/world/edges.rs
@@ -15,7 +15,7 @@
 use crate::time::{ms, SECOND};
 
 /// Consecutive failed readiness probes after which the platform sends an edge no new connections.
-const MISSES: u32 = 2;
+const MAX_FAILED_PROBES: u32 = 2;
 /// Maximum number of pending requests at an edge.
 const MAX_REQUESTS: usize = 2_000;
 /// Maximum total size of pending requests at an edge, in bytes.
@@ -27,10 +27,10 @@
     pub(super) incarnation: u32,
     pub(super) frozen_until: u64,
     /// Position in the world's connections, by the edge's own connection number.
-    numbers: HashMap<u64, usize>,
+    connections_by_number: HashMap<u64, usize>,
     generation: u64,
     wakes_at: u64,
-    misses: u32,
+    failed_probes: u32,
 }
 
 impl Edge {
@@ -39,16 +39,16 @@
             upstream: None,
             incarnation: 0,
             frozen_until: 0,
-            numbers: HashMap::new(),
+            connections_by_number: HashMap::new(),
             generation: 0,
             wakes_at: u64::MAX,
-            misses: 0,
+            failed_probes: 0,
         }
     }
 
     /// Whether the platform sends new connections to this edge.
-    pub(super) fn is_in(&self) -> bool {
-        self.misses < MISSES
+    pub(super) fn receives_connections(&self) -> bool {
+        self.failed_probes < MAX_FAILED_PROBES
     }
 }
 
@@ -78,12 +78,12 @@
         machine.incarnation += 1;
         machine.upstream = Some(upstream);
         machine.wakes_at = u64::MAX;
-        machine.numbers.clear();
-        self.edge_does(edge, Upstream::poll);
+        machine.connections_by_number.clear();
+        self.run_edge(edge, Upstream::poll);
     }
 
     /// Ends the process of an edge: its connections to the core and to clients break.
-    pub(super) fn edge_dies(&mut self, edge: usize) {
+    pub(super) fn end_edge_process(&mut self, edge: usize) {
         if self.edges[edge].upstream.take().is_none() {
             return;
         }
@@ -109,11 +109,11 @@
             return;
         }
         self.edges[edge].wakes_at = u64::MAX;
-        self.edge_does(edge, Upstream::poll);
+        self.run_edge(edge, Upstream::poll);
     }
 
     /// Runs an action on an edge's upstream and carries out its outputs.
-    pub(super) fn edge_does(
+    pub(super) fn run_edge(
         &mut self,
         edge: usize,
         action: impl FnOnce(&mut Upstream, u64, &mut EdgeOutputs),
@@ -153,7 +153,7 @@
                 self.open_connection(edge, connection, core);
             }
             UpstreamOutput::Close { connection } => {
-                if let Some(position) = self.edges[edge].numbers.remove(&connection) {
+                if let Some(position) = self.edges[edge].connections_by_number.remove(&connection) {
                     if std::mem::replace(&mut self.connections[position].is_open, false) {
                         self.hang_up_core(position);
                     }
@@ -176,12 +176,12 @@
             core_incarnation: 0,
             is_open: false,
         });
-        self.edges[edge].numbers.insert(number, position);
+        self.edges[edge].connections_by_number.insert(number, position);
         let reachable = core < self.cores.len() && self.cores[core].exists && self.cores[core].powered;
         // A machine without power, or behind a partition, does not answer at all.
         if reachable && self.network.passes(Endpoint::Edge(edge), Endpoint::Core(core)) {
             let event = Event::EdgeConnects { connection: position };
-            self.send_alone(Endpoint::Edge(edge), Endpoint::Core(core), event);
+            self.send_unordered(Endpoint::Edge(edge), Endpoint::Core(core), event);
         }
     }
 
@@ -197,24 +197,24 @@
     pub(super) fn edge_connected(&mut self, connection: usize, stands: bool) {
         let link = &self.connections[connection];
         let (edge, number) = (link.edge, link.number);
-        let wanted = self.edges[edge].numbers.get(&number) == Some(&connection);
+        let wanted = self.edges[edge].connections_by_number.get(&number) == Some(&connection);
         if !wanted || self.edges[edge].incarnation != link.edge_incarnation {
             return;
         }
-        if self.put_off_frozen_edge(edge, Event::EdgeConnected { connection, stands }).is_none() {
+        if self.defer_if_edge_frozen(edge, Event::EdgeConnected { connection, stands }).is_none() {
             return;
         }
         if !stands {
-            self.edges[edge].numbers.remove(&number);
-            self.edge_does(edge, |upstream, now, out| upstream.disconnected(now, number, out));
+            self.edges[edge].connections_by_number.remove(&number);
+            self.run_edge(edge, |upstream, now, out| upstream.disconnected(now, number, out));
             return;
         }
         self.connections[connection].is_open = true;
-        self.edge_does(edge, |upstream, now, out| upstream.connected(now, number, out));
+        self.run_edge(edge, |upstream, now, out| upstream.connected(now, number, out));
     }
 
     /// Reschedules an event for the end of the edge's freeze. Returns `None` if the edge is frozen.
-    fn put_off_frozen_edge(&mut self, edge: usize, event: Event) -> Option<()> {
+    fn defer_if_edge_frozen(&mut self, edge: usize, event: Event) -> Option<()> {
         let until = self.edges[edge].frozen_until;
         if until > self.now {
             self.queue.push(until, event);
@@ -224,7 +224,7 @@
     }
 
     fn send_frames(&mut self, edge: usize, number: u64, bytes: &[u8]) {
-        let Some(connection) = self.edges[edge].numbers.get(&number).copied() else { return };
+        let Some(connection) = self.edges[edge].connections_by_number.get(&number).copied() else { return };
         let core = self.connections[connection].core;
         let mut reader = FrameReader::new();
         reader.buffer().extend_from_slice(bytes);
@@ -264,7 +264,7 @@
         let link = &self.connections[connection];
         let (edge, number) = (link.edge, link.number);
         if self.edges[edge].incarnation != link.edge_incarnation
-            || self.edges[edge].numbers.get(&number) != Some(&connection)
+            || self.edges[edge].connections_by_number.get(&number) != Some(&connection)
         {
             return;
         }
@@ -273,7 +273,7 @@
             self.queue.push(until, Event::ToEdge { connection, frame });
             return;
         }
-        self.edge_does(edge, |upstream, now, out| upstream.received(now, number, frame, out));
+        self.run_edge(edge, |upstream, now, out| upstream.received(now, number, frame, out));
     }
 
     /// Breaks a connection on both sides.
@@ -300,15 +300,15 @@
         let link = &self.connections[connection];
         let (edge, number) = (link.edge, link.number);
         if self.edges[edge].incarnation != link.edge_incarnation
-            || self.edges[edge].numbers.get(&number) != Some(&connection)
+            || self.edges[edge].connections_by_number.get(&number) != Some(&connection)
         {
             return;
         }
-        if self.put_off_frozen_edge(edge, Event::EdgeHungUp { connection }).is_none() {
+        if self.defer_if_edge_frozen(edge, Event::EdgeHungUp { connection }).is_none() {
             return;
         }
-        self.edges[edge].numbers.remove(&number);
-        self.edge_does(edge, |upstream, now, out| upstream.disconnected(now, number, out));
+        self.edges[edge].connections_by_number.remove(&number);
+        self.run_edge(edge, |upstream, now, out| upstream.disconnected(now, number, out));
     }
 
     /// Notifies the core process that an edge's connection is closed.
@@ -327,7 +327,7 @@
         for edge in &mut self.edges {
             let awake = edge.frozen_until <= now;
             let ready = edge.upstream.as_ref().is_some_and(|upstream| awake && upstream.is_ready(now));
-            edge.misses = if ready { 0 } else { edge.misses.saturating_add(1) };
+            edge.failed_probes = if ready { 0 } else { edge.failed_probes.saturating_add(1) };
         }
         self.queue.push(now + SECOND, Event::ReadinessAsked);
     }
--- a/crates/simulation/src/world/fault_injection/cores.rs
+++ b/crates/simulation/src/world/fault_injection/cores.rs
@@ -7,13 +7,13 @@
 use crate::world::World;
 
 /// Connections are refused within this time, in nanoseconds.
-const REFUSED_WITHIN: u64 = 60 * MS;
+const MAX_REFUSAL_DELAY_NS: u64 = 60 * MS;
 /// Period of a slow process, in nanoseconds. The process is frozen during the first part of each period.
-const SLOW_PERIOD: u64 = 60 * MS;
+const SLOW_PERIOD_NS: u64 = 60 * MS;
 /// Frozen part of the period, in nanoseconds: the process runs at a fifth of its speed.
-const FROZEN_PART: u64 = 48 * MS;
+const FROZEN_TIME_NS: u64 = 48 * MS;
 /// Factor by which a slow disk takes longer.
-const SLOW_DISK: u64 = 30;
+const SLOW_DISK_FACTOR: u64 = 30;
 /// Size of a clock jump, in milliseconds.
 const CLOCK_JUMP_MS: i64 = 2_000;
 
@@ -74,15 +74,15 @@
         let until = self.now + fault.lasts;
         match fault.kind {
             CoreKill(_) => {
-                self.core_dies(machine, false, false);
+                self.end_core_process(machine, false, false);
                 self.restart_core(machine, ms(100 + fault.pick % 900));
             }
             CorePower(_) => {
-                self.core_dies(machine, true, false);
+                self.end_core_process(machine, true, false);
                 self.restart_core(machine, fault.lasts);
             }
             CoreWipe(_) => {
-                self.core_dies(machine, true, true);
+                self.end_core_process(machine, true, true);
                 self.restart_core(machine, fault.lasts);
             }
             CoreReplace(_) => self.replace_core(machine),
@@ -94,7 +94,7 @@
             CorePartitionOneWay(_) => self.partition(Partition::SendsToCores(machine), until),
             CoreIsolate(_) => self.partition(Partition::FromAll(Endpoint::Core(machine)), until),
             CoreTerm(_) => self.stop_core(machine),
-            DiskSlow(_) => self.cores[machine].disk_factor = SLOW_DISK,
+            DiskSlow(_) => self.cores[machine].disk_factor = SLOW_DISK_FACTOR,
             DiskStall(_) => self.cores[machine].disk_stalled_until = until,
             DiskFull(_) => {
                 let directory = &self.cores[machine].directory;
@@ -118,7 +118,7 @@
         self.partition(Partition::FromCores(machine), until);
         for other in (0..self.cores.len()).filter(|other| *other != machine) {
             for (refused_by, refused) in [(other, machine), (machine, other)] {
-                let at = self.now + self.rng.u64(0..REFUSED_WITHIN);
+                let at = self.now + self.rng.u64(0..MAX_REFUSAL_DELAY_NS);
                 let incarnation = self.cores[refused_by].incarnation;
                 self.queue.push(at, Event::PeerRefused { machine: refused_by, incarnation, refused });
             }
@@ -129,16 +129,16 @@
     fn slow_core(&mut self, machine: usize, until: u64) {
         let mut at = self.now;
         while at < until {
-            self.queue.push(at, Event::CoreFreezes { machine, until: at + FROZEN_PART });
-            at += SLOW_PERIOD;
+            self.queue.push(at, Event::CoreFreezes { machine, until: at + FROZEN_TIME_NS });
+            at += SLOW_PERIOD_NS;
         }
     }
 
-    pub(super) fn step_clocks(&mut self, fault: &InjectedFault) -> Vec<usize> {
+    pub(super) fn jump_clock(&mut self, fault: &InjectedFault) -> Vec<usize> {
         self.history.clocks_jump = true;
         let jump = if fault.pick & 1 == 0 { CLOCK_JUMP_MS } else { -CLOCK_JUMP_MS };
         let machine = fault.pick as usize / 2 % self.cores.len();
-        self.cores[machine].day_offset_ms = jump;
+        self.cores[machine].wall_clock_offset_ms = jump;
         let until = self.now + fault.lasts;
         self.record_machine_fault(machine, until);
         self.record_core_fault(until);
--- a/crates/simulation/src/world/fault_injection/edges.rs
+++ b/crates/simulation/src/world/fault_injection/edges.rs
@@ -12,7 +12,7 @@
         self.record_machine_fault(FIRST_EDGE + edge, until);
         match fault.kind {
             FaultKind::EdgeKill => {
-                self.edge_dies(edge);
+                self.end_edge_process(edge);
                 self.restart_edge(edge, ms(100 + fault.pick % 900));
             }
             FaultKind::EdgeFreeze => self.edges[edge].frozen_until = until,
--- a/crates/simulation/src/world/fault_injection/final_fault.rs
+++ b/crates/simulation/src/world/fault_injection/final_fault.rs
@@ -5,7 +5,7 @@
 use crate::time::ms;
 use crate::world::World;
 
-use super::groups::RESTART_SPREAD;
+use super::groups::RESTART_SPREAD_NS;
 
 impl World {
     pub(in crate::world) fn arm_final_fault(&mut self) {
@@ -17,7 +17,7 @@
         let Some(closing) = self.script.closing else { return };
         let down = ms(self.rng.u64(1_000..3_000));
         self.trace(|| format!("final fault: {closing:?}"));
-        self.history.final_fault = Some(Span { from: self.now, until: self.now + down + RESTART_SPREAD });
+        self.history.final_fault = Some(Span { from: self.now, until: self.now + down + RESTART_SPREAD_NS });
         match closing {
             Closing::PowerOffAll => {
                 self.inject_on_all_cores(true, down);
@@ -28,10 +28,10 @@
                 self.kill_all_edges(0);
             }
             Closing::WipeAfterAck => {
-                let may_wipe = self.lost_cores() < self.site.tolerated;
+                let may_wipe = self.lost_cores() < self.site.tolerated_core_losses;
                 self.record_core_loss(machine, self.now + down);
                 if may_wipe {
-                    self.core_dies(machine, true, true);
+                    self.end_core_process(machine, true, true);
                     self.restart_core(machine, down);
                 }
                 if self.rng.bool() {
--- a/crates/simulation/src/world/fault_injection/mod.rs
+++ b/crates/simulation/src/world/fault_injection/mod.rs
@@ -16,17 +16,17 @@
 use crate::world::World;
 
 /// Delay before a fault is retried that would lose too many machines at the same time, in nanoseconds.
-const PUT_OFF: u64 = 500 * MS;
+const RETRY_DELAY_NS: u64 = 500 * MS;
 /// Longest power loss of all core machines right after a job was accepted, in nanoseconds.
-const MAX_POWER_LOSS_AFTER_ACCEPT: u64 = 4 * SECOND;
+const MAX_POWER_LOSS_AFTER_ACCEPT_NS: u64 = 4 * SECOND;
 
 impl World {
     pub(super) fn fault_begins(&mut self, position: usize) {
         let fault = self.faults[position];
-        let traffic_end = self.site.lead + self.site.length;
-        if fault.kind.loses_core() && self.lost_cores() >= self.site.tolerated {
-            if self.now + PUT_OFF < traffic_end {
-                self.queue.push(self.now + PUT_OFF, Event::FaultBegins { fault: position });
+        let traffic_end = self.site.traffic_start + self.site.traffic_length;
+        if fault.kind.loses_core() && self.lost_cores() >= self.site.tolerated_core_losses {
+            if self.now + RETRY_DELAY_NS < traffic_end {
+                self.queue.push(self.now + RETRY_DELAY_NS, Event::FaultBegins { fault: position });
             }
             return;
         }
@@ -41,12 +41,12 @@
         match self.faults[position].kind {
             AppliedLate => self.late_share = 0.0,
             AckLost => self.operator.lost_share = 0.0,
-            GiveUp => self.clients.hurry = false,
+            GiveUp => self.clients.leave_early = false,
             DiskSlow(_) => touched.iter().for_each(|machine| self.cores[*machine].disk_factor = 1),
             DiskFull(_) => {
                 touched.iter().for_each(|machine| self.cores[*machine].directory.set_capacity(None));
             }
-            ClockStep => touched.iter().for_each(|machine| self.cores[*machine].day_offset_ms = 0),
+            ClockStep => touched.iter().for_each(|machine| self.cores[*machine].wall_clock_offset_ms = 0),
             WorkerSlow | WorkerFailing | WorkerStalled | WorkerBusy | WorkerMute | WorkerHang => {
                 for worker in touched {
                     self.fleet.set_condition(*worker, now, |condition| *condition = Default::default());
@@ -63,9 +63,9 @@
             AllCoresKill => self.inject_on_all_cores(false, 0),
             AllCoresPower => self.inject_on_all_cores(true, fault.lasts),
             AllCoresAfterAccept => {
-                self.power_loss_of_all_after_accept = Some(fault.lasts.min(MAX_POWER_LOSS_AFTER_ACCEPT));
+                self.power_loss_of_all_after_accept = Some(fault.lasts.min(MAX_POWER_LOSS_AFTER_ACCEPT_NS));
             }
-            ClockStep => return self.step_clocks(fault),
+            ClockStep => return self.jump_clock(fault),
             EdgesLost => self.kill_most_edges(fault.lasts),
             EdgeKill | EdgeFreeze | EdgePartition => self.inject_on_edge(fault),
             ResetConnections => self.reset_connections(fault),
@@ -84,7 +84,7 @@
             Burst => self.burst(fault, false),
             Poison => self.burst(fault, true),
             Cancels => self.cancel_many(fault),
-            GiveUp => self.clients.hurry = true,
+            GiveUp => self.clients.leave_early = true,
             kind if kind.loses_core() => return self.inject_on_core(fault),
             _ => return self.inject_on_workers(fault),
         }
--- a/crates/simulation/src/world/fault_injection/power_loss.rs
+++ b/crates/simulation/src/world/fault_injection/power_loss.rs
@@ -7,7 +7,7 @@
 use crate::world::World;
 
 /// A machine loses power within this time of an acknowledgement, in nanoseconds.
-const POWER_LOSS_DELAY: u64 = 4 * MS;
+const MAX_POWER_LOSS_DELAY_NS: u64 = 4 * MS;
 
 impl World {
     /// Injects the faults that wait for the acceptance of a job.
@@ -42,10 +42,10 @@
     }
 
     fn schedule_power_loss(&mut self, machine: usize, wipe: bool, lasts: u64) {
-        if self.lost_cores() >= self.site.tolerated {
+        if self.lost_cores() >= self.site.tolerated_core_losses {
             return;
         }
-        let at = self.now + self.rng.u64(0..POWER_LOSS_DELAY);
+        let at = self.now + self.rng.u64(0..MAX_POWER_LOSS_DELAY_NS);
         self.record_core_loss(machine, at + lasts);
         let incarnation = self.cores[machine].incarnation;
         self.queue.push(at, Event::PowerFails { machine, incarnation, wipe, lasts });
@@ -53,7 +53,7 @@
 
     pub(in crate::world) fn power_fails(&mut self, machine: usize, incarnation: u32, wipe: bool, lasts: u64) {
         if self.cores[machine].incarnation == incarnation && self.cores[machine].process.is_some() {
-            self.core_dies(machine, true, wipe);
+            self.end_core_process(machine, true, wipe);
             self.restart_core(machine, lasts);
         }
     }
--- a/crates/simulation/src/world/fault_injection/replacement.rs
+++ b/crates/simulation/src/world/fault_injection/replacement.rs
@@ -6,7 +6,7 @@
 
 /// In a planned replacement, the old machine is asked to stop this long after the spare one starts, in
 /// nanoseconds.
-const PLANNED_OVERLAP: u64 = SECOND;
+const PLANNED_OVERLAP_NS: u64 = SECOND;
 
 impl World {
     pub(super) fn replace_core(&mut self, machine: usize) {
@@ -18,7 +18,7 @@
         if self.cores[spare].incarnation > 0 {
             return;
         }
-        self.core_dies(machine, true, true);
+        self.end_core_process(machine, true, true);
         self.cores[machine].exists = false;
         self.cores[spare].exists = true;
         let until = self.now + SECOND;
@@ -31,7 +31,7 @@
         let is_spare = |other: &usize| !self.cores[*other].exists && self.cores[*other].incarnation == 0;
         let Some(spare) = (self.site.cores..self.cores.len()).find(is_spare) else { return };
         self.cores[spare].exists = true;
-        let until = self.now + PLANNED_OVERLAP;
+        let until = self.now + PLANNED_OVERLAP_NS;
         self.record_core_loss(spare, until);
         self.restart_core(spare, 0);
         let incarnation = self.cores[machine].incarnation;
@@ -44,7 +44,7 @@
             return;
         }
         self.record_core_loss(machine, self.now + ms(self.site.bounds.grace_ms));
-        self.cores[machine].leaves = true;
+        self.cores[machine].retired = true;
         self.stop_core(machine);
     }
 }
--- a/crates/simulation/src/world/fault_injection/workers.rs
+++ b/crates/simulation/src/world/fault_injection/workers.rs
@@ -9,7 +9,7 @@
 use crate::world::World;
 
 /// Fraction of a service's workers that a fault affects.
-const WORKER_SHARE: f64 = 0.2;
+const AFFECTED_WORKER_FRACTION: f64 = 0.2;
 
 impl World {
     pub(super) fn inject_on_workers(&mut self, fault: &InjectedFault) -> Vec<usize> {
@@ -18,7 +18,7 @@
             .filter(|worker| self.fleet.workers[*worker].service == service)
             .filter(|worker| self.fleet.workers[*worker].incarnation.is_some())
             .collect();
-        let count = ((up.len() as f64 * WORKER_SHARE) as usize).max(1);
+        let count = ((up.len() as f64 * AFFECTED_WORKER_FRACTION) as usize).max(1);
         let mut chosen = up;
         fastrand::Rng::with_seed(fault.pick).shuffle(&mut chosen);
         chosen.truncate(count);
--- a/crates/simulation/src/world/idle.rs
+++ b/crates/simulation/src/world/idle.rs
@@ -13,14 +13,14 @@
 use crate::workload::{JobPlan, Queue};
 
 /// Time between two checks, in nanoseconds.
-const INTERVAL: u64 = 250 * MS;
+const CHECK_INTERVAL_NS: u64 = 250 * MS;
 /// A worker's clock may be slow by one part in this many.
 const CLOCK_RATE_PART: u64 = 49;
 /// Time after the lease period in which the expiry becomes certain and is committed and a start follows, in
 /// nanoseconds.
-const WORKER_LEASE_SLACK: u64 = 500 * MS;
+const WORKER_LEASE_SLACK_NS: u64 = 500 * MS;
 /// Longest time that a job may stay idle without a reason, in nanoseconds.
-const BOUND: u64 = 3_000 * MS;
+const MAX_IDLE_NS: u64 = 3_000 * MS;
 
 /// Results of the checks so far.
 #[derive(Default)]
@@ -39,9 +39,9 @@
 impl World {
     pub(super) fn check_idle(&mut self) {
         let now = self.now;
-        self.queue.push(now + INTERVAL, Event::ChecksIdle);
-        self.follow_calls();
-        self.follow_runs();
+        self.queue.push(now + CHECK_INTERVAL_NS, Event::ChecksIdle);
+        self.update_watched_jobs();
+        self.update_task_results();
         let running = self.running_jobs();
         let open: Vec<u64> = self.idle.open.iter().copied().collect();
         for job in open {
@@ -49,7 +49,7 @@
                 self.idle.open.remove(&job);
             } else if !running.contains(&job) && self.could_run(job) {
                 let since = *self.idle.since.entry(job).or_insert(now);
-                if now - since >= BOUND && self.idle.reported.insert(job) {
+                if now - since >= MAX_IDLE_NS && self.idle.reported.insert(job) {
                     let worker_was_lost = self.lost_its_worker(job);
                     self.trace(|| format!("idle: {job:016x} {:?}", self.history.jobs[&job].body.stages));
                     self.history.idle.push(IdleJob { job, since, at: now, worker_was_lost });
@@ -61,7 +61,7 @@
     }
 
     /// Watches each job from its acceptance until a client asks to cancel it.
-    fn follow_calls(&mut self) {
+    fn update_watched_jobs(&mut self) {
         let watch = &mut self.idle;
         for (position, call) in self.history.calls.iter().enumerate().skip(watch.seen_calls) {
             let Some((_, answer)) = &call.answer else {
@@ -80,12 +80,12 @@
     }
 
     /// Updates the tasks that are done and the number of failures of each task.
-    fn follow_runs(&mut self) {
+    fn update_task_results(&mut self) {
         let watch = &mut self.idle;
         watch.unfinished_runs.extend(watch.seen_runs..self.history.runs.len());
         watch.seen_runs = self.history.runs.len();
         let history = &self.history;
-        let (done, recorded, failures) = (&mut self.done, &mut watch.recorded, &mut watch.failures);
+        let (done, recorded, failures) = (&mut self.task_done_at, &mut watch.recorded, &mut watch.failures);
         watch.unfinished_runs.retain(|position| {
             let run = &history.runs[*position];
             let Some(end) = &run.end else { return true };
@@ -97,7 +97,9 @@
                     }
                     recorded.insert(run.key.task);
                 }
-                Some(EndKind::FAILED) => *failures.entry(history.counted_as(&run.key)).or_insert(0) += 1,
+                Some(EndKind::FAILED) => {
+                    *failures.entry(history.failure_counted_for(&run.key)).or_insert(0) += 1
+                }
                 _ => {}
             }
             false
@@ -131,12 +133,12 @@
         let limit = Queue::ALL[plan.queue].max_retries;
         let failed =
             self.idle.failures.range(first_task(job)..=last_task(job)).any(|(_, count)| *count >= limit);
-        failed || plan.all_tasks().all(|task| self.done.contains_key(&task))
+        failed || plan.all_tasks().all(|task| self.task_done_at.contains_key(&task))
     }
 
     /// Whether a task of the job is ready and healthy workers have capacity for it twice over.
     fn could_run(&self, job: u64) -> bool {
-        if !self.is_calm() || self.may_be_held(job) {
+        if !self.is_fault_free() || self.may_run_on_unreachable_worker(job) {
             return false;
         }
         let plan = &self.history.jobs[&job];
@@ -147,18 +149,18 @@
     }
 
     fn any_ready_step_fits(&self, plan: &JobPlan, time: u32) -> bool {
-        let is_done = |task: &TaskKey| self.done.contains_key(task);
+        let is_done = |task: &TaskKey| self.task_done_at.contains_key(task);
         let is_recorded = |task: TaskKey| self.idle.recorded.contains(&task);
         plan.body.stages.iter().enumerate().any(|(step, stage)| {
             let waits =
                 stage.depends_on.iter().any(|before| !plan.step_tasks(time, *before).all(is_recorded));
             let step = step as u32;
             let left = plan.step_tasks(time, step).any(|task| !is_done(&task));
-            !waits && left && self.has_room_twice(plan, stage)
+            !waits && left && self.has_capacity_twice(plan, stage)
         })
     }
 
-    fn has_room_twice(&self, plan: &JobPlan, stage: &Stage) -> bool {
+    fn has_capacity_twice(&self, plan: &JobPlan, stage: &Stage) -> bool {
         let service = Queue::ALL[plan.queue].service;
         let need = need_of(stage);
         let wanted = if stage.gang { 2 * u64::from(stage.count) } else { 2 };
@@ -170,7 +172,7 @@
             used += worker.used().cpu;
             all += worker.available.cpu;
             let fit = stage.constraint.is_empty() || worker.labels.contains(&stage.constraint);
-            if fit && fits(need, worker.free()) && self.is_sound(position) {
+            if fit && fits(need, worker.free()) && self.is_healthy(position) {
                 let free = worker.free();
                 let mut here = free.cpu.checked_div(need.cpu).unwrap_or(1);
                 here = here.min(free.mem_mb.checked_div(need.mem_mb).unwrap_or(here));
@@ -186,9 +188,9 @@
 
     /// Whether a run of the job, or an ordered start, may still go on at an unreachable worker. Until that
     /// worker's lease has expired, another start could break the rule TWICE.
-    fn may_be_held(&self, job: u64) -> bool {
+    fn may_run_on_unreachable_worker(&self, job: u64) -> bool {
         let worker_lease = ms(self.site.bounds.max_worker_lease_ms);
-        let lapses_within = worker_lease + worker_lease / CLOCK_RATE_PART + WORKER_LEASE_SLACK;
+        let lapses_within = worker_lease + worker_lease / CLOCK_RATE_PART + WORKER_LEASE_SLACK_NS;
         // A leader that never reached the worker cannot know how long before its own term the lease was last
         // extended.
         let faults = self.history.core_faults.iter().filter(|span| span.from <= self.now);
@@ -196,7 +198,7 @@
         let may_be_in_force = |order: &StartOrder| {
             let faults = self.history.worker_faults.iter().filter(|(worker, ..)| *worker == order.worker);
             let mut hidden = faults.filter_map(|(_, span, kind)| {
-                let from = span.from + kind.hides_worker_after()?;
+                let from = span.from + kind.makes_worker_unreachable_after()?;
                 // An order that is sent while the worker is unreachable carries a deadline of its own.
                 Some(if span.touches(order.at, order.at) { from.max(order.at) } else { from })
             });
@@ -206,14 +208,14 @@
     }
 
     /// Whether the worker has no fault now and had none recently.
-    fn is_sound(&self, worker: usize) -> bool {
-        let from = self.now.saturating_sub(BOUND + ms(self.site.bounds.contact_ms));
+    fn is_healthy(&self, worker: usize) -> bool {
+        let from = self.now.saturating_sub(MAX_IDLE_NS + ms(self.site.bounds.contact_ms));
         let faults = &self.history.worker_faults;
-        !faults.iter().any(|(troubled, span, _)| *troubled == worker && span.touches(from, self.now))
+        !faults.iter().any(|(faulty, span, _)| *faulty == worker && span.touches(from, self.now))
     }
 
     /// Whether the core is stable, its machines are in contact and no order can be carried out late.
-    fn is_calm(&self) -> bool {
+    fn is_fault_free(&self) -> bool {
         let from = self.now.saturating_sub(ms(self.site.bounds.contact_ms));
         let core = self.history.core_faults.iter().any(|span| span.touches(from, self.now));
         let machines = self.history.machine_faults.iter().any(|(_, span)| span.touches(from, self.now));
--- a/crates/simulation/src/world/mod.rs
+++ b/crates/simulation/src/world/mod.rs
@@ -70,7 +70,7 @@
     /// Fraction of the orders that workers carry out late.
     late_share: f64,
     /// Time at which each task ended successfully, as listed by its worker.
-    done: HashMap<TaskKey, u64>,
+    task_done_at: HashMap<TaskKey, u64>,
     incarnations: BTreeMap<String, usize>,
     /// The final fault is injected at the next acknowledgement.
     final_fault_armed: bool,
@@ -139,7 +139,7 @@
             if let Some(digest) = &mut self.digest {
                 digest.event(self.now, &event);
             }
-            self.happen(event);
+            self.handle_event(event);
             self.schedule_fleet();
         }
         self.now = end;
@@ -152,7 +152,7 @@
         self.site.day_length() + closing + ms(self.site.bounds.finish_ms)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::CoreStarts { machine, power } => self.core_starts(machine, power),
             Event::CoreWakes { machine, incarnation, generation } => {
@@ -212,7 +212,7 @@
                 self.power_fails(machine, incarnation, wipe, lasts);
             }
             Event::FirstConfiguration => self.send_first_configuration(),
-            Event::FinalQuestions => self.ask_for_all_jobs(),
+            Event::FinalQuestions => self.read_all_jobs(),
             Event::Closing => self.arm_final_fault(),
         }
     }
@@ -220,7 +220,7 @@
     /// Schedules the next timer of the workers and sends the answers to long polls that became due.
     fn schedule_fleet(&mut self) {
         for (token, outcome) in std::mem::take(&mut self.fleet.answered) {
-            self.late_answer(token, outcome);
+            self.send_worker_answer(token, outcome);
         }
         let next = self.fleet.next_timer();
         if next < self.fleet_wakes_at {
--- a/crates/simulation/src/world/network.rs
+++ b/crates/simulation/src/world/network.rs
@@ -8,9 +8,9 @@
 use crate::time::MS;
 
 /// A stream breaks if a partition holds its bytes back for longer than this, in nanoseconds.
-const USER_TIMEOUT: u64 = 1_500 * MS;
+const USER_TIMEOUT_NS: u64 = 1_500 * MS;
 /// Longest random delay in addition to the link's own, in nanoseconds.
-const JITTER: u64 = MS;
+const MAX_JITTER_NS: u64 = MS;
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -39,7 +39,7 @@
 }
 
 impl Partition {
-    fn severs(&self, from: Endpoint, to: Endpoint) -> bool {
+    fn blocks(&self, from: Endpoint, to: Endpoint) -> bool {
         let (Endpoint::Core(_), Endpoint::Core(_)) = (from, to) else {
             if let Partition::WorkerFromCores(worker) = self {
                 let ends = (from, to);
@@ -60,7 +60,7 @@
 }
 
 /// A message that a partition holds back.
-struct Held {
+struct HeldMessage {
     since: u64,
     from: Endpoint,
     to: Endpoint,
@@ -73,13 +73,13 @@
 pub struct Network {
     partitions: Vec<(Partition, u64)>,
     arrivals: HashMap<(Endpoint, Endpoint, u64), u64>,
-    held: Vec<Held>,
+    held: Vec<HeldMessage>,
 }
 
 impl Network {
     /// Whether bytes pass from one end to the other.
     pub fn passes(&self, from: Endpoint, to: Endpoint) -> bool {
-        !self.partitions.iter().any(|(partition, _)| partition.severs(from, to))
+        !self.partitions.iter().any(|(partition, _)| partition.blocks(from, to))
     }
 }
 
@@ -87,11 +87,11 @@
     /// One-way delay between two ends, with random jitter.
     pub(super) fn delay(&mut self, from: Endpoint, to: Endpoint) -> u64 {
         let base = match (self.zone_of(from), self.zone_of(to)) {
-            (Some(left), Some(right)) if left == right => self.site.near_delay,
-            (Some(_), Some(_)) => self.site.far_delay,
+            (Some(left), Some(right)) if left == right => self.site.same_zone_delay,
+            (Some(_), Some(_)) => self.site.cross_zone_delay,
             _ => self.site.client_delay,
         };
-        base + self.rng.u64(0..JITTER)
+        base + self.rng.u64(0..MAX_JITTER_NS)
     }
 
     fn zone_of(&self, end: Endpoint) -> Option<usize> {
@@ -107,7 +107,7 @@
     pub(super) fn send_on_stream(&mut self, from: Endpoint, to: Endpoint, stream: u64, event: Event) {
         if !self.network.passes(from, to) {
             let since = self.now;
-            self.network.held.push(Held { since, from, to, stream, event });
+            self.network.held.push(HeldMessage { since, from, to, stream, event });
             return;
         }
         let arrival = self.now + self.delay(from, to);
@@ -118,10 +118,10 @@
     }
 
     /// Sends a message outside a stream: it may overtake others, and a partition holds it back.
-    pub(super) fn send_alone(&mut self, from: Endpoint, to: Endpoint, event: Event) {
+    pub(super) fn send_unordered(&mut self, from: Endpoint, to: Endpoint, event: Event) {
         if !self.network.passes(from, to) {
             let since = self.now;
-            self.network.held.push(Held { since, from, to, stream: u64::MAX, event });
+            self.network.held.push(HeldMessage { since, from, to, stream: u64::MAX, event });
             return;
         }
         let at = self.now + self.delay(from, to);
@@ -144,7 +144,7 @@
                 self.network.held.push(held);
                 continue;
             }
-            let too_old = now.saturating_sub(held.since) > USER_TIMEOUT;
+            let too_old = now.saturating_sub(held.since) > USER_TIMEOUT_NS;
             match &held.event {
                 Event::CoreFrame { .. } if too_old => self.break_core_stream(held.from, held.to),
                 Event::EdgeFrame { connection, .. } | Event::ToEdge { connection, .. } if too_old => {
@@ -153,7 +153,7 @@
                 // A call whose caller closed the connection arrives in half of the cases.
                 Event::CallArrives { .. } | Event::CallAnswered { .. } if self.rng.bool() => {}
                 Event::CallArrives { .. } | Event::CallAnswered { .. } => {
-                    self.send_alone(held.from, held.to, held.event);
+                    self.send_unordered(held.from, held.to, held.event);
                 }
                 _ => self.send_on_stream(held.from, held.to, held.stream, held.event),
             }
--- a/crates/simulation/src/world/operator.rs
+++ b/crates/simulation/src/world/operator.rs
@@ -9,25 +9,25 @@
 use crate::workload::{Queue, STRETCH, TARGET_LATENCY_MS};
 
 /// Time after which the operator stops waiting for an answer, in nanoseconds.
-const PATIENCE: u64 = SECOND;
+const REPLY_TIMEOUT_NS: u64 = SECOND;
 /// Mean time between two reads of the configuration, in nanoseconds.
-const LOOK_INTERVAL: u64 = 400 * MS;
+const QUERY_INTERVAL_NS: u64 = 400 * MS;
 /// Maximum number of attempts of one change.
-const MAX_TRIES: u32 = 40;
+const MAX_ATTEMPTS: u32 = 40;
 /// Maximum number of redirects followed in one attempt.
 const MAX_REDIRECTS: u32 = 2;
 /// Base of the exponential backoff between attempts, in nanoseconds.
-const LEAST_BACKOFF: u64 = 100 * MS;
+const BASE_BACKOFF_NS: u64 = 100 * MS;
 /// Longest backoff between attempts, in nanoseconds.
-const MOST_BACKOFF: u64 = SECOND;
+const MAX_BACKOFF_NS: u64 = SECOND;
 
 /// Why a configuration is invalid.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Defect {
-    CutShort,
+    Truncated,
     UnknownService,
-    SamePlace,
-    NoTimeout,
+    DuplicatePrefix,
+    ZeroTimeout,
     OldVersion,
 }
 
@@ -38,18 +38,18 @@
     exchanges: Vec<Exchange>,
     /// Newest acknowledged version, and its additional prefixes.
     version: u64,
-    extras: Vec<String>,
+    extra_prefixes: Vec<String>,
     next_extra: u32,
     next_version: u64,
     /// Fraction of the acknowledgements that are lost.
     pub(super) lost_share: f64,
-    read_back_tries: u32,
+    read_back_attempts: u32,
     /// Power loss of the machine that acknowledges next: whether its disk is lost as well, and for how long.
     pub(super) power_loss_after_acknowledgement: Option<(bool, u64)>,
 }
 
 struct OrderProgress {
-    tries: u32,
+    attempts: u32,
     machine: usize,
     closed: bool,
 }
@@ -85,8 +85,8 @@
     /// Sends a change of the newest version that adds or removes a queue.
     pub(super) fn change_configuration(&mut self) {
         let base = self.operator.version;
-        let extras = self.changed_extras();
-        let order = self.make_order(base, extras);
+        let extra_prefixes = self.changed_extra_prefixes();
+        let order = self.make_order(base, extra_prefixes);
         self.send_order(order);
     }
 
@@ -94,42 +94,42 @@
     pub(super) fn race_configurations(&mut self) {
         let base = self.operator.version;
         for _ in 0..2 {
-            let extras = self.changed_extras();
-            let order = self.make_order(base, extras);
+            let extra_prefixes = self.changed_extra_prefixes();
+            let order = self.make_order(base, extra_prefixes);
             self.send_order(order);
         }
     }
 
     /// Sends a configuration that must be refused.
     pub(super) fn send_bad_configuration(&mut self, pick: u64) {
-        use Defect::{CutShort, NoTimeout, OldVersion, SamePlace, UnknownService};
-        let defects = [CutShort, UnknownService, SamePlace, NoTimeout, OldVersion];
+        use Defect::{DuplicatePrefix, OldVersion, Truncated, UnknownService, ZeroTimeout};
+        let defects = [Truncated, UnknownService, DuplicatePrefix, ZeroTimeout, OldVersion];
         let defect = defects[(pick % defects.len() as u64) as usize];
         let base = self.operator.version;
-        let extras = self.changed_extras();
-        let mut order = self.make_order(base, extras);
-        spoil(&mut order, defect, base);
+        let extra_prefixes = self.changed_extra_prefixes();
+        let mut order = self.make_order(base, extra_prefixes);
+        apply_defect(&mut order, defect, base);
         order.invalid = true;
         self.send_order(order);
     }
 
-    fn changed_extras(&mut self) -> Vec<String> {
-        let mut extras = self.operator.extras.clone();
-        if !extras.is_empty() && self.rng.bool() {
-            let dropped = self.rng.usize(0..extras.len());
-            extras.remove(dropped);
+    fn changed_extra_prefixes(&mut self) -> Vec<String> {
+        let mut extra_prefixes = self.operator.extra_prefixes.clone();
+        if !extra_prefixes.is_empty() && self.rng.bool() {
+            let dropped = self.rng.usize(0..extra_prefixes.len());
+            extra_prefixes.remove(dropped);
         } else {
             self.operator.next_extra += 1;
-            extras.push(format!("/extra{}/", self.operator.next_extra));
+            extra_prefixes.push(format!("/extra{}/", self.operator.next_extra));
         }
-        extras
+        extra_prefixes
     }
 
-    fn make_order(&mut self, builds_on: u64, extras: Vec<String>) -> ConfigurationOrder {
+    fn make_order(&mut self, builds_on: u64, extra_prefixes: Vec<String>) -> ConfigurationOrder {
         let version = self.operator.next_version.max(builds_on + 1);
         self.operator.next_version = version + self.rng.u64(1..4);
         let prefixes: Vec<String> =
-            Queue::ALL.iter().map(|queue| queue.prefix.to_owned()).chain(extras).collect();
+            Queue::ALL.iter().map(|queue| queue.prefix.to_owned()).chain(extra_prefixes).collect();
         let timeout = 3_000 + self.rng.u64(0..1_000);
         let body = self.configuration_text(version, &prefixes, timeout).into_bytes();
         ConfigurationOrder {
@@ -140,7 +140,7 @@
             prefixes,
             sent_at: self.now,
             acknowledged_at: None,
-            taken_at: None,
+            accepted_at: None,
             refused: Vec::new(),
             repeats: Vec::new(),
             given_up_at: None,
@@ -183,7 +183,7 @@
         let position = self.operator.orders.len();
         let machine = self.any_core();
         self.history.configurations.push(order);
-        self.operator.orders.push(OrderProgress { tries: 0, machine, closed: false });
+        self.operator.orders.push(OrderProgress { attempts: 0, machine, closed: false });
         self.operator_sends(position);
     }
 
@@ -198,8 +198,8 @@
         if progress.closed {
             return;
         }
-        progress.tries += 1;
-        if progress.tries > MAX_TRIES {
+        progress.attempts += 1;
+        if progress.attempts > MAX_ATTEMPTS {
             progress.closed = true;
             self.history.configurations[order].given_up_at = Some(self.now);
             return;
@@ -214,7 +214,7 @@
         self.operator.exchanges.push(Exchange { purpose, machine, incarnation, redirects, done: false });
         let delay = self.delay(Endpoint::Outside, Endpoint::Core(machine));
         self.queue.push(self.now + delay, Event::OperatorArrives { exchange });
-        self.queue.push(self.now + PATIENCE, Event::OperatorGivesUp { exchange });
+        self.queue.push(self.now + REPLY_TIMEOUT_NS, Event::OperatorGivesUp { exchange });
     }
 
     pub(super) fn operator_arrives(&mut self, exchange: usize) {
@@ -244,7 +244,7 @@
         let purpose = self.operator.exchanges[exchange].purpose;
         if let (Purpose::Order(order), OperatorReply::Accepted) = (purpose, &reply) {
             let now = self.now;
-            self.history.configurations[order].taken_at.get_or_insert(now);
+            self.history.configurations[order].accepted_at.get_or_insert(now);
             self.inject_after_acknowledgement(machine);
             if self.operator.lost_share > 0.0 && self.rng.f64() < self.operator.lost_share {
                 return;
@@ -285,7 +285,7 @@
                 self.operator.orders[order].closed = true;
                 if change.version > self.operator.version && !change.invalid {
                     self.operator.version = change.version;
-                    self.operator.extras = change.prefixes[Queue::ALL.len()..].to_vec();
+                    self.operator.extra_prefixes = change.prefixes[Queue::ALL.len()..].to_vec();
                     self.ask_counts();
                 }
             }
@@ -294,7 +294,7 @@
                 change.refused.push((now, status));
                 self.operator.orders[order].closed = true;
             }
-            _ => self.try_elsewhere(order),
+            _ => self.retry_elsewhere(order),
         }
     }
 
@@ -309,11 +309,11 @@
         }
     }
 
-    fn try_elsewhere(&mut self, order: usize) {
+    fn retry_elsewhere(&mut self, order: usize) {
         let machine = self.any_core();
         let progress = &mut self.operator.orders[order];
         progress.machine = machine;
-        let pause = (LEAST_BACKOFF << progress.tries.min(5)).min(MOST_BACKOFF);
+        let pause = (BASE_BACKOFF_NS << progress.attempts.min(5)).min(MAX_BACKOFF_NS);
         self.queue.push(self.now + pause, Event::OperatorSends { order });
     }
 
@@ -323,7 +323,7 @@
             return;
         }
         match given_up.purpose {
-            Purpose::Order(order) => self.try_elsewhere(order),
+            Purpose::Order(order) => self.retry_elsewhere(order),
             Purpose::ReadBack => self.read_back_again(),
             Purpose::Query(_) => {}
         }
@@ -340,8 +340,8 @@
         let query = self.history.configuration_queries.len();
         self.history.configuration_queries.push(ConfigurationQuery { sent_at: self.now, answer: None });
         self.open_exchange(Purpose::Query(query), machine, 0);
-        let next = self.now + LOOK_INTERVAL / 2 + self.rng.u64(0..LOOK_INTERVAL);
-        if next < self.site.lead + self.site.length {
+        let next = self.now + QUERY_INTERVAL_NS / 2 + self.rng.u64(0..QUERY_INTERVAL_NS);
+        if next < self.site.traffic_start + self.site.traffic_length {
             self.queue.push(next, Event::OperatorQueries);
         }
     }
@@ -353,8 +353,8 @@
     }
 
     fn read_back_again(&mut self) {
-        self.operator.read_back_tries += 1;
-        if self.operator.read_back_tries < MAX_TRIES && self.history.read_back.is_none() {
+        self.operator.read_back_attempts += 1;
+        if self.operator.read_back_attempts < MAX_ATTEMPTS && self.history.read_back.is_none() {
             self.queue.push(self.now + ms(300), Event::ReadBack);
         }
     }
@@ -367,18 +367,18 @@
     }
 }
 
-fn spoil(order: &mut ConfigurationOrder, defect: Defect, base: u64) {
+fn apply_defect(order: &mut ConfigurationOrder, defect: Defect, base: u64) {
     let text = String::from_utf8_lossy(&order.body).into_owned();
-    let spoilt = match defect {
-        Defect::CutShort => text[..text.len() * 2 / 3].to_owned(),
+    let defective = match defect {
+        Defect::Truncated => text[..text.len() * 2 / 3].to_owned(),
         Defect::UnknownService => text.replacen("\"Backend\":\"", "\"Backend\":\"no-", 1),
-        Defect::SamePlace => text.replacen(Queue::ALL[1].prefix, Queue::ALL[0].prefix, 1),
-        Defect::NoTimeout => text.replacen("\"TimeoutMs\":3", "\"TimeoutMs\":0,\"Was\":3", 1),
+        Defect::DuplicatePrefix => text.replacen(Queue::ALL[1].prefix, Queue::ALL[0].prefix, 1),
+        Defect::ZeroTimeout => text.replacen("\"TimeoutMs\":3", "\"TimeoutMs\":0,\"Was\":3", 1),
         Defect::OldVersion => {
             let version = format!("\"Version\":{},", order.version);
             order.version = base;
             text.replacen(&version, &format!("\"Version\":{base},"), 1)
         }
     };
-    order.body = spoilt.into_bytes();
+    order.body = defective.into_bytes();
 }
--- a/crates/simulation/src/world/platform.rs
+++ b/crates/simulation/src/world/platform.rs
@@ -10,7 +10,7 @@
 use crate::time::{ms, MS, SECOND};
 
 /// Time that a reader waits for the list, in nanoseconds.
-const READ_TIMEOUT: u64 = 1_500 * MS;
+const READ_TIMEOUT_NS: u64 = 1_500 * MS;
 
 /// An entry of the current list.
 struct Entry {
@@ -107,12 +107,12 @@
             self.platform.calls_in_second = 0;
         }
         self.platform.calls_in_second += 1;
-        let refused = self.platform.calls_in_second > self.site.list_rate;
+        let refused = self.platform.calls_in_second > self.site.list_reads_per_s;
         let shown = self.now.saturating_sub(self.site.list_lag);
         let version = self.platform.versions.iter().rposition(|(at, _)| *at <= shown).filter(|_| !refused);
         let delay = self.delay(Endpoint::Outside, Endpoint::Core(machine));
         let event = Event::ListArrives { machine, incarnation, term, version };
-        self.queue.push(self.now + delay.min(READ_TIMEOUT), event);
+        self.queue.push(self.now + delay.min(READ_TIMEOUT_NS), event);
     }
 
     pub(super) fn list_arrives(
--- a/crates/simulation/src/world/setting_up.rs
+++ b/crates/simulation/src/world/setting_up.rs
@@ -14,12 +14,12 @@
 use crate::site::{ServiceSite, Site};
 use crate::time::{ms, SECOND};
 use crate::workers::{Fleet, Worker};
-use crate::workload::{make_day, rack_name, KINDS};
+use crate::workload::{make_day, rack_name, WORKER_KINDS};
 
 /// Processes start within this time of each other, in nanoseconds.
-const START_SPREAD: u64 = 300_000_000;
+const START_SPREAD_NS: u64 = 300_000_000;
 /// Largest offset between the monotonic clocks of machines, in nanoseconds.
-const MAX_STEADY_OFFSET: u64 = 3_600 * SECOND;
+const MAX_MONOTONIC_OFFSET_NS: u64 = 3_600 * SECOND;
 /// Largest slowness of a worker's clock, in parts per thousand.
 const MAX_CLOCK_SLOW: u64 = 20;
 /// Number of workers of a service whose addresses differ only in the last octet.
@@ -28,13 +28,14 @@
 pub(super) fn set_up(site: Site, script: Script) -> World {
     let mut rng = Rng::with_seed(script.seed);
     let jobs = make_day(&site, rng.u64(..));
-    let cores = (0..site.all_cores())
-        .map(|machine| CoreMachine::new(rng.u64(..), machine < site.cores, rng.u64(0..MAX_STEADY_OFFSET)));
+    let cores = (0..site.all_cores()).map(|machine| {
+        CoreMachine::new(rng.u64(..), machine < site.cores, rng.u64(0..MAX_MONOTONIC_OFFSET_NS))
+    });
     let cores = cores.collect();
     let edges = (0..site.edges).map(|_| Edge::new()).collect();
     let fleet = Fleet::new(make_workers(&site, &mut rng), site.bounds.clone());
     let faults = script.faults.clone();
-    let traffic = Span { from: site.lead, until: site.lead + site.length };
+    let traffic = Span { from: site.traffic_start, until: site.traffic_start + site.traffic_length };
     let mut world = World {
         rng,
         now: 0,
@@ -53,7 +54,7 @@
         faults,
         idle: Default::default(),
         late_share: 0.0,
-        done: HashMap::new(),
+        task_done_at: HashMap::new(),
         incarnations: BTreeMap::new(),
         final_fault_armed: false,
         power_loss_after_accept: None,
@@ -87,7 +88,7 @@
     number: usize,
     rng: &mut Rng,
 ) -> Worker {
-    let kind = KINDS[number % KINDS.len()].to_owned();
+    let kind = WORKER_KINDS[number % WORKER_KINDS.len()].to_owned();
     let rack = rack_name(position, number / service.rack_size);
     let (block, place) = (128 + number / WORKERS_PER_BLOCK, number % WORKERS_PER_BLOCK + 1);
     let address = format!("10.{block}.{position}.{place}:8080");
@@ -112,17 +113,17 @@
             (0..self.fleet.workers.len()).for_each(|worker| self.worker_boots(worker));
         }
         for machine in 0..self.site.cores {
-            let at = self.rng.u64(0..START_SPREAD);
+            let at = self.rng.u64(0..START_SPREAD_NS);
             self.queue.push(at, Event::CoreStarts { machine, power: 0 });
         }
         for edge in 0..self.site.edges {
-            let at = self.rng.u64(0..START_SPREAD);
+            let at = self.rng.u64(0..START_SPREAD_NS);
             self.queue.push(at, Event::EdgeStarts { edge });
         }
         self.queue.push(SECOND, Event::ReadinessAsked);
         // On days that simulate processor time, jobs may wait for the processor.
         if self.site.processor.is_none() {
-            self.queue.push(self.site.lead, Event::ChecksIdle);
+            self.queue.push(self.site.traffic_start, Event::ChecksIdle);
         }
         for (job, plan) in self.jobs.iter().enumerate() {
             self.queue.push(plan.submit_at, Event::JobComes { job });
@@ -130,13 +131,13 @@
         for (fault, planned) in self.faults.iter().enumerate() {
             self.queue.push(planned.at, Event::FaultBegins { fault });
         }
-        let end = self.site.lead + self.site.length;
+        let end = self.site.traffic_start + self.site.traffic_length;
         if self.script.closing.is_some() {
             self.queue.push(end, Event::Closing);
         }
-        let final_question = self.final_question();
-        self.queue.push(final_question, Event::FinalQuestions);
-        self.queue.push(final_question + ms(500), Event::ReadBack);
+        let final_reads_at = self.final_reads_at();
+        self.queue.push(final_reads_at, Event::FinalQuestions);
+        self.queue.push(final_reads_at + ms(500), Event::ReadBack);
         self.queue.push(ms(400), Event::FirstConfiguration);
     }
 }
--- a/crates/simulation/src/world/turns.rs
+++ b/crates/simulation/src/world/turns.rs
@@ -10,7 +10,7 @@
 use crate::time::{seconds, DAY_BEGINS_MS, MS};
 
 /// Time between two trace lines on the load of a leader, in nanoseconds.
-const RECORD_INTERVAL: u64 = 500 * MS;
+const TRACE_INTERVAL_NS: u64 = 500 * MS;
 
 /// Events that wait for a core process, and the state of its turns.
 #[derive(Default)]
@@ -27,7 +27,7 @@
     work: TurnWork,
     /// Longest turn since the last trace line, in nanoseconds.
     longest: u64,
-    recorded_at: u64,
+    traced_at: u64,
 }
 
 impl Turns {
@@ -107,13 +107,13 @@
     fn take_turn(&mut self, machine: usize, processor: &Processor) {
         let now = self.now;
         let core = &mut self.cores[machine];
-        let steady = now + core.steady_offset;
-        let day = (DAY_BEGINS_MS + now / MS).saturating_add_signed(core.day_offset_ms);
+        let monotonic_now = now + core.monotonic_offset;
+        let time_of_day_ms = (DAY_BEGINS_MS + now / MS).saturating_add_signed(core.wall_clock_offset_ms);
         let Some(process) = core.process.as_mut() else { return };
         let events = core.turns.take_events();
         let was_leading = process.is_leading();
         let mut outputs = Vec::new();
-        let work = process.take_turn(steady, day, events, &mut outputs);
+        let work = process.take_turn(monotonic_now, time_of_day_ms, events, &mut outputs);
         let (leads, term) = (process.is_leading(), process.node().term());
         let cost = processor.cost_of(&work);
         let until = core.turns.quota.spend(processor, now, cost);
@@ -149,7 +149,7 @@
                 return;
             }
         }
-        self.record_load(machine);
+        self.trace_load(machine);
         self.check_held_lease(machine);
         if self.cores[machine].turns.has_events() {
             self.begin_turn_at(machine, self.now);
@@ -161,20 +161,20 @@
 
     fn check_held_lease(&mut self, machine: usize) {
         let core = &self.cores[machine];
-        let steady = self.now + core.steady_offset;
-        if core.process.as_ref().is_some_and(|process| process.holds_lease(steady)) {
+        let monotonic_now = self.now + core.monotonic_offset;
+        if core.process.as_ref().is_some_and(|process| process.holds_lease(monotonic_now)) {
             self.check_leases(machine);
         }
     }
 
     /// Traces the load of a leader, twice a second.
-    fn record_load(&mut self, machine: usize) {
+    fn trace_load(&mut self, machine: usize) {
         let now = self.now;
         let turns = &mut self.cores[machine].turns;
-        if !self.trace || now < turns.recorded_at + RECORD_INTERVAL {
+        if !self.trace || now < turns.traced_at + TRACE_INTERVAL_NS {
             return;
         }
-        turns.recorded_at = now;
+        turns.traced_at = now;
         let (busy, longest) = (std::mem::take(&mut turns.busy) / MS, std::mem::take(&mut turns.longest) / MS);
         let work = std::mem::take(&mut turns.work);
         let waiting = turns.waiting.len();
--- a/crates/simulation/tests/calm_days.rs
+++ b/crates/simulation/tests/calm_days.rs
@@ -2,33 +2,33 @@
 
 use simulation::day::{figures, play};
 use simulation::history::{Answer, CallKind, History};
-use simulation::oracle::judge;
+use simulation::oracle::check;
 use simulation::script::Script;
 use simulation::site::Site;
 use simulation::world::World;
 
-fn breaches(site: &Site, script: &Script) -> Vec<String> {
-    play(site, script, false).breaches.iter().map(ToString::to_string).collect()
+fn violations(site: &Site, script: &Script) -> Vec<String> {
+    play(site, script, false).violations.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn calm_days_keep_all_rules() {
     let site = Site::small();
     for seed in 1..=4 {
-        assert_eq!(breaches(&site, &Script::calm(seed)), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(violations(&site, &Script::calm(seed)), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
 fn a_calm_day_on_workers_without_guards_keeps_all_rules() {
-    assert_eq!(breaches(&Site::unguarded(), &Script::calm(5)), Vec::<String>::new());
+    assert_eq!(violations(&Site::unguarded(), &Script::calm(5)), Vec::<String>::new());
 }
 
 #[test]
 fn a_calm_day_takes_every_job_and_ends_all_that_can_end() {
     let site = Site::small();
     let history = World::new(site.clone(), Script::calm(6)).play();
-    assert!(judge(&site, &history).is_empty());
+    assert!(check(&site, &history).is_empty());
     let figures = figures(&history);
     assert_eq!(figures.accepted, figures.jobs);
     assert!(figures.runs > figures.jobs, "jobs have more than one task: {figures:?}");
@@ -60,5 +60,5 @@
     let script = Script::draw(&site, 3);
     let (first, second) = (play(&site, &script, false), play(&site, &script, false));
     assert_eq!(first.figures, second.figures);
-    assert_eq!(first.breaches, second.breaches);
+    assert_eq!(first.violations, second.violations);
 }
--- a/crates/simulation/tests/oracle.rs
+++ b/crates/simulation/tests/oracle.rs
@@ -109,7 +109,7 @@
 fn too_many_tasks_of_a_step_on_a_worker_are_caught() {
     let found = changed(|day| {
         day.jobs.values_mut().for_each(|job| job.body.stages[0].anti_affinity = 1);
-        day.runs[1].step_mates = 2;
+        day.runs[1].step_tasks_on_worker = 2;
     });
     assert_eq!(found, [Rule::Route]);
 }
--- a/crates/simulation/tests/oracle_configuration.rs
+++ b/crates/simulation/tests/oracle_configuration.rs
@@ -81,7 +81,7 @@
 fn a_refused_configuration_that_is_in_force_is_caught() {
     let found = changed(|day| {
         let mut refused = configuration(2, 1, 20 * SECOND);
-        (refused.acknowledged_at, refused.taken_at) = (None, None);
+        (refused.acknowledged_at, refused.accepted_at) = (None, None);
         refused.refused.push((21 * SECOND, 412));
         day.read_back = Some(refused.body.clone());
         day.configurations.push(refused);
@@ -94,7 +94,7 @@
     let unclear = |in_force: bool| {
         changed(move |day| {
             let mut unclear = configuration(2, 1, 20 * SECOND);
-            (unclear.acknowledged_at, unclear.taken_at) = (None, None);
+            (unclear.acknowledged_at, unclear.accepted_at) = (None, None);
             if in_force {
                 day.read_back = Some(unclear.body.clone());
             }
@@ -142,7 +142,7 @@
 fn a_reading_that_overlaps_a_change_may_see_either_version() {
     let found = changed(|day| {
         with_second(day);
-        let acknowledged = day.configurations[1].taken_at.expect("it was");
+        let acknowledged = day.configurations[1].accepted_at.expect("it was");
         read(day, 1, acknowledged - 1, acknowledged + SECOND);
         read(day, 2, acknowledged - 1, acknowledged + SECOND);
         read(day, 2, acknowledged + 1, acknowledged + SECOND);
@@ -166,7 +166,7 @@
         with_second(day);
         let sent = day.configurations[1].sent_at;
         day.configurations[1].acknowledged_at = None;
-        day.configurations[1].taken_at = None;
+        day.configurations[1].accepted_at = None;
         read(day, 2, sent + 1, sent + 2);
         read(day, 1, sent + 3, sent + 4);
     });
--- a/crates/simulation/tests/overload.rs
+++ b/crates/simulation/tests/overload.rs
@@ -31,10 +31,10 @@
     let report = case.play(false);
     let recovery = &report.recovery;
     assert!(recovery.kept_up_before(), "{case:?} says nothing: {recovery}");
-    let is_back = recovery.is_within(ms(case.site().bounds.recovery_ms));
-    let first_breach = report.breaches.first();
+    let is_back = recovery.recovered_within(ms(case.site().bounds.recovery_ms));
+    let first_breach = report.violations.first();
     (!is_back || first_breach.is_some()).then(|| {
-        format!("{case:?}: {recovery}; {} breaches, the first: {first_breach:?}", report.breaches.len())
+        format!("{case:?}: {recovery}; {} breaches, the first: {first_breach:?}", report.violations.len())
     })
 }
 
@@ -66,20 +66,20 @@
 /// Describes what is wrong with a case that must yield at least `part` of the usual value per second.
 fn failure_under_pressure(case: &OverloadCase, part: f64, back_after: Option<u64>) -> Option<String> {
     let (usual, pressed) = (usual_day(case), case.play(false));
-    let earns = pressed.meanwhile.per_s() >= part * usual.before.per_s();
-    let is_back = back_after.is_none_or(|bound| pressed.recovery.is_within(bound));
-    let keeps_rules = pressed.breaches.is_empty();
+    let earns = pressed.during.value_per_s() >= part * usual.before.value_per_s();
+    let is_back = back_after.is_none_or(|bound| pressed.recovery.recovered_within(bound));
+    let keeps_rules = pressed.violations.is_empty();
     (!(earns && is_back && keeps_rules)).then(|| {
         format!(
             "{case:?}: {:.0} a second of {:.0}, {:.3} a task of {:.3}; {:?}; {}; {} breaches, the first: {:?}",
-            pressed.meanwhile.per_s(),
-            usual.before.per_s(),
-            pressed.meanwhile.per_task(),
-            usual.before.per_task(),
-            pressed.meanwhile,
+            pressed.during.value_per_s(),
+            usual.before.value_per_s(),
+            pressed.during.value_per_task(),
+            usual.before.value_per_task(),
+            pressed.during,
             pressed.recovery,
-            pressed.breaches.len(),
-            pressed.breaches.first()
+            pressed.violations.len(),
+            pressed.violations.first()
         )
     })
 }
--- a/crates/simulation/tests/processor_time.rs
+++ b/crates/simulation/tests/processor_time.rs
@@ -1,7 +1,7 @@
 //! Days on which the work of core processes takes processor time.
 
 use simulation::day::{digest, play};
-use simulation::oracle::Breach;
+use simulation::oracle::Violation;
 use simulation::processor::{Processor, QuotaUse, TurnWork};
 use simulation::script::Script;
 use simulation::site::Site;
@@ -13,8 +13,8 @@
     Site { processor: Some(Processor { share: 0.4, slowness: 1.0 }), ..Site::small() }
 }
 
-fn breaches(script: &Script) -> Vec<String> {
-    play(&site(), script, false).breaches.iter().map(Breach::to_string).collect()
+fn violations(script: &Script) -> Vec<String> {
+    play(&site(), script, false).violations.iter().map(Violation::to_string).collect()
 }
 
 #[test]
@@ -55,13 +55,13 @@
 
 #[test]
 fn a_calm_day_with_processor_time_keeps_all_rules() {
-    assert_eq!(breaches(&Script::calm(1)), Vec::<String>::new());
+    assert_eq!(violations(&Script::calm(1)), Vec::<String>::new());
 }
 
 #[test]
 fn random_days_with_processor_time_keep_all_rules() {
     for seed in 1..=3 {
-        assert_eq!(breaches(&Script::draw(&site(), seed)), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(violations(&Script::draw(&site(), seed)), Vec::<String>::new(), "seed {seed}");
     }
 }
 
--- a/crates/simulation/tests/random_days.rs
+++ b/crates/simulation/tests/random_days.rs
@@ -1,7 +1,7 @@
 //! Days with random faults violate no rule.
 
 use simulation::day::play;
-use simulation::oracle::Breach;
+use simulation::oracle::Violation;
 use simulation::script::{Closing, FaultKind, InjectedFault, Script};
 use simulation::site::Site;
 use simulation::time::{ms, SECOND};
@@ -10,14 +10,14 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=20;
 
 /// Whether the violation is a job that stays idle without a reason.
-fn is_idle(breach: &Breach) -> bool {
-    breach.text.starts_with("nothing of job")
+fn is_idle(violation: &Violation) -> bool {
+    violation.text.starts_with("nothing of job")
 }
 
-fn check_those(site: &Site, script: &Script, wanted: impl Fn(&Breach) -> bool) {
-    let breaches = play(site, script, false).breaches;
+fn check_those(site: &Site, script: &Script, wanted: impl Fn(&Violation) -> bool) {
+    let violations = play(site, script, false).violations;
     let texts: Vec<String> =
-        breaches.iter().filter(|breach| wanted(breach)).map(ToString::to_string).collect();
+        violations.iter().filter(|violation| wanted(violation)).map(ToString::to_string).collect();
     assert!(texts.is_empty(), "{script:?}\n{}", texts.join("\n"));
 }
 
@@ -29,7 +29,7 @@
 fn random_days_keep_all_rules_but_that_on_waiting_jobs() {
     let site = Site::small();
     for seed in SEEDS {
-        check_those(&site, &Script::draw(&site, seed), |breach| !is_idle(breach));
+        check_those(&site, &Script::draw(&site, seed), |violation| !is_idle(violation));
     }
 }
 
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -3,7 +3,7 @@
 use messages::job::{EndKind, JobSpec, Stage};
 use scheduler::ids::{AttemptKey, TaskKey};
 use simulation::history::{Answer, CallKind, ClientCall, ConfigurationOrder, History, Run, RunEnd, Span};
-use simulation::oracle::{judge, Rule};
+use simulation::oracle::{check, Rule};
 use simulation::site::Site;
 use simulation::time::SECOND;
 use simulation::workload::{JobPlan, Queue, StepTruth};
@@ -36,7 +36,7 @@
         spec_matches: true,
         checkpoint_matches: true,
         overload: None,
-        step_mates: 1,
+        step_tasks_on_worker: 1,
         gang_complete_at: None,
         end: None,
     }
@@ -57,7 +57,7 @@
         prefix: Queue::ALL[QUEUE].prefix.to_owned(),
         edge: 100,
         sent_at,
-        patience: 3 * SECOND,
+        timeout: 3 * SECOND,
         answer: Some((sent_at + SECOND / 100, answer)),
     }
 }
@@ -77,7 +77,7 @@
         prefixes: vec![format!("/extra{version}/")],
         sent_at,
         acknowledged_at: Some(sent_at + SECOND / 10),
-        taken_at: Some(sent_at + SECOND / 20),
+        accepted_at: Some(sent_at + SECOND / 20),
         refused: Vec::new(),
         repeats: Vec::new(),
         given_up_at: None,
@@ -94,7 +94,7 @@
         steps: vec![StepTruth::default(), StepTruth::default()],
         submit_at: 12 * SECOND,
         cancel_at: None,
-        patience: 3 * SECOND,
+        timeout: 3 * SECOND,
     }
 }
 
@@ -117,7 +117,8 @@
 
 /// The rules that a history violates.
 pub fn broken(history: &History) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = judge(&Site::small(), history).iter().map(|breach| breach.rule).collect();
+    let mut rules: Vec<Rule> =
+        check(&Site::small(), history).iter().map(|violation| violation.rule).collect();
     rules.sort_unstable();
     rules.dedup();
     rules
