--- a/crates/simulation/examples/overload.rs
+++ b/crates/simulation/examples/overload.rs
@@ -64,44 +64,44 @@
     arguments
 }
 
-fn loaded(case: OverloadCase, arguments: &Arguments) -> OverloadCase {
+fn with_options(case: OverloadCase, arguments: &Arguments) -> OverloadCase {
     let fault = case.fault.filter(|_| !arguments.no_fault);
     OverloadCase { fault, traffic: case.traffic * arguments.traffic as f64 / 100.0, ..case }
 }
 
-fn show(case: OverloadCase, arguments: &Arguments) {
-    let case = loaded(case, arguments);
+fn replay(case: OverloadCase, arguments: &Arguments) {
+    let case = with_options(case, arguments);
     println!("{case:?}");
-    let begun = Instant::now();
+    let started = Instant::now();
     let report = case.play(arguments.trace);
     println!("{}", report.recovery);
     report.violations.iter().take(MAX_SHOWN).for_each(|violation| println!("{violation}"));
     println!("{} breaches", report.violations.len());
-    println!("played in {:.1} s", begun.elapsed().as_secs_f64());
+    println!("played in {:.1} s", started.elapsed().as_secs_f64());
 }
 
 fn search(arguments: &Arguments) {
-    let begun = Instant::now();
-    let (mut stuck, mut unfit, mut broken) = (0, 0, 0);
+    let started = Instant::now();
+    let (mut not_recovered, mut not_meaningful, mut violating) = (0, 0, 0);
     for seed in arguments.seed..arguments.seed + arguments.days {
-        let case = loaded(OverloadCase::draw(seed, arguments.parts), arguments);
+        let case = with_options(OverloadCase::draw(seed, arguments.parts), arguments);
         let report = case.play(false);
         let bound = ms(case.site().bounds.recovery_ms);
-        broken += u64::from(!report.violations.is_empty());
+        violating += u64::from(!report.violations.is_empty());
         for violation in report.violations.iter().take(MAX_SHOWN) {
             println!("seed {seed} breaks {violation}");
         }
         if !report.recovery.kept_up_before() {
-            unfit += 1;
+            not_meaningful += 1;
             println!("seed {seed} did not keep up before the fault: {case:?}: {}", report.recovery);
         } else if !report.recovery.recovered_within(bound) {
-            stuck += 1;
+            not_recovered += 1;
             println!("seed {seed} does not come back: {case:?}: {}", report.recovery);
         }
     }
-    let (days, duration) = (arguments.days, begun.elapsed().as_secs_f64());
+    let (days, duration) = (arguments.days, started.elapsed().as_secs_f64());
     println!(
-        "{days} cases in {duration:.0} s: {stuck} do not come back, {broken} break a rule, {unfit} say nothing"
+        "{days} cases in {duration:.0} s: {not_recovered} do not come back, {violating} break a rule, {not_meaningful} say nothing"
     );
 }
 
@@ -109,10 +109,10 @@
     let arguments = arguments();
     match arguments.command {
         Command::Search => search(&arguments),
-        Command::Replay => show(OverloadCase::draw(arguments.seed, arguments.parts), &arguments),
-        Command::Calm => show(OverloadCase::calm(arguments.seed, arguments.parts), &arguments),
+        Command::Replay => replay(OverloadCase::draw(arguments.seed, arguments.parts), &arguments),
+        Command::Calm => replay(OverloadCase::calm(arguments.seed, arguments.parts), &arguments),
         Command::LossOfPower => {
-            show(OverloadCase::loss_of_power(arguments.seed, arguments.parts), &arguments);
+            replay(OverloadCase::loss_of_power(arguments.seed, arguments.parts), &arguments);
         }
     }
 }
--- a/crates/simulation/examples/search.rs
+++ b/crates/simulation/examples/search.rs
@@ -61,13 +61,14 @@
     arguments
 }
 
-fn rules(report: &DayReport) -> BTreeSet<Rule> {
+fn violated_rules(report: &DayReport) -> BTreeSet<Rule> {
     report.violations.iter().map(|violation| violation.rule).collect()
 }
 
 fn shrink(site: &Site, script: &Script) -> Script {
-    let wanted = rules(&play(site, script, false));
-    script.shrink(|smaller| rules(&play(site, smaller, false)).intersection(&wanted).next().is_some())
+    let wanted = violated_rules(&play(site, script, false));
+    script
+        .shrink(|smaller| violated_rules(&play(site, smaller, false)).intersection(&wanted).next().is_some())
 }
 
 fn write_digests(arguments: &Arguments, path: &Path, draw: impl Fn(u64) -> Script) -> io::Result<()> {
@@ -104,18 +105,18 @@
         report.violations.iter().for_each(|violation| println!("{violation}"));
         return;
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut failed = 0;
     for seed in arguments.seed..arguments.seed + arguments.days {
         let report = play(site, &draw(seed), false);
         failed += u64::from(!report.violations.is_empty());
-        for rule in rules(&report) {
+        for rule in violated_rules(&report) {
             let of_rule = report.violations.iter().filter(|violation| violation.rule == rule);
             let count = of_rule.clone().count();
             let first = of_rule.map(ToString::to_string).next().unwrap_or_default();
             println!("{{\"seed\":{seed},\"rule\":\"{rule:?}\",\"count\":{count},\"first\":{first:?}}}");
         }
     }
-    let took = begun.elapsed().as_secs_f64();
+    let took = started.elapsed().as_secs_f64();
     println!("{{\"days\":{},\"failed\":{failed},\"seconds\":{took:.1}}}", arguments.days);
 }
--- a/crates/simulation/src/script.rs
+++ b/crates/simulation/src/script.rs
@@ -33,7 +33,8 @@
     CorePartition(Target),
     /// `core_cut` with `one_way`: bytes that the machine sends to other core machines do not arrive.
     CorePartitionOneWay(Target),
-    /// `core_cut` with `refuse`: partitioned from the other core machines by a filter that refuses connections.
+    /// `core_cut` with `refuse`: partitioned from the other core machines by a filter that refuses
+    /// connections.
     CoreRefuse(Target),
     /// `core_cut` with `all`: partitioned from every machine and every worker.
     CoreIsolate(Target),
--- a/crates/simulation/src/workers/mod.rs
+++ b/crates/simulation/src/workers/mod.rs
@@ -58,7 +58,7 @@
     /// Whether the worker refuses tasks that do not fit.
     pub guards: bool,
     /// Slowness of the worker's clock, in parts per thousand.
-    pub clock_slow: u64,
+    pub clock_slow_per_mille: u64,
     /// The effects of faults.
     pub condition: Condition,
     /// The current incarnation; `None` while the worker is down.
@@ -368,7 +368,7 @@
             labels,
             available: Resources::ZERO,
             guards: true,
-            clock_slow: 0,
+            clock_slow_per_mille: 0,
             condition: Condition::default(),
             incarnation: None,
             incarnations: 0,
@@ -379,13 +379,15 @@
     fn clock_ms(&self, now: u64) -> u64 {
         let booted_at = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.booted_at);
         let passed = now.saturating_sub(booted_at);
-        (passed - passed / 1_000 * self.clock_slow) / MS
+        (passed - passed / 1_000 * self.clock_slow_per_mille) / MS
     }
 
     /// World time at which the worker's clock shows `clock_ms`.
     fn world_time_of_clock(&self, clock_ms: u64) -> u64 {
         let booted_at = self.incarnation.as_ref().map_or(0, |incarnation| incarnation.booted_at);
-        booted_at + (clock_ms as f64 * MS as f64 * 1_000.0 / (1_000 - self.clock_slow) as f64) as u64 + 1
+        booted_at
+            + (clock_ms as f64 * MS as f64 * 1_000.0 / (1_000 - self.clock_slow_per_mille) as f64) as u64
+            + 1
     }
 
     fn worker_lease_is_over(&self, now: u64) -> bool {
--- a/crates/simulation/src/world/setting_up.rs
+++ b/crates/simulation/src/world/setting_up.rs
@@ -21,7 +21,7 @@
 /// Largest offset between the monotonic clocks of machines, in nanoseconds.
 const MAX_MONOTONIC_OFFSET_NS: u64 = 3_600 * SECOND;
 /// Largest slowness of a worker's clock, in parts per thousand.
-const MAX_CLOCK_SLOW: u64 = 20;
+const MAX_CLOCK_SLOW_PER_MILLE: u64 = 20;
 /// Number of workers of a service whose addresses differ only in the last octet.
 const WORKERS_PER_BLOCK: usize = 250;
 
@@ -101,7 +101,7 @@
         gpu: full.gpu * halves / 2,
     };
     worker.guards = service.guards;
-    worker.clock_slow = rng.u64(0..=MAX_CLOCK_SLOW);
+    worker.clock_slow_per_mille = rng.u64(0..=MAX_CLOCK_SLOW_PER_MILLE);
     worker
 }
 
--- a/crates/simulation/tests/calm_days.rs
+++ b/crates/simulation/tests/calm_days.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn calm_days_keep_all_rules() {
+fn calm_days_violate_no_rule() {
     let site = Site::small();
     for seed in 1..=4 {
         assert_eq!(violations(&site, &Script::calm(seed)), Vec::<String>::new(), "seed {seed}");
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn a_calm_day_on_workers_without_guards_keeps_all_rules() {
+fn calm_day_with_unguarded_workers_violates_no_rule() {
     assert_eq!(violations(&Site::unguarded(), &Script::calm(5)), Vec::<String>::new());
 }
 
 #[test]
-fn a_calm_day_takes_every_job_and_ends_all_that_can_end() {
+fn calm_day_accepts_and_finishes_every_job() {
     let site = Site::small();
     let history = World::new(site.clone(), Script::calm(6)).play();
     assert!(check(&site, &history).is_empty());
     let figures = figures(&history);
     assert_eq!(figures.accepted, figures.jobs);
-    assert!(figures.runs > figures.jobs, "jobs have more than one task: {figures:?}");
+    assert!(figures.runs > figures.jobs, "jobs must have more than one task on average: {figures:?}");
     let unfinished: Vec<String> = unfinished(&history);
     assert_eq!(unfinished, Vec::<String>::new());
 }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_day_plays_the_same_again() {
+fn same_script_gives_same_day() {
     let site = Site::small();
     let script = Script::draw(&site, 3);
     let (first, second) = (play(&site, &script, false), play(&site, &script, false));
--- a/crates/simulation/tests/digested/mod.rs
+++ b/crates/simulation/tests/digested/mod.rs
@@ -33,9 +33,9 @@
                 let position = next.fetch_add(1, Ordering::Relaxed);
                 let Some(day) = days.get(position) else { return };
                 let line = format!("{} {}", day.name, digest(&day.site, &day.script));
-                lines.lock().expect("no thread panics with the lines in hand")[position] = line;
+                lines.lock().expect("no thread panics while it holds the lock")[position] = line;
             });
         }
     });
-    lines.into_inner().expect("no thread panics with the lines in hand")
+    lines.into_inner().expect("no thread panics while it holds the lock")
 }
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -16,30 +16,31 @@
 
 const PINNED: &str = include_str!("fixtures/digests.txt");
 /// If set, the digests are written instead of compared.
-const WRITE: &str = "WRITE_DIGESTS";
+const WRITE_VARIABLE: &str = "WRITE_DIGESTS";
 const NORMAL_DAYS: u64 = 36;
 const HARSH_DAYS: u64 = 8;
-const DAYS_OF_FIVE: u64 = 6;
+const FIVE_CORE_DAYS: u64 = 6;
 
 fn days() -> Vec<Day> {
     let (small, five) = (Site::small(), Site::five());
     let normal = (1..=NORMAL_DAYS).map(|seed| Day::new("normal", seed, &small, Script::draw(&small, seed)));
     let harsh =
         (1..=HARSH_DAYS).map(|seed| Day::new("harsh", seed, &small, Script::draw_harsh(&small, seed)));
-    let of_five = (1..=DAYS_OF_FIVE).map(|seed| Day::new("five", seed, &five, Script::draw(&five, seed)));
-    normal.chain(harsh).chain(of_five).collect()
+    let with_five_cores =
+        (1..=FIVE_CORE_DAYS).map(|seed| Day::new("five", seed, &five, Script::draw(&five, seed)));
+    normal.chain(harsh).chain(with_five_cores).collect()
 }
 
 #[test]
-fn the_system_does_on_fifty_days_what_it_did() {
+fn days_match_pinned_digests() {
     let played = digests(&days());
-    if std::env::var_os(WRITE).is_some() {
+    if std::env::var_os(WRITE_VARIABLE).is_some() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/digests.txt");
         fs::write(&path, played.join("\n") + "\n").expect("the digests can be written");
         return;
     }
     let pinned: Vec<&str> = PINNED.lines().collect();
-    assert_eq!(pinned.len(), played.len(), "the file has a line for each day");
+    assert_eq!(pinned.len(), played.len(), "the file must have a line for each day");
     let differing: Vec<&String> = played
         .iter()
         .zip(&pinned)
@@ -48,7 +49,7 @@
         .collect();
     assert!(
         differing.is_empty(),
-        "{} of {} days went another way than pinned: {differing:#?}",
+        "{} of {} days differ from their pinned digests: {differing:#?}",
         differing.len(),
         played.len()
     );
--- a/crates/simulation/tests/processor_time.rs
+++ b/crates/simulation/tests/processor_time.rs
@@ -18,22 +18,26 @@
 }
 
 #[test]
-fn a_process_runs_at_full_speed_until_its_quota_is_spent() {
+fn runs_at_full_speed_until_quota_is_spent() {
     let mut quota = QuotaUse::default();
     assert_eq!(quota.spend(&HALF, ms(10), ms(30)), ms(40));
-    assert_eq!(quota.spend(&HALF, ms(60), ms(20)), ms(80), "50 ms of this period are spent");
+    assert_eq!(quota.spend(&HALF, ms(60), ms(20)), ms(80), "50 ms of quota are spent in this period");
     assert_eq!(quota.runs_from(&HALF, ms(80)), ms(100));
 }
 
 #[test]
-fn a_turn_that_outlasts_its_quota_pauses_until_the_next_period() {
+fn turn_pauses_until_next_period_when_quota_is_spent() {
     let mut quota = QuotaUse::default();
     assert_eq!(quota.spend(&HALF, 0, ms(70)), ms(120));
-    assert_eq!(quota.spend(&HALF, ms(120), ms(130)), ms(350), "30 ms are left, then 50 in each period");
+    assert_eq!(
+        quota.spend(&HALF, ms(120), ms(130)),
+        ms(350),
+        "30 ms of quota are left in this period, then 50 ms in each"
+    );
 }
 
 #[test]
-fn what_was_not_spent_is_lost_with_its_period() {
+fn unused_quota_expires_with_its_period() {
     let mut quota = QuotaUse::default();
     assert_eq!(
         quota.spend(&HALF, ms(90), ms(30)),
@@ -45,7 +49,7 @@
 }
 
 #[test]
-fn more_work_costs_more_and_a_slower_processor_takes_longer() {
+fn cost_grows_with_work_and_slowness() {
     let small = TurnWork { turns: 1, worker_answers: 10, ..TurnWork::default() };
     let large = TurnWork { calls: 10, ..small };
     assert!(HALF.cost_of(&small) < HALF.cost_of(&large));
@@ -54,19 +58,19 @@
 }
 
 #[test]
-fn a_calm_day_with_processor_time_keeps_all_rules() {
+fn calm_day_violates_no_rule() {
     assert_eq!(violations(&Script::calm(1)), Vec::<String>::new());
 }
 
 #[test]
-fn random_days_with_processor_time_keep_all_rules() {
+fn random_days_violate_no_rule() {
     for seed in 1..=3 {
         assert_eq!(violations(&Script::draw(&site(), seed)), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
-fn a_day_with_processor_time_plays_the_same_again() {
+fn same_script_gives_same_digest() {
     let script = Script::draw(&site(), 3);
     assert_eq!(digest(&site(), &script), digest(&site(), &script));
     assert_ne!(digest(&site(), &script), digest(&Site::small(), &script));
--- a/crates/simulation/tests/same_in_every_process.rs
+++ b/crates/simulation/tests/same_in_every_process.rs
@@ -10,9 +10,9 @@
 use simulation::site::Site;
 
 /// Set in the child process, which only simulates and prints.
-const ONLY_PRINTS: &str = "SIMULATION_TEST_ONLY_PRINTS";
+const CHILD_VARIABLE: &str = "SIMULATION_TEST_ONLY_PRINTS";
 /// Marks the lines to compare, since the test harness prints lines of its own.
-const MARK: &str = "played: ";
+const LINE_PREFIX: &str = "played: ";
 
 /// The first four days once had two outcomes, because services of a configuration were visited in hash map
 /// order.
@@ -28,29 +28,29 @@
     ]
 }
 
-fn digests_of_another_process(test: &str) -> Vec<String> {
-    let program = std::env::current_exe().expect("a test knows its own program");
+fn digests_of_child_process(test: &str) -> Vec<String> {
+    let program = std::env::current_exe().expect("the path of the test executable is known");
     let output = Command::new(program)
         .args(["--exact", test, "--nocapture"])
-        .env(ONLY_PRINTS, "1")
+        .env(CHILD_VARIABLE, "1")
         .output()
-        .expect("a test's program can be started again");
+        .expect("the test executable can be started");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let printed = String::from_utf8(output.stdout).expect("digests are printed as text");
-    printed.lines().filter_map(|line| Some(line.split_once(MARK)?.1.to_owned())).collect()
+    let printed = String::from_utf8(output.stdout).expect("the output is UTF-8");
+    printed.lines().filter_map(|line| Some(line.split_once(LINE_PREFIX)?.1.to_owned())).collect()
 }
 
 #[test]
-fn another_process_plays_the_same_days() {
-    const TEST: &str = "another_process_plays_the_same_days";
+fn other_processes_produce_the_same_days() {
+    const TEST: &str = "other_processes_produce_the_same_days";
     let here = digests(&days());
-    if std::env::var_os(ONLY_PRINTS).is_some() {
+    if std::env::var_os(CHILD_VARIABLE).is_some() {
         // The harness has printed the start of a line.
         println!();
-        here.iter().for_each(|line| println!("{MARK}{line}"));
+        here.iter().for_each(|line| println!("{LINE_PREFIX}{line}"));
         return;
     }
     for _ in 0..2 {
-        assert_eq!(digests_of_another_process(TEST), here);
+        assert_eq!(digests_of_child_process(TEST), here);
     }
 }
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// A read that shows the job in the given state.
-pub fn sees(at: u64, state: &str) -> ClientCall {
+pub fn read_showing(at: u64, state: &str) -> ClientCall {
     call(CallKind::Read, at, Answer::State(state.to_owned()))
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// A history in which the job is submitted, runs and completes without a violation.
-pub fn good_day() -> History {
+pub fn valid_history() -> History {
     let mut history = History { ended_at: END, ..History::default() };
     history.traffic = Some(Span { from: 10 * SECOND, until: 44 * SECOND });
     history.jobs.insert(JOB, plan());
@@ -107,8 +107,8 @@
     history.runs.push(ended(run(key(0, 0, 1), 13 * SECOND), 14 * SECOND, EndKind::DONE));
     history.runs.push(ended(run(key(0, 1, 1), 13 * SECOND), 14 * SECOND, EndKind::DONE));
     history.runs.push(ended(run(key(1, 0, 1), 15 * SECOND), 16 * SECOND, EndKind::DONE));
-    history.calls.push(sees(20 * SECOND, "completed"));
-    history.calls.push(sees(58 * SECOND, "completed"));
+    history.calls.push(read_showing(20 * SECOND, "completed"));
+    history.calls.push(read_showing(58 * SECOND, "completed"));
     let configuration = configuration(1, 0, SECOND);
     history.read_back = Some(configuration.body.clone());
     history.configurations.push(configuration);
@@ -116,7 +116,7 @@
 }
 
 /// The rules that a history violates.
-pub fn broken(history: &History) -> Vec<Rule> {
+pub fn violated_rules(history: &History) -> Vec<Rule> {
     let mut rules: Vec<Rule> =
         check(&Site::small(), history).iter().map(|violation| violation.rule).collect();
     rules.sort_unstable();
