--- a/crates/simulation/src/core_process/clients.rs
+++ b/crates/simulation/src/core_process/clients.rs
@@ -72,7 +72,7 @@
         self.next_token
     }
 
-    pub(super) fn take_request(&mut self, connection: u64, request: ClientRequest) {
+    pub(super) fn handle_request(&mut self, connection: u64, request: ClientRequest) {
         if !self.is_serving() {
             let reply = not_leader(request.request_id);
             self.out.push(CoreOutput::Reply { connection, reply });
@@ -91,7 +91,7 @@
         }
     }
 
-    pub(super) fn take_put(&mut self, call: u64, if_match: Option<u64>, body: Vec<u8>) {
+    pub(super) fn handle_put(&mut self, call: u64, if_match: Option<u64>, body: Vec<u8>) {
         if let Some(reply) = self.refuse_operator() {
             self.out.push(CoreOutput::Operator { call, reply });
             return;
@@ -100,7 +100,7 @@
         self.notify_leader(Input::PutConfiguration { token, if_match, body });
     }
 
-    pub(super) fn take_get(&mut self, call: u64) {
+    pub(super) fn handle_get(&mut self, call: u64) {
         if let Some(reply) = self.refuse_operator() {
             self.out.push(CoreOutput::Operator { call, reply });
             return;
--- a/crates/simulation/src/core_process/effects.rs
+++ b/crates/simulation/src/core_process/effects.rs
@@ -29,12 +29,12 @@
         let mut outputs = std::mem::take(&mut self.outputs);
         self.node.handle(self.now, event, &mut outputs);
         for output in outputs.drain(..) {
-            self.take_output(output);
+            self.handle_output(output);
         }
         self.outputs = outputs;
     }
 
-    fn take_output(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         let effect = match output {
             Output::Send { to, message } => Effect::Send { to, message },
             Output::Persist { ticket, hard_state, truncate_from, entries, snapshot } => {
--- a/crates/simulation/src/core_process/mod.rs
+++ b/crates/simulation/src/core_process/mod.rs
@@ -175,7 +175,7 @@
         self.now = self.now.max(now);
         self.time_of_day_ms = time_of_day_ms;
         self.apply_budget = usize::MAX;
-        self.take_event(event);
+        self.handle_event(event);
         self.finish_turn();
         out.append(&mut self.out);
     }
@@ -190,19 +190,19 @@
         }
     }
 
-    fn take_event(&mut self, event: CoreEvent) {
+    fn handle_event(&mut self, event: CoreEvent) {
         match event {
             CoreEvent::Tick => {}
-            CoreEvent::Frame { from, frame } => self.take_frame(from, frame),
+            CoreEvent::Frame { from, frame } => self.handle_frame(from, frame),
             CoreEvent::PeerLost { machine } => self.peer_lost(machine),
             CoreEvent::PeerRefused { machine } => self.peer_refused(machine),
             CoreEvent::DiskDone => self.disk_done(),
             CoreEvent::EdgeConnected { connection } => self.edge_connected(connection),
             CoreEvent::EdgeClosed { connection } => self.edge_closed(connection),
-            CoreEvent::Request { connection, request } => self.take_request(connection, request),
+            CoreEvent::Request { connection, request } => self.handle_request(connection, request),
             CoreEvent::Ping { connection, number } => self.out.push(CoreOutput::Pong { connection, number }),
-            CoreEvent::Put { call, if_match, body } => self.take_put(call, if_match, body),
-            CoreEvent::Get { call } => self.take_get(call),
+            CoreEvent::Put { call, if_match, body } => self.handle_put(call, if_match, body),
+            CoreEvent::Get { call } => self.handle_get(call),
             CoreEvent::CallFinished { term, call, outcome } => {
                 if term == self.leader_term {
                     self.notify_leader(Input::CallFinished { call, outcome });
--- a/crates/simulation/src/core_process/peers.rs
+++ b/crates/simulation/src/core_process/peers.rs
@@ -5,7 +5,7 @@
 use super::{CoreFrame, CoreOutput, CoreProcess};
 
 impl CoreProcess {
-    pub(super) fn take_frame(&mut self, from: usize, frame: CoreFrame) {
+    pub(super) fn handle_frame(&mut self, from: usize, frame: CoreFrame) {
         match frame {
             CoreFrame::Consensus { from: sender, to, message } => {
                 self.addresses.insert(sender, from);
--- a/crates/simulation/src/core_process/turns.rs
+++ b/crates/simulation/src/core_process/turns.rs
@@ -12,7 +12,7 @@
 impl CoreProcess {
     /// Handles events in one turn and returns the work done. Committed entries beyond the limit are applied
     /// in the next turn, which is due at once.
-    pub fn take_turn(
+    pub fn run_turn(
         &mut self,
         now: u64,
         time_of_day_ms: u64,
@@ -25,7 +25,7 @@
         self.work.turns += 1;
         for event in events {
             self.count_event(&event);
-            self.take_event(event);
+            self.handle_event(event);
         }
         self.finish_turn();
         self.out.iter().for_each(|output| count_output(&mut self.work, output));
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -313,7 +313,7 @@
     }
 
     /// The task to which a run's failure counts. All members of a gang fail as one task.
-    pub fn failure_counted_for(&self, key: &AttemptKey) -> TaskKey {
+    pub fn failure_owner(&self, key: &AttemptKey) -> TaskKey {
         let index = if self.is_gang(key) { 0 } else { key.task.index };
         TaskKey { index, ..key.task }
     }
--- a/crates/simulation/src/oracle/jobs.rs
+++ b/crates/simulation/src/oracle/jobs.rs
@@ -122,7 +122,7 @@
     let mut counted = HashSet::new();
     for run in &history.runs {
         let failed = run.end.as_ref().is_some_and(|end| end.how == Some(EndKind::FAILED));
-        let task = history.failure_counted_for(&run.key);
+        let task = history.failure_owner(&run.key);
         if failed && (!history.is_gang(&run.key) || counted.insert((task, run.key.attempt))) {
             *failures.entry(task).or_insert(0) += 1;
         }
--- a/crates/simulation/src/oracle/tasks.rs
+++ b/crates/simulation/src/oracle/tasks.rs
@@ -171,7 +171,7 @@
 pub fn budget(connectivity: &Connectivity<'_>, history: &History, out: &mut Vec<Violation>) {
     let mut failing: BTreeMap<TaskKey, Vec<&Run>> = BTreeMap::new();
     for run in &history.runs {
-        failing.entry(history.failure_counted_for(&run.key)).or_default().push(run);
+        failing.entry(history.failure_owner(&run.key)).or_default().push(run);
     }
     for runs in failing.into_values().filter(|runs| !history.is_long_running(&runs[0].key)) {
         let limit = Queue::ALL[history.jobs[&runs[0].key.task.job].queue].max_retries as usize;
@@ -208,11 +208,11 @@
 /// GANG: a gang member must not time out waiting for the others, unless a fault, a drain or a cancellation
 /// explains it.
 pub fn gang(connectivity: &Connectivity<'_>, history: &History, out: &mut Vec<Violation>) {
-    let wanted = first_cancels(history);
+    let first_cancels_by_job = first_cancels(history);
     let drained: Vec<u64> = history.drains.iter().map(|read| read.at).collect();
     for run in &history.runs {
         let Some(end) = end_of_kind(run, EndKind::ALONE) else { continue };
-        let cancelled = wanted.get(&run.key.task.job).is_some_and(|at| *at <= end.at);
+        let cancelled = first_cancels_by_job.get(&run.key.task.job).is_some_and(|at| *at <= end.at);
         let from = run.started_at.saturating_sub(ms(connectivity.bounds.contact_ms));
         let drains = drained.iter().any(|at| *at + ms(10_000) >= from && *at <= end.at);
         if cancelled
--- a/crates/simulation/src/workers/lists.rs
+++ b/crates/simulation/src/workers/lists.rs
@@ -11,7 +11,7 @@
 const MAX_LISTED_ENDS: usize = 500;
 
 impl Incarnation {
-    fn has_unseen_ends(&self) -> bool {
+    fn has_unrecorded_ends(&self) -> bool {
         !self.finished.is_empty()
     }
 
@@ -20,7 +20,7 @@
         self.last_seen = self.last_seen.max(last_seen);
         while self.finished.front().is_some_and(|finished| finished.end.sequence <= self.last_seen) {
             let Some(finished) = self.finished.pop_front() else { return };
-            let lapsed = finished.lapses != self.lapses;
+            let lapsed = finished.lease_lapses != self.lease_lapses;
             if let Some(end) = history.runs[finished.position].end.as_mut() {
                 record(end, now, lapsed);
             }
@@ -47,24 +47,24 @@
         token: u64,
     ) -> Option<CallOutcome> {
         let incarnation = self.workers[position].incarnation.as_mut()?;
-        if wait_ms > 0 && !incarnation.has_unseen_ends() {
-            incarnation.waiters.push(super::Waiter { token, until: now + ms(wait_ms) });
+        if wait_ms > 0 && !incarnation.has_unrecorded_ends() {
+            incarnation.long_polls.push(super::LongPoll { token, until: now + ms(wait_ms) });
             return None;
         }
         self.answer_with_lists(position, now)
     }
 
     /// Answers long polls whose time is over, or all of them if there are ends to list.
-    pub(super) fn answer_waiters(&mut self, position: usize, now: u64) {
+    pub(super) fn answer_long_polls(&mut self, position: usize, now: u64) {
         let Some(incarnation) = self.workers[position].incarnation.as_mut() else { return };
-        let all = incarnation.has_unseen_ends();
+        let all = incarnation.has_unrecorded_ends();
         let due: Vec<u64> = incarnation
-            .waiters
+            .long_polls
             .iter()
-            .filter(|waiter| all || waiter.until <= now)
-            .map(|waiter| waiter.token)
+            .filter(|long_poll| all || long_poll.until <= now)
+            .map(|long_poll| long_poll.token)
             .collect();
-        incarnation.waiters.retain(|waiter| !all && waiter.until > now);
+        incarnation.long_polls.retain(|long_poll| !all && long_poll.until > now);
         for token in due {
             if let Some(outcome) = self.answer_with_lists(position, now) {
                 self.answered.push((token, outcome));
@@ -78,9 +78,9 @@
     }
 
     /// Removes the long poll of a caller that no longer waits.
-    pub fn drop_waiter(&mut self, position: usize, token: u64) {
+    pub fn drop_long_poll(&mut self, position: usize, token: u64) {
         if let Some(incarnation) = self.workers[position].incarnation.as_mut() {
-            incarnation.waiters.retain(|waiter| waiter.token != token);
+            incarnation.long_polls.retain(|long_poll| long_poll.token != token);
         }
         self.reschedule(position);
     }
--- a/crates/simulation/src/workers/mod.rs
+++ b/crates/simulation/src/workers/mod.rs
@@ -76,18 +76,18 @@
     fencing_token: u64,
     worker_lease_until_ms: u64,
     has_lease: bool,
-    lapses: u64,
+    lease_lapses: u64,
     runs: BTreeMap<AttemptKey, LiveRun>,
     superseded_attempts: BTreeMap<TaskKey, u32>,
     finished: VecDeque<FinishedRun>,
     next_sequence: u64,
     last_seen: u64,
-    waiters: Vec<Waiter>,
+    long_polls: Vec<LongPoll>,
 }
 
 /// A pending long poll.
 #[derive(Debug)]
-struct Waiter {
+struct LongPoll {
     token: u64,
     until: u64,
 }
@@ -96,7 +96,7 @@
 struct FinishedRun {
     end: WorkerEnd,
     position: usize,
-    lapses: u64,
+    lease_lapses: u64,
 }
 
 /// A run, as its worker knows it.
@@ -152,7 +152,7 @@
     bounds: Bounds,
     gangs: BTreeMap<GangKey, Gang>,
     due: BTreeSet<(u64, usize)>,
-    due_of: Vec<u64>,
+    due_by_worker: Vec<u64>,
     checkpoints: HashSet<(TaskKey, String)>,
     /// Answers to long polls, ready to be sent, with the token of each call.
     pub answered: Vec<(u64, CallOutcome)>,
@@ -161,13 +161,13 @@
 impl Fleet {
     /// Creates workers that are not started yet.
     pub fn new(workers: Vec<Worker>, bounds: Bounds) -> Fleet {
-        let due_of = vec![u64::MAX; workers.len()];
+        let due_by_worker = vec![u64::MAX; workers.len()];
         Fleet {
             workers,
             bounds,
             gangs: BTreeMap::new(),
             due: BTreeSet::new(),
-            due_of,
+            due_by_worker,
             checkpoints: HashSet::new(),
             answered: Vec::new(),
         }
@@ -176,7 +176,7 @@
     /// Adds a worker and returns its position.
     pub fn add(&mut self, worker: Worker) -> usize {
         self.workers.push(worker);
-        self.due_of.push(u64::MAX);
+        self.due_by_worker.push(u64::MAX);
         self.workers.len() - 1
     }
 
@@ -190,13 +190,13 @@
             fencing_token: 0,
             worker_lease_until_ms: 0,
             has_lease: false,
-            lapses: 0,
+            lease_lapses: 0,
             runs: BTreeMap::new(),
             superseded_attempts: BTreeMap::new(),
             finished: VecDeque::new(),
             next_sequence: 1,
             last_seen: 0,
-            waiters: Vec::new(),
+            long_polls: Vec::new(),
         });
     }
 
@@ -231,7 +231,7 @@
                 return;
             }
             self.due.pop_first();
-            self.due_of[position] = u64::MAX;
+            self.due_by_worker[position] = u64::MAX;
             self.advance_worker(position, at, history);
             self.reschedule(position);
         }
@@ -239,7 +239,7 @@
 
     fn reschedule(&mut self, position: usize) {
         let due = self.workers[position].next_due();
-        let before = std::mem::replace(&mut self.due_of[position], due);
+        let before = std::mem::replace(&mut self.due_by_worker[position], due);
         if before == due {
             return;
         }
@@ -253,18 +253,18 @@
 
     fn advance_worker(&mut self, position: usize, now: u64, history: &mut History) {
         if self.workers[position].worker_lease_is_over(now) {
-            self.lapse(position, now, history);
+            self.lapse_lease(position, now, history);
         }
         while let Some((key, kind)) = self.workers[position].next_end(now) {
             self.end_run(position, key, kind, now, history);
         }
-        self.answer_waiters(position, now);
+        self.answer_long_polls(position, now);
     }
 
-    fn lapse(&mut self, position: usize, now: u64, history: &mut History) {
+    fn lapse_lease(&mut self, position: usize, now: u64, history: &mut History) {
         let Some(incarnation) = self.workers[position].incarnation.as_mut() else { return };
         incarnation.has_lease = false;
-        incarnation.lapses += 1;
+        incarnation.lease_lapses += 1;
         let keys: Vec<AttemptKey> = incarnation.runs.keys().copied().collect();
         for key in keys {
             self.end_run(position, key, EndKind::LAPSED, now, history);
@@ -294,7 +294,7 @@
         incarnation.finished.push_back(FinishedRun {
             end,
             position: run.position,
-            lapses: incarnation.lapses,
+            lease_lapses: incarnation.lease_lapses,
         });
         history.runs[run.position].end = Some(RunEnd {
             at: now,
@@ -304,7 +304,7 @@
             recorded_after_lapse: None,
         });
         self.issue_checkpoint(&key, run.gang.is_some(), checkpoint);
-        self.answer_waiters(position, now);
+        self.answer_long_polls(position, now);
         if let Some(gang) = run.gang {
             if kind == EndKind::DONE {
                 self.finish_gang(now, gang, key.task.index, history);
@@ -418,7 +418,8 @@
 
     fn next_due(&self) -> u64 {
         let Some(incarnation) = &self.incarnation else { return u64::MAX };
-        let mut due = incarnation.waiters.iter().map(|waiter| waiter.until).min().unwrap_or(u64::MAX);
+        let mut due =
+            incarnation.long_polls.iter().map(|long_poll| long_poll.until).min().unwrap_or(u64::MAX);
         if incarnation.has_lease {
             due = due.min(self.world_time_of_clock(incarnation.worker_lease_until_ms));
         }
--- a/crates/simulation/src/workers/orders.rs
+++ b/crates/simulation/src/workers/orders.rs
@@ -45,12 +45,12 @@
         history: &mut History,
     ) -> Option<CallOutcome> {
         self.advance(now, history);
-        let answer = self.take_call(position, now, delivery, history);
+        let answer = self.handle_call(position, now, delivery, history);
         self.reschedule(position);
         answer
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         position: usize,
         now: u64,
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -335,10 +335,10 @@
 
 /// Draws a queue according to the shares.
 pub fn draw_queue(site: &Site, rng: &mut Rng) -> usize {
-    let mut left = rng.f64();
+    let mut remaining = rng.f64();
     for (position, queue) in site.queues.iter().enumerate() {
-        left -= queue.share;
-        if left < 0.0 {
+        remaining -= queue.share;
+        if remaining < 0.0 {
             return position;
         }
     }
--- a/crates/simulation/src/world/calls.rs
+++ b/crates/simulation/src/world/calls.rs
@@ -87,7 +87,7 @@
         if let Some(exchange) = self.worker_calls.exchanges.get_mut(&id) {
             exchange.abandoned = true;
             let worker = exchange.worker;
-            self.fleet.drop_waiter(worker, id);
+            self.fleet.drop_long_poll(worker, id);
         }
     }
 
--- a/crates/simulation/src/world/edges.rs
+++ b/crates/simulation/src/world/edges.rs
@@ -197,8 +197,8 @@
     pub(super) fn edge_connected(&mut self, connection: usize, stands: bool) {
         let link = &self.connections[connection];
         let (edge, number) = (link.edge, link.number);
-        let wanted = self.edges[edge].connections_by_number.get(&number) == Some(&connection);
-        if !wanted || self.edges[edge].incarnation != link.edge_incarnation {
+        let is_current = self.edges[edge].connections_by_number.get(&number) == Some(&connection);
+        if !is_current || self.edges[edge].incarnation != link.edge_incarnation {
             return;
         }
         if self.defer_if_edge_frozen(edge, Event::EdgeConnected { connection, stands }).is_none() {
--- a/crates/simulation/src/world/fault_injection/workers.rs
+++ b/crates/simulation/src/world/fault_injection/workers.rs
@@ -64,8 +64,9 @@
         self.queue.push(least + linger, Event::WorkerLeaves { worker });
         let service = self.fleet.workers[worker].service;
         let number = self.fleet.workers.len();
-        let fresh = make_worker(&self.site, service, &self.site.services[service], number, &mut self.rng);
-        let fresh = self.fleet.add(fresh);
-        self.queue.push(least + ms(4_000), Event::WorkerBoots { worker: fresh });
+        let replacement =
+            make_worker(&self.site, service, &self.site.services[service], number, &mut self.rng);
+        let replacement = self.fleet.add(replacement);
+        self.queue.push(least + ms(4_000), Event::WorkerBoots { worker: replacement });
     }
 }
--- a/crates/simulation/src/world/idle.rs
+++ b/crates/simulation/src/world/idle.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub(super) struct IdleWatch {
     seen_calls: usize,
-    open: BTreeSet<u64>,
+    watched: BTreeSet<u64>,
     since: BTreeMap<u64, u64>,
     seen_runs: usize,
     unfinished_runs: Vec<usize>,
@@ -43,10 +43,10 @@
         self.update_watched_jobs();
         self.update_task_results();
         let running = self.running_jobs();
-        let open: Vec<u64> = self.idle.open.iter().copied().collect();
-        for job in open {
+        let watched: Vec<u64> = self.idle.watched.iter().copied().collect();
+        for job in watched {
             if self.is_over(job) {
-                self.idle.open.remove(&job);
+                self.idle.watched.remove(&job);
             } else if !running.contains(&job) && self.could_run(job) {
                 let since = *self.idle.since.entry(job).or_insert(now);
                 if now - since >= MAX_IDLE_NS && self.idle.reported.insert(job) {
@@ -68,14 +68,14 @@
                 continue;
             };
             if call.kind == CallKind::Submit && *answer == Answer::Done {
-                watch.open.insert(call.job);
+                watch.watched.insert(call.job);
             }
             if position == watch.seen_calls {
                 watch.seen_calls += 1;
             }
         }
         for call in self.history.calls.iter().rev().take(200).filter(|call| call.kind == CallKind::Cancel) {
-            watch.open.remove(&call.job);
+            watch.watched.remove(&call.job);
         }
     }
 
@@ -97,9 +97,7 @@
                     }
                     recorded.insert(run.key.task);
                 }
-                Some(EndKind::FAILED) => {
-                    *failures.entry(history.failure_counted_for(&run.key)).or_insert(0) += 1
-                }
+                Some(EndKind::FAILED) => *failures.entry(history.failure_owner(&run.key)).or_insert(0) += 1,
                 _ => {}
             }
             false
@@ -152,18 +150,18 @@
         let is_done = |task: &TaskKey| self.task_done_at.contains_key(task);
         let is_recorded = |task: TaskKey| self.idle.recorded.contains(&task);
         plan.body.stages.iter().enumerate().any(|(step, stage)| {
-            let waits =
+            let is_blocked =
                 stage.depends_on.iter().any(|before| !plan.step_tasks(time, *before).all(is_recorded));
             let step = step as u32;
-            let left = plan.step_tasks(time, step).any(|task| !is_done(&task));
-            !waits && left && self.has_capacity_twice(plan, stage)
+            let is_unfinished = plan.step_tasks(time, step).any(|task| !is_done(&task));
+            !is_blocked && is_unfinished && self.has_capacity_twice(plan, stage)
         })
     }
 
     fn has_capacity_twice(&self, plan: &JobPlan, stage: &Stage) -> bool {
         let service = Queue::ALL[plan.queue].service;
         let need = need_of(stage);
-        let wanted = if stage.gang { 2 * u64::from(stage.count) } else { 2 };
+        let needed_places = if stage.gang { 2 * u64::from(stage.count) } else { 2 };
         let (mut places, mut used, mut all) = (0, 0, 0);
         for (position, worker) in self.fleet.workers.iter().enumerate() {
             if worker.service != service || worker.incarnation.is_none() {
@@ -174,35 +172,36 @@
             let fit = stage.constraint.is_empty() || worker.labels.contains(&stage.constraint);
             if fit && fits(need, worker.free()) && self.is_healthy(position) {
                 let free = worker.free();
-                let mut here = free.cpu.checked_div(need.cpu).unwrap_or(1);
-                here = here.min(free.mem_mb.checked_div(need.mem_mb).unwrap_or(here));
-                here = here.min(free.gpu.checked_div(need.gpu).unwrap_or(here));
+                let mut worker_places = free.cpu.checked_div(need.cpu).unwrap_or(1);
+                worker_places =
+                    worker_places.min(free.mem_mb.checked_div(need.mem_mb).unwrap_or(worker_places));
+                worker_places = worker_places.min(free.gpu.checked_div(need.gpu).unwrap_or(worker_places));
                 if stage.anti_affinity > 0 {
-                    here = here.min(u64::from(stage.anti_affinity));
+                    worker_places = worker_places.min(u64::from(stage.anti_affinity));
                 }
-                places += here;
+                places += worker_places;
             }
         }
-        places >= wanted && used * 2 < all
+        places >= needed_places && used * 2 < all
     }
 
     /// Whether a run of the job, or an ordered start, may still go on at an unreachable worker. Until that
     /// worker's lease has expired, another start could break the rule TWICE.
     fn may_run_on_unreachable_worker(&self, job: u64) -> bool {
         let worker_lease = ms(self.site.bounds.max_worker_lease_ms);
-        let lapses_within = worker_lease + worker_lease / CLOCK_RATE_PART + WORKER_LEASE_SLACK_NS;
+        let expires_within = worker_lease + worker_lease / CLOCK_RATE_PART + WORKER_LEASE_SLACK_NS;
         // A leader that never reached the worker cannot know how long before its own term the lease was last
         // extended.
         let faults = self.history.core_faults.iter().filter(|span| span.from <= self.now);
         let leader_since = faults.map(|span| span.until.min(self.now)).max().unwrap_or(0);
         let may_be_in_force = |order: &StartOrder| {
             let faults = self.history.worker_faults.iter().filter(|(worker, ..)| *worker == order.worker);
-            let mut hidden = faults.filter_map(|(_, span, kind)| {
+            let mut unreachable_since = faults.filter_map(|(_, span, kind)| {
                 let from = span.from + kind.makes_worker_unreachable_after()?;
                 // An order that is sent while the worker is unreachable carries a deadline of its own.
                 Some(if span.touches(order.at, order.at) { from.max(order.at) } else { from })
             });
-            hidden.any(|from| self.now < from.max(leader_since) + lapses_within)
+            unreachable_since.any(|from| self.now < from.max(leader_since) + expires_within)
         };
         self.history.orders_of(job).any(may_be_in_force)
     }
--- a/crates/simulation/src/world/turns.rs
+++ b/crates/simulation/src/world/turns.rs
@@ -101,10 +101,10 @@
             self.begin_turn_at(machine, runs_from);
             return;
         }
-        self.take_turn(machine, &processor);
+        self.run_turn(machine, &processor);
     }
 
-    fn take_turn(&mut self, machine: usize, processor: &Processor) {
+    fn run_turn(&mut self, machine: usize, processor: &Processor) {
         let now = self.now;
         let core = &mut self.cores[machine];
         let monotonic_now = now + core.monotonic_offset;
@@ -113,7 +113,7 @@
         let events = core.turns.take_events();
         let was_leading = process.is_leading();
         let mut outputs = Vec::new();
-        let work = process.take_turn(monotonic_now, time_of_day_ms, events, &mut outputs);
+        let work = process.run_turn(monotonic_now, time_of_day_ms, events, &mut outputs);
         let (leads, term) = (process.is_leading(), process.node().term());
         let cost = processor.cost_of(&work);
         let until = core.turns.quota.spend(processor, now, cost);
