--- a/crates/simulation/src/core_process/interface.rs
+++ b/crates/simulation/src/core_process/interface.rs
@@ -222,16 +222,16 @@
 /// Answers to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
-    /// 200.
+    /// Status 200: the change was accepted.
     Accepted,
-    /// 200 with the configuration.
+    /// Status 200 with the configuration.
     Body(Vec<u8>),
-    /// 412.
+    /// Status 412: the change is based on another version.
     Conflict,
-    /// 400.
+    /// Status 400: the configuration is invalid.
     Invalid,
-    /// 307 to a machine.
+    /// Status 307 to the given core machine.
     Redirect(usize),
-    /// 503.
+    /// Status 503: the leader is not known or not ready.
     Unavailable,
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -33,15 +33,15 @@
 pub enum Answer {
     /// 200 for a submission or a cancellation.
     Done,
-    /// 200 with a state.
+    /// 200 with the state of the job.
     State(String),
-    /// 200 with a count.
+    /// 200 with the number of pending jobs.
     Count(u64),
-    /// 404.
+    /// 404: no route matches the path.
     NoRoute,
-    /// 410.
+    /// 410: the job is not known.
     Gone,
-    /// 400.
+    /// 400: the request is invalid.
     Invalid,
     /// 429 or 503: the request was not accepted.
     Rejected,
--- a/crates/simulation/src/script.rs
+++ b/crates/simulation/src/script.rs
@@ -27,7 +27,7 @@
     CoreKill(Target),
     /// `node_kill` with `power`: the machine loses power for a while.
     CorePower(Target),
-    /// `node_freeze`.
+    /// `node_freeze` on the core: the process is frozen.
     CoreFreeze(Target),
     /// `core_cut`: partitioned from the other core machines.
     CorePartition(Target),
@@ -63,23 +63,23 @@
     AfterAcceptPower,
     /// The leader loses power just after a worker learned that its ends are recorded.
     AfterRecordPower,
-    /// `disk_slow`.
+    /// `disk_slow`: syncs of the disk take longer.
     DiskSlow(Target),
-    /// `disk_stall`.
+    /// `disk_stall`: the disk finishes no write.
     DiskStall(Target),
-    /// `disk_full`.
+    /// `disk_full`: the disk accepts no more data.
     DiskFull(Target),
     /// `clock_step`: the wall clock of a machine jumps.
     ClockStep,
-    /// `node_kill` of edges.
+    /// `node_kill` on an edge: its process is killed and restarts within a second.
     EdgeKill,
-    /// `node_freeze` of edges.
+    /// `node_freeze` on an edge: its process is frozen.
     EdgeFreeze,
     /// `herd_kill` with `power` on edges: more than half of them lose power for a while.
     EdgesLost,
-    /// `node_cut` of edges.
+    /// `node_cut` on an edge: it is partitioned from all machines.
     EdgePartition,
-    /// `reset_conns`.
+    /// `reset_conns`: a part of the connections between edges and the core break.
     ResetConnections,
     /// `srv_crash`: the worker loses power for a while.
     WorkerCrash,
@@ -97,7 +97,7 @@
     WorkerMute,
     /// Calls are neither carried out nor answered.
     WorkerHang,
-    /// `node_cut` of workers.
+    /// `node_cut` on workers: they are partitioned from all machines and workers.
     WorkerPartition,
     /// `srv_cut`: workers are partitioned from the core machines.
     WorkerPartitionFromCore,
--- a/crates/simulation/src/workers/mod.rs
+++ b/crates/simulation/src/workers/mod.rs
@@ -73,14 +73,22 @@
     pub instance: String,
     /// World time at which the incarnation started.
     pub booted_at: u64,
+    /// Highest fencing token that a call carried.
     fencing_token: u64,
+    /// End of the lease on the worker's clock, in milliseconds.
     worker_lease_until_ms: u64,
+    /// Whether a lease was granted and has not lapsed.
     has_lease: bool,
+    /// Number of times that the lease lapsed.
     lease_lapses: u64,
+    /// Runs that have not ended.
     runs: BTreeMap<AttemptKey, LiveRun>,
+    /// Highest attempt of each task that ended or was stopped here; it and earlier ones must not start.
     superseded_attempts: BTreeMap<TaskKey, u32>,
+    /// Ended runs that the leader has not recorded yet, by sequence number.
     finished: VecDeque<FinishedRun>,
     next_sequence: u64,
+    /// Highest sequence number that the leader has recorded.
     last_seen: u64,
     long_polls: Vec<LongPoll>,
 }
@@ -104,16 +112,25 @@
 struct LiveRun {
     /// Position in the history's runs.
     position: usize,
+    /// Resources in use by the run.
     need: Resources,
     phase: Phase,
+    /// Total work of the task, in milliseconds.
     work_ms: f64,
+    /// Work that the checkpoint at the start had saved, in milliseconds.
     began_ms: f64,
+    /// Work done so far, including that of the checkpoint, in milliseconds.
     done_ms: f64,
+    /// Remaining time to restore the checkpoint, in milliseconds.
     restore_left_ms: f64,
+    /// Work done per unit of time.
     rate: f64,
+    /// World time up to which the progress is computed.
     updated_at: u64,
+    /// Work after which the run fails, in milliseconds; `None` if it does not fail.
     fails_after_ms: Option<f64>,
     long_running: bool,
+    /// Whether the task saves checkpoints.
     saves: bool,
     stalled: bool,
     gang: Option<GangKey>,
@@ -151,8 +168,11 @@
     pub workers: Vec<Worker>,
     bounds: Bounds,
     gangs: BTreeMap<GangKey, Gang>,
+    /// Next timers: time and worker position.
     due: BTreeSet<(u64, usize)>,
+    /// Next timer of each worker; `u64::MAX` if none.
     due_by_worker: Vec<u64>,
+    /// Checkpoints that workers issued, by the task that owns them.
     checkpoints: HashSet<(TaskKey, String)>,
     /// Answers to long polls, ready to be sent, with the token of each call.
     pub answered: Vec<(u64, CallOutcome)>,
--- a/crates/simulation/src/world/cores.rs
+++ b/crates/simulation/src/world/cores.rs
@@ -34,9 +34,13 @@
     pub(super) exists: bool,
     /// The machine has power.
     pub(super) powered: bool,
+    /// The process is frozen until this time.
     pub(super) frozen_until: u64,
+    /// Factor by which syncs of the disk take longer.
     pub(super) disk_factor: u64,
+    /// The disk finishes no write before this time.
     pub(super) disk_stalled_until: u64,
+    /// Error of the wall clock, in milliseconds.
     pub(super) wall_clock_offset_ms: i64,
     /// The machine counts as lost until this time.
     pub(super) lost_until: u64,
@@ -49,8 +53,11 @@
     pub(super) turns: Turns,
     /// The platform list that the machine read last: leadership term and list version.
     pub(super) last_list: Option<(u64, usize)>,
+    /// Difference between the machine's monotonic clock and world time.
     pub(super) monotonic_offset: u64,
+    /// Number of the latest timer; older timers are dropped.
     generation: u64,
+    /// Time of the latest timer; `u64::MAX` if none is pending.
     wakes_at: u64,
 }
 
--- a/crates/simulation/src/world/edges.rs
+++ b/crates/simulation/src/world/edges.rs
@@ -28,8 +28,11 @@
     pub(super) frozen_until: u64,
     /// Position in the world's connections, by the edge's own connection number.
     connections_by_number: HashMap<u64, usize>,
+    /// Number of the latest timer; older timers are dropped.
     generation: u64,
+    /// Time of the latest timer; `u64::MAX` if none is pending.
     wakes_at: u64,
+    /// Consecutive failed readiness probes.
     failed_probes: u32,
 }
 
--- a/crates/simulation/src/world/idle.rs
+++ b/crates/simulation/src/world/idle.rs
@@ -25,14 +25,21 @@
 /// Results of the checks so far.
 #[derive(Default)]
 pub(super) struct IdleWatch {
+    /// Number of calls at the start of the history that need no further look.
     seen_calls: usize,
+    /// Accepted jobs that are neither over nor being cancelled.
     watched: BTreeSet<u64>,
+    /// Jobs that are idle now, and since when.
     since: BTreeMap<u64, u64>,
+    /// Number of runs that were added to `unfinished_runs`.
     seen_runs: usize,
+    /// Positions of runs whose end is not fully known.
     unfinished_runs: Vec<usize>,
     /// Tasks whose successful end was recorded by the leader.
     recorded: BTreeSet<TaskKey>,
+    /// Number of failures of each task.
     failures: BTreeMap<TaskKey, u32>,
+    /// Jobs that were reported as idle.
     reported: BTreeSet<u64>,
 }
 
