--- a/crates/simulation/src/overload/goodput.rs
+++ b/crates/simulation/src/overload/goodput.rs
@@ -37,8 +37,8 @@
 }
 
 impl Goodput {
-    /// Measures the jobs that were submitted during `span`, apart from those that are delayed by their own
-    /// nature.
+    /// Measures the jobs that were submitted during `span`, apart from jobs with due times, cancelled jobs
+    /// and jobs that never end by themselves or cannot complete.
     pub fn measure(history: &History, span: Span) -> Goodput {
         let ends = ends_of_tasks(history);
         let seconds = seconds(span.until - span.from);
@@ -110,7 +110,8 @@
     ends_ms.into_iter().max().unwrap_or(0)
 }
 
-/// Whether only the system can delay the job: it is not cancelled, has no due times and can complete.
+/// Whether only the system can delay the job: it has no due times, is not cancelled, ends by itself
+/// and can complete.
 fn is_delayed_only_by_system(job: &JobPlan) -> bool {
     job.body.repeat == 0 && job.cancel_at.is_none() && !job.is_poison() && !job.is_long_running()
 }
--- a/crates/simulation/src/overload/recovery.rs
+++ b/crates/simulation/src/overload/recovery.rs
@@ -12,7 +12,7 @@
 /// A short job is on time if it ends within this time of its submission, in nanoseconds.
 const ON_TIME_LIMIT_NS: u64 = 3 * SECOND;
 /// The system has recovered when the fraction of jobs on time is at least this much of the fraction before
-/// the fault.
+/// the fault. A system keeps up with its load if at least this fraction is on time.
 const MIN_ON_TIME_FRACTION: f64 = 0.8;
 /// A short job has no task with more work than this, in milliseconds.
 const SHORT_WORK_MS: u64 = 900;
