--- a/crates/control/src/admin/reports.rs
+++ b/crates/control/src/admin/reports.rs
@@ -33,7 +33,7 @@
                 self.leader_report(|leader, state| match leader.job_report(state, id, now) {
                     Some(report) => document(&report),
                     None => AdminReply::NotFound(
-                        "no such job: it was never accepted, or it ended so long ago that it was removed"
+                        "no such job: it was never accepted, or ended so long ago that it is forgotten"
                             .to_owned(),
                     ),
                 })
@@ -109,7 +109,7 @@
         let (id, term) = (node.id(), node.term());
         let others = node.membership().members.iter().filter(|member| member.voter && member.id != id);
         if others.count() == 0 {
-            let text = "there is no other voter that could lead: another core process must join first";
+            let text = "there is no other voter that could lead: let another core process join first";
             return AdminReply::Rejected(text.to_owned());
         }
         log::info!("transferring leadership of term {term} at an administrator's request");
@@ -119,7 +119,7 @@
 
     fn start_snapshot(&mut self) -> AdminReply {
         if self.replica.is_taking_snapshot() {
-            let text = "a snapshot is already being written: repeat the request if it is not recent enough";
+            let text = "a snapshot is being written: ask again once it is done, if it is not new enough";
             return AdminReply::Rejected(text.to_owned());
         }
         let index = self.replica.applied_index();
@@ -149,7 +149,7 @@
     match serde_json::to_vec(document) {
         Ok(bytes) => AdminReply::Document(bytes),
         Err(error) => AdminReply::Rejected(format!(
-            "the answer cannot be written ({error}): this is a bug in the program"
+            "the answer cannot be written ({error}): this is a fault of the program"
         )),
     }
 }
--- a/crates/control/src/admin/routes.rs
+++ b/crates/control/src/admin/routes.rs
@@ -98,7 +98,7 @@
         Ok(reply) => respond(reply.unwrap_or(AdminReply::Unavailable), context.request.uri().path()),
         Err(_) => json_error(
             StatusCode::GATEWAY_TIMEOUT,
-            "the process is too busy to answer in time and may still execute the request: check before repeating it",
+            "the process is too busy to answer in time, and may still do what was asked: look before asking again",
         ),
     }
 }
@@ -114,7 +114,7 @@
             json(builder.header(LOCATION, format!("http://{control}{path}")), "{}".into())
         }
         AdminReply::Unavailable => {
-            let text = "no leader can confirm that it leads: retry in a second, or see /v1/admin/status";
+            let text = "no leader can confirm that it leads: ask again in a second, or see /v1/admin/status";
             json_error(StatusCode::SERVICE_UNAVAILABLE, text)
         }
         AdminReply::NotFound(text) => json_error(StatusCode::NOT_FOUND, &text),
--- a/crates/control/src/clients.rs
+++ b/crates/control/src/clients.rs
@@ -105,7 +105,7 @@
             if pending.changes_state {
                 reply.outcome = Outcome::UNSURE;
                 reply.text =
-                    "the leader changed before the outcome was known: repeat the same call".to_owned();
+                    "the leader changed before the outcome was known: send the same call again".to_owned();
             }
             self.push(pending.connection, OneOfbody::reply(reply));
         }
--- a/crates/control/src/operator_api.rs
+++ b/crates/control/src/operator_api.rs
@@ -114,10 +114,11 @@
             json(builder.header(LOCATION, location), "{}".into())
         }
         OperatorReply::Unavailable => {
-            json_error(StatusCode::SERVICE_UNAVAILABLE, "no leader is known: repeat the call in a second")
-        }
-        OperatorReply::OutcomeUnknown => {
-            json_error(StatusCode::SERVICE_UNAVAILABLE, "the outcome is not known yet: repeat the same call")
+            json_error(StatusCode::SERVICE_UNAVAILABLE, "no leader is known: send the call again in a second")
         }
+        OperatorReply::OutcomeUnknown => json_error(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the outcome is not known yet: send the same call again",
+        ),
     }
 }
--- a/crates/scheduler/src/leader/client_requests.rs
+++ b/crates/scheduler/src/leader/client_requests.rs
@@ -76,7 +76,7 @@
                 self.cancel(state, token, route, cancel.id)
             }
             OneOfcall::read(_) | OneOfcall::cancel(_) => Some(reply(Outcome::NO_SUCH_JOB)),
-            OneOfcall::None => Some(invalid("the request holds no call: run the same version on both sides")),
+            OneOfcall::None => Some(invalid("the request carries no call: send both sides the same version")),
         }
     }
 
@@ -101,7 +101,7 @@
             tokens.push(token);
             return None;
         }
-        let Some(job) = request.job else { return Some(invalid("the request holds no job: send one")) };
+        let Some(job) = request.job else { return Some(invalid("the request carries no job: send one")) };
         let tasks: u64 = job.stages.iter().map(|stage| u64::from(stage.count)).sum();
         if self.open_tasks + self.pending_clients.tasks() + tasks > self.settings.max_open_tasks {
             return Some(ClientReply { retry_after_ms: RETRY_OVERLOADED_MS, ..reply(Outcome::OVERLOADED) });
--- a/crates/scheduler/src/leader/committed_changes.rs
+++ b/crates/scheduler/src/leader/committed_changes.rs
@@ -63,7 +63,7 @@
                 let name = JobName { id: *job, prefix_key: prefix_key.clone() };
                 let text =
                     "the ID belongs to a job of another queue, or a step has no tasks or depends on a \
-                            later step: correct the job"
+                            later one: correct the job"
                         .to_owned();
                 self.reply_submits(&name, &ClientReply { text, ..reply(Outcome::INVALID) }, out);
             }
--- a/crates/scheduler/src/leader/reports/job.rs
+++ b/crates/scheduler/src/leader/reports/job.rs
@@ -188,19 +188,19 @@
         AttemptOutcome::Ended(EndKind::DONE) => "done",
         AttemptOutcome::Ended(EndKind::FAILED) => "failed",
         AttemptOutcome::Ended(EndKind::STOPPED) => "stopped",
-        AttemptOutcome::Ended(EndKind::LAPSED) => "the lease of its worker expired",
+        AttemptOutcome::Ended(EndKind::LAPSED) => "its hold lapsed on the worker",
         AttemptOutcome::Ended(EndKind::BROKEN) => "another member of its gang ended",
-        AttemptOutcome::Ended(EndKind::ALONE) => "the other members of its gang did not start in time",
-        AttemptOutcome::Ended(EndKind::END_UNKNOWN) => "ended in a way that is unknown to this version",
-        AttemptOutcome::Resolved(Resolution::REJECTED_NO_CAPACITY) => "the worker had no capacity",
-        AttemptOutcome::Resolved(Resolution::REJECTED) => "the worker rejected the start",
+        AttemptOutcome::Ended(EndKind::ALONE) => "the others of its gang did not come in time",
+        AttemptOutcome::Ended(EndKind::END_UNKNOWN) => "ended in a way that this version does not know",
+        AttemptOutcome::Resolved(Resolution::REJECTED_NO_CAPACITY) => "the worker had no room",
+        AttemptOutcome::Resolved(Resolution::REJECTED) => "the worker did not take it",
         AttemptOutcome::Resolved(Resolution::NEVER_RAN) => "it was stopped before it ran",
         AttemptOutcome::Resolved(Resolution::LEASE_EXPIRED) => {
-            "the worker did not respond until its lease had expired"
+            "the worker was silent until its hold had surely lapsed"
         }
-        AttemptOutcome::Resolved(Resolution::INCARNATION_ENDED) => "the worker crashed or shut down",
+        AttemptOutcome::Resolved(Resolution::INCARNATION_ENDED) => "the worker crashed or left",
         AttemptOutcome::Resolved(Resolution::RESOLUTION_UNKNOWN) => {
-            "resolved in a way that is unknown to this version"
+            "resolved in a way that this version does not know"
         }
     }
 }
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -157,7 +157,7 @@
             first_segment: found.first_segment,
             data_bytes: found.snapshot.data.len(),
         },
-        Some(_) => FileContent::Damaged("file name does not match the index"),
+        Some(_) => FileContent::Damaged("its name is of another index"),
         None => FileContent::Damaged("wrong checksum"),
     }
 }
