--- a/crates/scheduler/src/state/call_check.rs
+++ b/crates/scheduler/src/state/call_check.rs
@@ -9,7 +9,9 @@
 impl State {
     /// Checks a call to one incarnation of a worker against the committed state.
     ///
-    /// # Errors Returns an error if the call would acknowledge ends that are not durable, or start an
+    /// # Errors
+    ///
+    /// Returns an error if the call would acknowledge ends that are not durable, or start an
     /// attempt whose intent to start is not durable.
     pub fn check_call(&self, instance: &str, request: &WorkerRequest) -> Result<(), UncommittedCall> {
         match request {
--- a/crates/scheduler/src/state/snapshot.rs
+++ b/crates/scheduler/src/state/snapshot.rs
@@ -40,7 +40,9 @@
 
     /// Restores the state from a snapshot.
     ///
-    /// # Errors Returns an error if any part of the snapshot is invalid or its format is unknown.
+    /// # Errors
+    ///
+    /// Returns an error if any part of the snapshot is invalid or its format is unknown.
     pub fn restore(snapshot: &SchedulerSnapshot) -> Result<Self, SnapshotError> {
         if snapshot.format > SNAPSHOT_FORMAT {
             return Err(SnapshotError::UnsupportedFormat(snapshot.format, SNAPSHOT_FORMAT));
