--- a/crates/scheduler/tests/cluster/lateness.rs
+++ b/crates/scheduler/tests/cluster/lateness.rs
@@ -1,30 +1,31 @@
-//! A leader whose process stands still while its workers and the network go on.
+//! Pauses of the leader's process, during which the workers and the network continue.
 
 use scheduler::leader::Input;
 
 use super::{Cluster, Event, MS};
 
 impl Event {
-    /// Whether the leader's process has to run for it.
-    fn is_for_the_leader(&self) -> bool {
+    /// Whether the leader's process must run to handle the event.
+    fn needs_leader_process(&self) -> bool {
         match self {
             Event::Tick
             | Event::Heartbeat { .. }
             | Event::Commit { .. }
-            | Event::List { .. }
+            | Event::InstanceList { .. }
             | Event::Answer { .. }
             | Event::ReadUntil { .. } => true,
-            Event::Arrive { .. }
-            | Event::LeaseRenewalDue { .. }
-            | Event::RunOver { .. }
-            | Event::Alone { .. } => false,
+            Event::RequestArrival { .. }
+            | Event::LongPollTimeout { .. }
+            | Event::RunFinished { .. }
+            | Event::GangTimeout { .. } => false,
         }
     }
 }
 
 impl Cluster {
-    /// The leader's process stands still. Afterwards its timers fire first, and only then it reads what has arrived.
-    pub fn stand_still(&mut self, span_ms: u64) {
+    /// Pauses the leader's process. After the pause the leader handles its timers first and then the input
+    /// that arrived during the pause.
+    pub fn pause_leader_process(&mut self, span_ms: u64) {
         self.handle(Input::ReadUntil { at: self.now });
         let end = self.now + span_ms * MS;
         let mut unread = Vec::new();
@@ -34,9 +35,9 @@
                 break;
             }
             self.now = self.now.max(at);
-            match event.is_for_the_leader() {
+            match event.needs_leader_process() {
                 true => unread.push(event),
-                false => self.play(event),
+                false => self.process_event(event),
             }
         }
         self.now = end;
@@ -45,7 +46,7 @@
         }
         self.handle(Input::Tick { time_of_day_ms: self.time_of_day_ms() });
         for event in unread {
-            self.play(event);
+            self.process_event(event);
         }
     }
 }
--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A small cluster in simulated time: a leader, a log that commits after a while, and modelled workers. Each start is
-//! checked against the rules of the pages.
+//! Simulated cluster: a leader, a replicated log with a commit delay, and modelled workers. Checks each start
+//! against the guarantees of the scheduler (see `rules`).
 
 #![allow(dead_code)]
 
@@ -20,49 +20,52 @@
 
 pub use worker::{ModelWorker, MS};
 
-const LATENCY: u64 = 2 * MS;
-const COMMIT: u64 = 6 * MS;
-const LIST: u64 = 20 * MS;
-/// How long a start is held back that is withheld in the end.
-const HELD_BACK: u64 = 200 * MS;
-/// The longest delay of a call.
-const LATEST: u64 = 4_000 * MS;
-/// Time between two rounds of the log's heartbeats, which renew the lease.
-const HEARTBEAT: u64 = 100 * MS;
-/// How long a leader's lease lasts after the responses of a majority.
-const LEASE: u64 = 400 * MS;
-/// How long a gang's member waits for the others.
-const GANG: u64 = 3_000 * MS;
-/// Time of day at the start of the steady clock, in ms.
+/// One-way delay between the leader and a worker.
+const LATENCY_NS: u64 = 2 * MS;
+/// Time from a proposal to its commit.
+const COMMIT_DELAY_NS: u64 = 6 * MS;
+/// Usual time to read the platform's list of instances.
+const LIST_DELAY_NS: u64 = 20 * MS;
+/// Time after which the driver reports a withheld start.
+const WITHHELD_START_DELAY_NS: u64 = 200 * MS;
+/// Upper limit of the delay of a late call.
+const MAX_CALL_DELAY_NS: u64 = 4_000 * MS;
+/// Interval of the consensus heartbeats, which renew the leader's lease.
+const HEARTBEAT_INTERVAL_NS: u64 = 100 * MS;
+/// Duration of the leader's lease after the responses of a majority.
+const LEADER_LEASE_NS: u64 = 400 * MS;
+/// Time that a gang member waits for the other members before it ends.
+const GANG_TIMEOUT_NS: u64 = 3_000 * MS;
+/// Time of day at monotonic time 0, in milliseconds since the Unix epoch.
 pub const DAY_START_MS: u64 = 1_700_000_000_000;
 pub const HOST: &str = "host.example";
 
-/// What happens at a time.
+/// A scheduled event of the simulation.
 #[derive(Debug, Clone)]
 enum Event {
     Tick,
     Heartbeat { term: u64 },
     Commit { term: u64, batch: CommandBatch },
-    List { term: u64, asked_at: u64 },
-    Arrive { term: u64, call: CallId, instance: String, request: WorkerRequest },
-    LeaseRenewalDue { term: u64, call: CallId, instance: String },
+    InstanceList { term: u64, requested_at: u64 },
+    RequestArrival { term: u64, call: CallId, instance: String, request: WorkerRequest },
+    LongPollTimeout { term: u64, call: CallId, instance: String },
     Answer { term: u64, call: CallId, outcome: CallOutcome },
-    RunOver { instance: String, key: AttemptKey },
-    Alone { instance: String, key: AttemptKey },
+    RunFinished { instance: String, key: AttemptKey },
+    GangTimeout { instance: String, key: AttemptKey },
     ReadUntil { term: u64, at: u64 },
 }
 
-/// An end `done` as the worker saw it.
+/// An end of kind `done` on a worker.
 #[derive(Debug, Clone)]
 struct DoneEnd {
     key: AttemptKey,
     at: u64,
     instance: String,
-    /// Whether it was acknowledged to the worker before its lease expired.
+    /// Whether the leader acknowledged the end to the worker before the worker's lease expired.
     acknowledged: bool,
 }
 
-/// A lease renewal that waits at a worker for an end.
+/// A lease renewal that a worker holds as a long poll until there is an end to report.
 #[derive(Debug, Clone)]
 struct WaitingLeaseRenewal {
     term: u64,
@@ -79,29 +82,29 @@
     pub workers: BTreeMap<String, ModelWorker>,
     pub replies: BTreeMap<u64, ClientReply>,
     pub configuration_replies: BTreeMap<u64, ConfigurationReply>,
-    /// Ends `done` that took place, by task.
+    /// Tasks with an end of kind `done` on some worker.
     pub done: BTreeSet<TaskKey>,
-    /// How often each task began to run.
+    /// Number of runs of each task.
     pub runs: BTreeMap<TaskKey, u32>,
-    /// Jobs all of whose runs fail.
-    pub poisoned: BTreeSet<u64>,
-    pub broken_rules: Vec<String>,
+    /// Jobs of which every run fails.
+    pub failing_jobs: BTreeSet<u64>,
+    pub immediate_violations: Vec<String>,
     pub calls: u64,
-    /// How many of a hundred calls are lost, lose their response, or arrive late.
-    pub loss_percent: u8,
-    /// Whether the leader hears from a majority.
+    /// Percentage of calls that are lost or arrive late. Half this percentage of the answers is lost, too.
+    pub call_loss_percent: u8,
+    /// Whether the leader holds its lease.
     pub has_lease: bool,
-    /// Runs of gangs that ended since not all members started.
-    pub alone: u32,
-    /// Whether all answers of workers are lost on their way.
+    /// Number of gang members that ended because not all members started in time.
+    pub gang_timeouts: u32,
+    /// Whether all answers of workers are lost.
     pub loses_answers: bool,
-    /// How long the platform's list takes to come.
+    /// Time to read the platform's list of instances.
     pub list_delay: u64,
-    /// Whether starts are held back and withheld in the end, as by a driver that is late.
+    /// Whether starts are withheld after a delay, as a late driver does.
     pub withholds_starts: bool,
-    /// Which worker a run began on, and when.
+    /// Worker and time of each start of a run.
     pub run_starts: Vec<(String, u64)>,
-    /// A late leader handles what comes only at multiples of this time; 0: at once.
+    /// A late leader handles its input only at multiples of this period. 0 means at once.
     pub leader_period: u64,
     random: fastrand::Rng,
     jobs: BTreeMap<u64, JobSpec>,
@@ -111,7 +114,7 @@
     next_event: u64,
     next_token: u64,
     lease_renewals: Vec<WaitingLeaseRenewal>,
-    /// The list that the leader of a term got last.
+    /// The list of instances reported last, with the term of the leader that got it.
     reported_list: Option<(u64, Vec<Instance>)>,
 }
 
@@ -151,7 +154,8 @@
 }
 
 impl Cluster {
-    /// Workers of four cores each, a leader, and a configuration with the prefixes `/a/` (priority 1) and `/u/` (0).
+    /// A cluster with workers of four cores each, a leader, and a configuration with the prefixes `/a/`
+    /// (priority 1) and `/u/` (priority 0).
     pub fn new(workers: usize) -> Self {
         let mut cluster = Self::without_configuration(workers);
         let reply = cluster.configure(configuration(1, &[("/a/", 1), ("/u/", 0)]), Some(0));
@@ -170,14 +174,14 @@
             configuration_replies: BTreeMap::new(),
             done: BTreeSet::new(),
             runs: BTreeMap::new(),
-            poisoned: BTreeSet::new(),
-            broken_rules: Vec::new(),
+            failing_jobs: BTreeSet::new(),
+            immediate_violations: Vec::new(),
             calls: 0,
-            loss_percent: 0,
+            call_loss_percent: 0,
             has_lease: true,
-            alone: 0,
+            gang_timeouts: 0,
             loses_answers: false,
-            list_delay: LIST,
+            list_delay: LIST_DELAY_NS,
             withholds_starts: false,
             run_starts: Vec::new(),
             leader_period: 0,
@@ -194,7 +198,7 @@
         for number in 0..workers {
             cluster.add_worker(&format!("i-{number}"), number, 4_000);
         }
-        cluster.elect();
+        cluster.elect_leader();
         cluster
     }
 
@@ -202,13 +206,13 @@
         self.workers.insert(id.to_owned(), ModelWorker::new(id, number, cpu));
     }
 
-    /// The leader crashes, with everything it proposed that is not committed, and another one starts.
-    pub fn elect(&mut self) {
+    /// The leader crashes and another one is elected. Proposals that are not committed are lost.
+    pub fn elect_leader(&mut self) {
         self.term += 1;
         let term = self.term;
         self.events.retain(|_, event| !matches!(event, Event::Commit { .. }));
         self.leader = Some(Leader::new(term, settings(), &self.state, self.now, term));
-        self.at(self.now, Event::Heartbeat { term });
+        self.schedule(self.now, Event::Heartbeat { term });
         self.handle(Input::Tick { time_of_day_ms: self.time_of_day_ms() });
     }
 
@@ -216,7 +220,7 @@
         DAY_START_MS + self.now / MS
     }
 
-    fn at(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.next_event += 1;
         self.events.insert((at, self.next_event), event);
     }
@@ -228,74 +232,79 @@
         self.flush(out);
     }
 
-    /// Hands in a page of the list with this instance alone, of a list that is not complete.
-    pub fn hand_in_page(&mut self, instance: Instance) {
+    /// Delivers a page with only this instance, of a list that is not complete yet.
+    pub fn deliver_list_page(&mut self, instance: Instance) {
         let (instances, as_of) = ([instance].into(), self.now);
         self.handle(Input::Instances { instances, as_of, has_changed: true, is_last: false });
     }
 
-    /// When runs began on a worker.
+    /// Times at which runs started on a worker.
     pub fn starts_on(&self, instance: &str) -> Vec<u64> {
         self.run_starts.iter().filter(|(worker, _)| worker == instance).map(|(_, at)| *at).collect()
     }
 
-    /// Sets the lease and lets the leader propose, as the driver does once a turn.
+    /// Sets the leader's lease, flushes the leader's proposals and handles all outputs, as the driver does
+    /// once a turn.
     pub fn flush(&mut self, mut out: Vec<Output>) {
         let Some(leader) = self.leader.as_mut() else { return };
         if self.has_lease {
-            leader.set_lease(self.now, self.now + LEASE);
+            leader.set_lease(self.now, self.now + LEADER_LEASE_NS);
         }
         leader.flush(&self.state, self.now, &mut out);
         let awaits_input = leader.awaits_input();
         for output in out {
-            self.output(output);
+            self.handle_output(output);
         }
         if awaits_input {
-            self.at(self.now, Event::ReadUntil { term: self.term, at: self.now });
+            self.schedule(self.now, Event::ReadUntil { term: self.term, at: self.now });
         }
     }
 
-    fn output(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         let (now, term) = (self.now, self.term);
         match output {
-            Output::Propose { batch } => self.at(now + COMMIT, Event::Commit { term, batch }),
+            Output::Propose { batch } => self.schedule(now + COMMIT_DELAY_NS, Event::Commit { term, batch }),
             Output::Reply { token, reply } => {
                 assert!(self.replies.insert(token, reply).is_none(), "token {token} was answered twice");
             }
             Output::ConfigurationReply { token, reply } => {
                 assert!(
                     self.configuration_replies.insert(token, reply).is_none(),
-                    "order {token} was answered twice"
+                    "configuration change {token} was answered twice"
                 );
             }
             Output::Call { call, instance, request, .. } => {
                 self.calls += 1;
                 if let Err(error) = self.state.check_call(&instance, &request) {
-                    self.broken_rules.push(format!("UNBACKED: {error}"));
+                    self.immediate_violations.push(format!("UNCOMMITTED: {error}"));
                 }
                 if self.withholds_starts && matches!(request, WorkerRequest::Start { .. }) {
                     let outcome = CallOutcome::Withheld;
-                    return self.at(now + HELD_BACK, Event::Answer { term, call, outcome });
+                    return self
+                        .schedule(now + WITHHELD_START_DELAY_NS, Event::Answer { term, call, outcome });
                 }
-                let arrive = Event::Arrive { term, call, instance, request };
+                let arrive = Event::RequestArrival { term, call, instance, request };
                 match self.random.u8(..100) {
-                    luck if luck >= self.loss_percent => self.at(now + LATENCY, arrive),
-                    luck if luck % 2 == 0 => {}
+                    draw if draw >= self.call_loss_percent => self.schedule(now + LATENCY_NS, arrive),
+                    draw if draw % 2 == 0 => {}
                     _ => {
-                        let late = self.random.u64(0..LATEST);
-                        self.at(now + late, arrive);
+                        let late = self.random.u64(0..MAX_CALL_DELAY_NS);
+                        self.schedule(now + late, arrive);
                     }
                 }
             }
             Output::CancelCall { call } => {
                 self.lease_renewals.retain(|lease_renewal| lease_renewal.call != call);
             }
-            Output::ReadInstances => self.at(now + self.list_delay, Event::List { term, asked_at: now }),
-            Output::WakeAt { at } => self.at(at.max(now), Event::Tick),
+            Output::ReadInstances => {
+                self.schedule(now + self.list_delay, Event::InstanceList { term, requested_at: now })
+            }
+            Output::WakeAt { at } => self.schedule(at.max(now), Event::Tick),
         }
     }
 
-    /// Plays until `until` says so, or for `limit_ms` at most. Returns whether it said so.
+    /// Processes events until `until` returns true, for at most `limit_ms`. Returns whether `until` returned
+    /// true.
     pub fn run_until(&mut self, limit_ms: u64, until: impl Fn(&Self) -> bool) -> bool {
         let limit = self.now + limit_ms * MS;
         while !until(self) {
@@ -306,54 +315,58 @@
                 return until(self);
             }
             self.now = self.now.max(at);
-            match self.leader_handles_at(&event) {
-                later if later > self.now => self.at(later, event),
-                _ => self.play(event),
+            match self.leader_handling_time(&event) {
+                later if later > self.now => self.schedule(later, event),
+                _ => self.process_event(event),
             }
         }
         true
     }
 
-    pub fn seed(&mut self, seed: u64) {
+    pub fn set_seed(&mut self, seed: u64) {
         self.random = fastrand::Rng::with_seed(seed);
     }
 
-    pub fn run(&mut self, ms: u64) {
+    pub fn run_for_ms(&mut self, ms: u64) {
         self.run_until(ms, |_| false);
     }
 
-    /// When the leader handles an event that is due now, if it is one for the leader.
-    fn leader_handles_at(&self, event: &Event) -> u64 {
-        let is_for_leader =
-            matches!(event, Event::Tick | Event::Commit { .. } | Event::List { .. } | Event::Answer { .. });
+    /// When an event that is due now is processed: events for a late leader wait for its next period.
+    fn leader_handling_time(&self, event: &Event) -> u64 {
+        let is_for_leader = matches!(
+            event,
+            Event::Tick | Event::Commit { .. } | Event::InstanceList { .. } | Event::Answer { .. }
+        );
         match is_for_leader && self.leader_period > 0 {
             true => self.now.next_multiple_of(self.leader_period),
             false => self.now,
         }
     }
 
-    fn play(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         match event {
             Event::Tick => self.handle(Input::Tick { time_of_day_ms: self.time_of_day_ms() }),
             Event::Heartbeat { term } if term == self.term => {
                 self.flush(Vec::new());
-                self.at(self.now + HEARTBEAT, Event::Heartbeat { term });
+                self.schedule(self.now + HEARTBEAT_INTERVAL_NS, Event::Heartbeat { term });
             }
             Event::Commit { term, batch } if term == self.term => {
                 let changes = self.state.apply(&batch);
                 self.handle(Input::BatchApplied { changes, batch });
             }
-            Event::List { term, asked_at } if term == self.term => {
-                let listed = self.workers.values().filter(|worker| worker.up);
+            Event::InstanceList { term, requested_at } if term == self.term => {
+                let listed = self.workers.values().filter(|worker| worker.is_up);
                 let instances: Vec<Instance> = listed.map(|worker| worker.instance.clone()).collect();
                 let reported = Some((term, instances.clone()));
                 let has_changed = self.reported_list != reported;
                 self.reported_list = reported;
                 let instances = instances.into();
-                self.handle(Input::Instances { instances, as_of: asked_at, has_changed, is_last: true });
+                self.handle(Input::Instances { instances, as_of: requested_at, has_changed, is_last: true });
+            }
+            Event::RequestArrival { term, call, instance, request } => {
+                self.deliver_request(term, call, instance, request)
             }
-            Event::Arrive { term, call, instance, request } => self.arrive(term, call, instance, request),
-            Event::LeaseRenewalDue { term, call, instance } => {
+            Event::LongPollTimeout { term, call, instance } => {
                 if self
                     .lease_renewals
                     .iter()
@@ -368,65 +381,66 @@
                 self.handle(Input::CallFinished { call, outcome });
             }
             Event::ReadUntil { term, at } if term == self.term => self.handle(Input::ReadUntil { at }),
-            Event::RunOver { instance, key } => self.run_over(&instance, key),
-            Event::Alone { instance, key } => self.alone(&instance, key),
+            Event::RunFinished { instance, key } => self.finish_run(&instance, key),
+            Event::GangTimeout { instance, key } => self.time_out_gang_member(&instance, key),
             Event::Heartbeat { .. }
             | Event::Commit { .. }
-            | Event::List { .. }
+            | Event::InstanceList { .. }
             | Event::Answer { .. }
             | Event::ReadUntil { .. } => {}
         }
     }
 
-    fn arrive(&mut self, term: u64, call: CallId, instance: String, request: WorkerRequest) {
+    fn deliver_request(&mut self, term: u64, call: CallId, instance: String, request: WorkerRequest) {
         let now = self.now;
-        if self.workers.get(&instance).is_some_and(|worker| worker.mute) {
+        if self.workers.get(&instance).is_some_and(|worker| worker.is_unreachable) {
             return;
         }
-        let Some(worker) = self.workers.get_mut(&instance).filter(|worker| worker.up) else {
-            // Nothing listens there any longer.
-            return self.at(now + LATENCY, Event::Answer { term, call, outcome: CallOutcome::NotSent });
+        let Some(worker) = self.workers.get_mut(&instance).filter(|worker| worker.is_up) else {
+            // No process listens at the address any more.
+            return self
+                .schedule(now + LATENCY_NS, Event::Answer { term, call, outcome: CallOutcome::NotSent });
         };
-        let (outcome, started) = worker.call(now, &request);
+        let (outcome, started) = worker.handle_call(now, &request);
         if let WorkerRequest::RenewLease { last_seen, .. } = &request {
-            let taken = matches!(outcome, CallOutcome::Lists { .. });
-            self.acknowledge_ends(&instance, if taken { *last_seen } else { 0 });
+            let is_accepted = matches!(outcome, CallOutcome::Lists { .. });
+            self.acknowledge_ends(&instance, if is_accepted { *last_seen } else { 0 });
         }
-        self.break_gangs();
+        self.end_incomplete_gangs();
         if let Some(key) = started {
-            self.started(&instance, key);
+            self.record_start(&instance, key);
         }
         if let WorkerRequest::RenewLease { last_seen, wait_ms, .. } = request {
-            let quiet =
+            let has_no_ends =
                 self.workers.get(&instance).is_some_and(|worker| !worker.has_unacknowledged_ends(last_seen));
-            if quiet && wait_ms > 0 && matches!(outcome, CallOutcome::Lists { .. }) {
+            if has_no_ends && wait_ms > 0 && matches!(outcome, CallOutcome::Lists { .. }) {
                 self.lease_renewals.push(WaitingLeaseRenewal {
                     term,
                     call,
                     instance: instance.clone(),
                     last_seen,
                 });
-                return self.at(now + wait_ms * MS, Event::LeaseRenewalDue { term, call, instance });
+                return self.schedule(now + wait_ms * MS, Event::LongPollTimeout { term, call, instance });
             }
         }
         self.answer(term, call, outcome);
         self.wake_lease_renewals(&instance);
     }
 
-    /// An answer comes back, or is lost.
+    /// Sends an answer to the leader, or loses it.
     fn answer(&mut self, term: u64, call: CallId, outcome: CallOutcome) {
-        if self.random.u8(..100) >= self.loss_percent / 2 && !self.loses_answers {
-            self.at(self.now + LATENCY, Event::Answer { term, call, outcome });
+        if self.random.u8(..100) >= self.call_loss_percent / 2 && !self.loses_answers {
+            self.schedule(self.now + LATENCY_NS, Event::Answer { term, call, outcome });
         }
     }
 
     fn answer_lease_renewal(&mut self, term: u64, call: CallId, instance: &str) {
-        let Some(worker) = self.workers.get(instance).filter(|worker| worker.up) else { return };
-        let outcome = worker.lists(self.now);
+        let Some(worker) = self.workers.get(instance).filter(|worker| worker.is_up) else { return };
+        let outcome = worker.attempt_lists(self.now);
         self.answer(term, call, outcome);
     }
 
-    /// Answers the lease renewals that waited for an end.
+    /// Answers the lease renewals that wait for an end, if there is one.
     fn wake_lease_renewals(&mut self, instance: &str) {
         let Some(worker) = self.workers.get(instance) else { return };
         let is_due = |lease_renewal: &WaitingLeaseRenewal| {
@@ -445,59 +459,63 @@
         self.jobs[&task.job].stages[task.step as usize].clone()
     }
 
-    /// A run began: the rules are checked, and its end is scheduled.
-    fn started(&mut self, instance: &str, key: AttemptKey) {
+    /// Records a start of a run, checks the guarantees and begins the work. Gang members begin once all
+    /// members have started.
+    fn record_start(&mut self, instance: &str, key: AttemptKey) {
         *self.runs.entry(key.task).or_default() += 1;
         self.run_starts.push((instance.to_owned(), self.now));
         let stage = self.stage(key.task);
         self.check_start(instance, key, &stage);
         if !stage.gang {
-            return self.begin(instance, key, &stage);
+            return self.begin_work(instance, key, &stage);
         }
-        self.at(self.now + GANG, Event::Alone { instance: instance.to_owned(), key });
-        let members: Vec<(String, AttemptKey)> = self.gang(key);
+        self.schedule(self.now + GANG_TIMEOUT_NS, Event::GangTimeout { instance: instance.to_owned(), key });
+        let members: Vec<(String, AttemptKey)> = self.started_gang_members(key);
         if members.len() == stage.count as usize {
             for (instance, member) in members {
-                self.begin(&instance, member, &stage);
+                self.begin_work(&instance, member, &stage);
             }
         }
     }
 
-    /// The members of a gang's run that have started.
-    fn gang(&self, key: AttemptKey) -> Vec<(String, AttemptKey)> {
+    /// The members of this gang attempt that have started.
+    fn started_gang_members(&self, key: AttemptKey) -> Vec<(String, AttemptKey)> {
         let same =
             |other: &AttemptKey| other.task.step_key() == key.task.step_key() && other.attempt == key.attempt;
         let of_worker = |worker: &ModelWorker| {
             let id = worker.instance.id.clone();
             worker.running.keys().copied().filter(same).map(|key| (id.clone(), key)).collect::<Vec<_>>()
         };
-        self.workers.values().filter(|worker| worker.up).flat_map(of_worker).collect()
+        self.workers.values().filter(|worker| worker.is_up).flat_map(of_worker).collect()
     }
 
-    fn begin(&mut self, instance: &str, key: AttemptKey, stage: &Stage) {
-        let fails = self.poisoned.contains(&key.task.job);
+    fn begin_work(&mut self, instance: &str, key: AttemptKey, stage: &Stage) {
+        let fails = self.failing_jobs.contains(&key.task.job);
         let now = self.now;
         let Some(worker) = self.workers.get_mut(instance) else { return };
-        let fails = fails || worker.fails_all;
+        let fails = fails || worker.fails_all_runs;
         let Some(run) = worker.running.get_mut(&key) else { return };
-        run.begun = true;
+        run.is_working = true;
         run.kind = if fails { EndKind::FAILED } else { EndKind::DONE };
         if run.stalled || (stage.long_running && !fails) {
             return;
         }
         let runtime = stage.est_runtime_ms * MS / if fails { 2 } else { 1 };
         run.ends_at = Some(now + runtime);
-        self.at(now + runtime, Event::RunOver { instance: instance.to_owned(), key });
+        self.schedule(now + runtime, Event::RunFinished { instance: instance.to_owned(), key });
     }
 
-    fn run_over(&mut self, instance: &str, key: AttemptKey) {
+    fn finish_run(&mut self, instance: &str, key: AttemptKey) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(instance).filter(|worker| worker.up) else { return };
-        worker.lapse(now);
+        let Some(worker) = self.workers.get_mut(instance).filter(|worker| worker.is_up) else { return };
+        worker.enforce_lease(now);
         let Some(run) = worker.running.get(&key) else { return };
         let kind = run.kind;
-        let members =
-            if self.stage(key.task).gang { self.gang(key) } else { vec![(instance.to_owned(), key)] };
+        let members = if self.stage(key.task).gang {
+            self.started_gang_members(key)
+        } else {
+            vec![(instance.to_owned(), key)]
+        };
         for (instance, member) in members {
             let of_member = if member == key || kind == EndKind::DONE { kind } else { EndKind::BROKEN };
             if let Some(worker) = self.workers.get_mut(&instance) {
@@ -514,43 +532,44 @@
             }
             self.wake_lease_renewals(&instance);
         }
-        self.break_gangs();
+        self.end_incomplete_gangs();
     }
 
-    /// A gang's member that still waits for the others ends.
-    fn alone(&mut self, instance: &str, key: AttemptKey) {
+    /// Ends a gang member that still waits for the other members.
+    fn time_out_gang_member(&mut self, instance: &str, key: AttemptKey) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(instance).filter(|worker| worker.up) else { return };
+        let Some(worker) = self.workers.get_mut(instance).filter(|worker| worker.is_up) else { return };
         if worker.running.get(&key).is_some_and(|run| run.ends_at.is_none() && !run.stalled) {
             worker.end(now, key, EndKind::ALONE);
-            self.alone += 1;
+            self.gang_timeouts += 1;
             self.wake_lease_renewals(instance);
         }
     }
 
-    /// A worker dies; whether the list shows it does not matter here.
-    pub fn crash(&mut self, instance: &str) {
+    /// Crashes a worker.
+    pub fn crash_worker(&mut self, instance: &str) {
         let Some(worker) = self.workers.get_mut(instance) else { return };
-        worker.up = false;
+        worker.is_up = false;
         worker.running.clear();
         self.lease_renewals.retain(|lease_renewal| lease_renewal.instance != instance);
-        self.break_gangs();
+        self.end_incomplete_gangs();
     }
 
-    /// A gang's run that has begun ends once a member is gone.
-    fn break_gangs(&mut self) {
+    /// Ends gang members that have begun their work and of whose gang a member is gone.
+    fn end_incomplete_gangs(&mut self) {
         let now = self.now;
         loop {
-            let begun = |worker: &ModelWorker| {
-                let runs = worker.running.iter().filter(|(_, run)| run.begun);
+            let working_runs = |worker: &ModelWorker| {
+                let runs = worker.running.iter().filter(|(_, run)| run.is_working);
                 runs.map(|(key, _)| (worker.instance.id.clone(), *key)).collect::<Vec<_>>()
             };
-            let running: Vec<_> = self.workers.values().filter(|worker| worker.up).flat_map(begun).collect();
+            let running: Vec<_> =
+                self.workers.values().filter(|worker| worker.is_up).flat_map(working_runs).collect();
             let broken: Vec<_> = running
                 .into_iter()
                 .filter(|(_, key)| {
                     let stage = self.stage(key.task);
-                    stage.gang && self.gang(*key).len() < stage.count as usize
+                    stage.gang && self.started_gang_members(*key).len() < stage.count as usize
                 })
                 .collect();
             if broken.is_empty() {
@@ -565,13 +584,13 @@
         }
     }
 
-    pub fn state_of(&self, id: u64) -> &'static str {
+    pub fn job_state(&self, id: u64) -> &'static str {
         self.state.job(id).map_or("unknown", |job| job.state_text())
     }
 
-    /// Plays until the job shows this state.
-    pub fn reaches(&mut self, id: u64, state: &str, limit_ms: u64) -> bool {
-        self.run_until(limit_ms, |cluster| cluster.state_of(id) == state)
+    /// Runs until the job has this state, for at most `limit_ms`. Returns whether the state was reached.
+    pub fn run_until_state(&mut self, id: u64, state: &str, limit_ms: u64) -> bool {
+        self.run_until(limit_ms, |cluster| cluster.job_state(id) == state)
     }
 
     pub fn running(&self) -> usize {
--- a/crates/scheduler/tests/cluster/requests.rs
+++ b/crates/scheduler/tests/cluster/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and configuration changes of the operator.
+//! Client requests and configuration changes.
 
 use messages::job::JobSpec;
 use messages::peer::mod_ClientRequest::OneOfcall;
@@ -23,29 +23,30 @@
         self.request(format!("{prefix}{id:016x}"), OneOfcall::submit(SubmitRequest { id, job: Some(job) }))
     }
 
-    fn wait(&mut self, token: u64) -> Option<ClientReply> {
+    /// Runs until the request has a reply, for at most 3 s.
+    fn wait_for_reply(&mut self, token: u64) -> Option<ClientReply> {
         self.run_until(3_000, |cluster| cluster.replies.contains_key(&token));
         self.replies.get(&token).cloned()
     }
 
     pub fn submit(&mut self, prefix: &str, id: u64, job: JobSpec) -> Option<ClientReply> {
         let token = self.send_job(prefix, id, job);
-        self.wait(token)
+        self.wait_for_reply(token)
     }
 
     pub fn read(&mut self, prefix: &str, id: u64) -> Option<ClientReply> {
         let token = self.request(format!("{prefix}{id:016x}"), OneOfcall::read(ReadRequest { id }));
-        self.wait(token)
+        self.wait_for_reply(token)
     }
 
     pub fn cancel(&mut self, prefix: &str, id: u64) -> Option<ClientReply> {
         let token = self.request(format!("{prefix}{id:016x}"), OneOfcall::cancel(CancelRequest { id }));
-        self.wait(token)
+        self.wait_for_reply(token)
     }
 
     pub fn count(&mut self, prefix: &str) -> Option<ClientReply> {
         let token = self.request(prefix.to_owned(), OneOfcall::count(CountRequest {}));
-        self.wait(token)
+        self.wait_for_reply(token)
     }
 
     pub fn send_configuration(&mut self, body: Vec<u8>, if_match: Option<u64>) -> u64 {
--- a/crates/scheduler/tests/cluster/rules.rs
+++ b/crates/scheduler/tests/cluster/rules.rs
@@ -1,4 +1,5 @@
-//! The rules of the pages that a start or an end may break.
+//! The scheduler's guarantees that each start must keep: no second run of a task, order of the steps,
+//! capacity of the worker, due times.
 
 use std::collections::BTreeSet;
 
@@ -8,52 +9,54 @@
 use super::Cluster;
 
 impl Cluster {
-    /// Records the rules that a start breaks at once.
+    /// Records the guarantees that a start violates at once.
     pub(super) fn check_start(&mut self, instance: &str, key: AttemptKey, stage: &Stage) {
-        let mut broken = Vec::new();
+        let mut found = Vec::new();
         let others =
-            self.workers.values().filter(|worker| worker.up).flat_map(|worker| worker.running.keys());
-        let twins = others.filter(|other| other.task == key.task).count();
-        if twins > 1 && !stage.speculative {
-            broken.push(format!("TWICE: {key:?} at one time"));
+            self.workers.values().filter(|worker| worker.is_up).flat_map(|worker| worker.running.keys());
+        let copies = others.filter(|other| other.task == key.task).count();
+        if copies > 1 && !stage.speculative {
+            found.push(format!("TWICE: {key:?} runs more than once at the same time"));
         }
         self.starts.push((key, self.now));
         for earlier in &stage.depends_on {
             let count = self.jobs[&key.task.job].stages[*earlier as usize].count;
             let before = |index| TaskKey { step: *earlier, index, ..key.task };
             if (0..count).any(|index| !self.done.contains(&before(index))) {
-                broken.push(format!("ORDER: {key:?} before step {earlier}"));
+                found.push(format!("ORDER: {key:?} started before step {earlier} was done"));
             }
         }
         let worker = &self.workers[instance];
         let cpu: u64 = worker.running.keys().map(|other| self.stage(other.task).cpu).sum();
         if cpu > worker.instance.available.cpu {
-            broken.push(format!("LIMIT: {instance} at {cpu}"));
+            found.push(format!("LIMIT: {instance} runs attempts of {cpu} CPU in total"));
         }
         let spec = &self.jobs[&key.task.job];
         let due_ms = spec.start_at_ms + u64::from(key.task.time) * spec.interval_ms;
         if spec.repeat > 0 && self.time_of_day_ms() < due_ms {
-            broken.push(format!("ORDER: {key:?} before its time"));
+            found.push(format!("ORDER: {key:?} started before it was due"));
         }
-        self.broken_rules.extend(broken);
+        self.immediate_violations.extend(found);
     }
 
-    /// Ends that the worker no longer lists since they are acknowledged. Those acknowledged after a lapse do not count.
+    /// Marks the ends up to `last_seen` as acknowledged, except those before the worker's last lease expiry.
+    /// The worker no longer lists acknowledged ends.
     pub(super) fn acknowledge_ends(&mut self, instance: &str, last_seen: u64) {
         let Some(worker) = self.workers.get(instance) else { return };
         let ends = worker.ended.iter().filter(|(_, sequence)| **sequence <= last_seen);
         let acknowledged: BTreeSet<AttemptKey> = ends.map(|(key, _)| *key).collect();
         for end in &mut self.done_ends {
-            let lapsed = worker.lapsed_at.is_some_and(|at| at > end.at);
-            if end.instance == instance && acknowledged.contains(&end.key) && !lapsed {
+            let has_expired_since = worker.lease_expired_at.is_some_and(|at| at > end.at);
+            if end.instance == instance && acknowledged.contains(&end.key) && !has_expired_since {
                 end.acknowledged = true;
             }
         }
     }
 
-    /// Rules that were broken, with those that only later events show: a start after an end `done` that was acknowledged.
-    pub fn broken(&self) -> Vec<String> {
-        let mut broken = self.broken_rules.clone();
+    /// All violations so far, including those that only later events show: a start of a task after an end
+    /// `done` of that task was acknowledged.
+    pub fn violations(&self) -> Vec<String> {
+        let mut found = self.immediate_violations.clone();
         for end in self.done_ends.iter().filter(|end| end.acknowledged) {
             let stage = self.stage(end.key.task);
             if stage.speculative || stage.long_running {
@@ -61,15 +64,16 @@
             }
             let later = |(key, at): &&(AttemptKey, u64)| key.task == end.key.task && *at > end.at;
             for (key, _) in self.starts.iter().filter(later) {
-                broken.push(format!("TWICE: {key:?} after {:?} was done on {}", end.key, end.instance));
+                found
+                    .push(format!("TWICE: {key:?} started after {:?} was done on {}", end.key, end.instance));
             }
         }
-        broken
+        found
     }
 
-    /// Fails if a rule was broken.
-    pub fn check(&self) {
-        assert!(self.broken().is_empty(), "{:?}", self.broken());
-        assert_eq!(self.alone, 0, "members of gangs timed out");
+    /// Panics if a guarantee was violated or a gang member ended because the others did not start.
+    pub fn assert_no_violations(&self) {
+        assert!(self.violations().is_empty(), "{:?}", self.violations());
+        assert_eq!(self.gang_timeouts, 0, "members of gangs timed out");
     }
 }
--- a/crates/scheduler/tests/cluster/worker.rs
+++ b/crates/scheduler/tests/cluster/worker.rs
@@ -1,4 +1,4 @@
-//! A small model of a worker: it runs what it is asked to, lists ends and answers lease renewals.
+//! Model of a worker: it runs attempts, lists ended runs and answers lease renewals.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,26 +8,29 @@
 use scheduler::ids::{AttemptKey, TaskKey};
 use scheduler::worker::{CallOutcome, Refusal, RunningEntry, WorkerRequest};
 
+/// Nanoseconds per millisecond.
 pub const MS: u64 = 1_000_000;
 
-/// One run on a worker.
+/// A run of an attempt on a worker.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub spec: Arc<str>,
     pub checkpoint: String,
     pub started_at: u64,
-    /// When it ends by itself; none while a gang's member waits, or for ever.
+    /// When the run ends by itself. `None` for runs without an end and while a gang member waits for the
+    /// others.
     pub ends_at: Option<u64>,
     pub kind: EndKind,
     pub stalled: bool,
-    /// Whether it works: of a gang once all members are there.
-    pub begun: bool,
-    /// Whether it saves its progress when it ends.
-    pub saves: bool,
+    /// Whether the run has begun its work. A gang member begins once all members have started.
+    pub is_working: bool,
+    /// Whether the run saves its progress when it ends.
+    pub saves_progress: bool,
 }
 
 impl Run {
-    /// The share of its work that is done, what it resumes from included, as workers count it.
+    /// Progress in percent as workers report it, including the progress of the checkpoint that the run
+    /// resumed.
     fn percent(&self, now: u64) -> u32 {
         let resumed = self.checkpoint.parse().unwrap_or(0);
         let Some(ends_at) = self.ends_at.filter(|_| !self.stalled) else { return resumed };
@@ -36,10 +39,10 @@
         (resumed + share).min(99)
     }
 
-    /// The checkpoint with which it ends: the percentage as a text.
+    /// The checkpoint with which the run ends: its progress in percent, as text.
     fn last_checkpoint(&self, now: u64) -> String {
         match self.percent(now) {
-            percent if self.saves && percent > 0 => percent.to_string(),
+            percent if self.saves_progress && percent > 0 => percent.to_string(),
             _ => self.checkpoint.clone(),
         }
     }
@@ -49,23 +52,23 @@
 #[derive(Debug, Clone)]
 pub struct ModelWorker {
     pub instance: Instance,
-    pub up: bool,
+    pub is_up: bool,
     pub running: BTreeMap<AttemptKey, Run>,
     pub finished: Vec<WorkerEnd>,
     pub fencing_token: u64,
     pub worker_lease_until: u64,
-    pub stalls: bool,
-    /// Calls are lost on their way.
-    pub mute: bool,
-    pub fails_all: bool,
-    /// Whether its runs save their progress when they end.
-    pub saves: bool,
-    /// Sequence of each end.
+    pub stalls_runs: bool,
+    /// Whether all calls to the worker are lost.
+    pub is_unreachable: bool,
+    pub fails_all_runs: bool,
+    /// Whether runs that start from now on save their progress when they end.
+    pub saves_progress: bool,
+    /// Sequence number of the end of each attempt.
     pub ended: BTreeMap<AttemptKey, u64>,
     /// When the lease last expired.
-    pub lapsed_at: Option<u64>,
-    highest: BTreeMap<TaskKey, u32>,
-    sequence: u64,
+    pub lease_expired_at: Option<u64>,
+    highest_attempts: BTreeMap<TaskKey, u32>,
+    last_sequence: u64,
 }
 
 impl ModelWorker {
@@ -85,19 +88,19 @@
         };
         Self {
             instance,
-            up: true,
+            is_up: true,
             running: BTreeMap::new(),
             finished: Vec::new(),
             fencing_token: 0,
             worker_lease_until: 0,
-            stalls: false,
-            mute: false,
-            fails_all: false,
-            saves: false,
+            stalls_runs: false,
+            is_unreachable: false,
+            fails_all_runs: false,
+            saves_progress: false,
             ended: BTreeMap::new(),
-            lapsed_at: None,
-            highest: BTreeMap::new(),
-            sequence: 0,
+            lease_expired_at: None,
+            highest_attempts: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
 
@@ -105,13 +108,13 @@
         now / MS
     }
 
-    /// Everything is killed once the lease has expired.
-    pub fn lapse(&mut self, now: u64) {
+    /// Ends all runs once the lease has expired.
+    pub fn enforce_lease(&mut self, now: u64) {
         if now < self.worker_lease_until {
             return;
         }
-        if self.lapsed_at.is_none_or(|at| at < self.worker_lease_until) {
-            self.lapsed_at = Some(self.worker_lease_until);
+        if self.lease_expired_at.is_none_or(|at| at < self.worker_lease_until) {
+            self.lease_expired_at = Some(self.worker_lease_until);
         }
         let keys: Vec<AttemptKey> = self.running.keys().copied().collect();
         for key in keys {
@@ -121,10 +124,10 @@
 
     pub fn end(&mut self, now: u64, key: AttemptKey, kind: EndKind) {
         let Some(run) = self.running.remove(&key) else { return };
-        self.sequence += 1;
-        self.ended.insert(key, self.sequence);
+        self.last_sequence += 1;
+        self.ended.insert(key, self.last_sequence);
         self.finished.push(WorkerEnd {
-            sequence: self.sequence,
+            sequence: self.last_sequence,
             task: Some(key.task.into()),
             attempt: key.attempt,
             kind,
@@ -133,12 +136,12 @@
         });
     }
 
-    /// Whether a lease renewal with this `last_seen` is to be answered at once.
+    /// Whether there are ends after `last_seen`, so that a lease renewal is answered at once.
     pub fn has_unacknowledged_ends(&self, last_seen: u64) -> bool {
         self.finished.iter().any(|end| end.sequence > last_seen)
     }
 
-    pub fn lists(&self, now: u64) -> CallOutcome {
+    pub fn attempt_lists(&self, now: u64) -> CallOutcome {
         let running = self.running.iter().map(|(key, run)| RunningEntry {
             key: *key,
             checkpoint: run.checkpoint.clone(),
@@ -151,9 +154,9 @@
         }
     }
 
-    /// Carries out a call. Of a start that begins a run, its key is given too.
-    pub fn call(&mut self, now: u64, request: &WorkerRequest) -> (CallOutcome, Option<AttemptKey>) {
-        self.lapse(now);
+    /// Executes a call. Also returns the key of the attempt if the call started a run.
+    pub fn handle_call(&mut self, now: u64, request: &WorkerRequest) -> (CallOutcome, Option<AttemptKey>) {
+        self.enforce_lease(now);
         let refused =
             |reason| (CallOutcome::Refused { now_ms: Some(Self::now_ms(now)), reason }, None::<AttemptKey>);
         let answer = CallOutcome::Answer { now_ms: Self::now_ms(now) };
@@ -175,7 +178,7 @@
                 if self.running.contains_key(key) {
                     return (answer, None);
                 }
-                let highest = self.highest.entry(key.task).or_default();
+                let highest = self.highest_attempts.entry(key.task).or_default();
                 if key.attempt <= *highest {
                     return refused(Refusal::SupersededAttempt);
                 }
@@ -186,15 +189,15 @@
                     started_at: now,
                     ends_at: None,
                     kind: EndKind::DONE,
-                    stalled: self.stalls,
-                    begun: false,
-                    saves: self.saves,
+                    stalled: self.stalls_runs,
+                    is_working: false,
+                    saves_progress: self.saves_progress,
                 };
                 self.running.insert(*key, run);
                 (answer, Some(*key))
             }
             WorkerRequest::Stop { key, .. } => {
-                let highest = self.highest.entry(key.task).or_default();
+                let highest = self.highest_attempts.entry(key.task).or_default();
                 *highest = (*highest).max(key.attempt);
                 self.end(now, *key, EndKind::STOPPED);
                 (answer, None)
@@ -204,7 +207,7 @@
                     self.worker_lease_until = self.worker_lease_until.max(deadline_ms * MS);
                 }
                 self.finished.retain(|end| end.sequence > *last_seen);
-                (self.lists(now), None)
+                (self.attempt_lists(now), None)
             }
         }
     }
--- a/crates/scheduler/tests/commands/mod.rs
+++ b/crates/scheduler/tests/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to write commands of the log.
+//! Constructors of replicated commands for tests of the state.
 
 #![allow(dead_code)]
 
@@ -13,6 +13,7 @@
 
 pub const PREFIX: &str = "host.example/queue/";
 
+/// Applies a batch with one command.
 pub fn apply(state: &mut State, kind: OneOfkind) -> Vec<StateChange> {
     state.apply(&CommandBatch { commands: vec![Command { kind }] })
 }
@@ -21,7 +22,7 @@
     Stage { count, cpu: 1_000, mem_mb: 64, est_runtime_ms: 1_000, ..Stage::default() }
 }
 
-pub fn after(count: u32, depends_on: &[u32]) -> Stage {
+pub fn stage_after(count: u32, depends_on: &[u32]) -> Stage {
     Stage { depends_on: depends_on.to_vec(), ..stage(count) }
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// Starts the tasks under one attempt number, all on one worker.
+/// Starts the tasks on one worker, all with the same attempt number.
 pub fn start(tasks: &[TaskKey], attempt: u32, instance: &str) -> OneOfkind {
     let start =
         |task: &TaskKey| AttemptStart { task: Some((*task).into()), attempt, instance: instance.to_owned() };
@@ -72,7 +73,7 @@
     })
 }
 
-pub fn end_of(sequence: u64, task: TaskKey, attempt: u32, kind: EndKind) -> WorkerEnd {
+pub fn worker_end(sequence: u64, task: TaskKey, attempt: u32, kind: EndKind) -> WorkerEnd {
     WorkerEnd { sequence, task: Some(task.into()), attempt, kind, checkpoint: String::new(), counted: true }
 }
 
@@ -81,9 +82,10 @@
 }
 
 pub fn end(instance: &str, sequence: u64, task: TaskKey, attempt: u32, kind: EndKind) -> OneOfkind {
-    ends(instance, vec![end_of(sequence, task, attempt, kind)])
+    ends(instance, vec![worker_end(sequence, task, attempt, kind)])
 }
 
+/// Resolves an attempt because the lease of its worker expired.
 pub fn resolve(instance: &str, task: TaskKey, attempt: u32, checkpoint: &str) -> OneOfkind {
     OneOfkind::resolve_attempts(ResolveAttempts {
         resolved: vec![AttemptResolved {
@@ -96,10 +98,11 @@
     })
 }
 
-pub fn put(body: &str, version: u64, builds_on: u64) -> OneOfkind {
+/// Stores a configuration that replaces the version `builds_on`.
+pub fn store_configuration(body: &str, version: u64, builds_on: u64) -> OneOfkind {
     OneOfkind::put_configuration(PutConfiguration { body: body.as_bytes().to_vec(), version, builds_on })
 }
 
-pub fn state_of(state: &State, id: u64) -> Option<&'static str> {
+pub fn job_state(state: &State, id: u64) -> Option<&'static str> {
     state.job(id).map(Job::state_text)
 }
--- a/crates/scheduler/tests/configuration_changes.rs
+++ b/crates/scheduler/tests/configuration_changes.rs
@@ -1,11 +1,11 @@
-//! The identity of the operator's configuration changes: at most one of two under one number is accepted, and one that
-//! was accepted is recognized for good.
+//! The identity of the operator's configuration changes: at most one of two under one number is accepted, and
+//! one that was accepted is recognized for good.
 
 mod cluster;
 mod commands;
 
 use cluster::{configuration, Cluster};
-use commands::{apply, job, put, stage, submit};
+use commands::{apply, job, stage, store_configuration, submit};
 use messages::job::{PutConfiguration, SchedulerSnapshot};
 use scheduler::leader::ConfigurationReply;
 use scheduler::state::{ConfigurationDigest, SnapshotError, State, StateChange};
@@ -31,21 +31,21 @@
 #[test]
 fn of_two_changes_under_one_number_one_is_accepted_whatever_is_repeated() {
     let mut state = State::new();
-    apply(&mut state, put("first", 1, 0));
+    apply(&mut state, store_configuration("first", 1, 0));
     assert!(matches!(
-        apply(&mut state, put("winner", 4, 1))[..],
+        apply(&mut state, store_configuration("winner", 4, 1))[..],
         [StateChange::ConfigurationAccepted { .. }]
     ));
     for _ in 0..3 {
-        let rejected = apply(&mut state, put("loser", 4, 1));
+        let rejected = apply(&mut state, store_configuration("loser", 4, 1));
         assert!(
             matches!(rejected[..], [StateChange::ConfigurationConflict { current: 4, .. }]),
             "{rejected:?}"
         );
-        assert!(is_repeat(&apply(&mut state, put("winner", 4, 1))));
+        assert!(is_repeat(&apply(&mut state, store_configuration("winner", 4, 1))));
         state = restored(&state);
     }
-    let rejected = apply(&mut state, put("loser", 4, 4));
+    let rejected = apply(&mut state, store_configuration("loser", 4, 4));
     assert!(
         matches!(rejected[..], [StateChange::ConfigurationVersionTooLow { .. }]),
         "the number is used up: {rejected:?}"
@@ -56,7 +56,9 @@
 #[test]
 fn a_change_is_recognized_after_hundreds_of_others_and_snapshots() {
     let mut state = State::new();
-    let change = |number: u64| put(&format!("body {number}"), number * 3, number.saturating_sub(1) * 3);
+    let change = |number: u64| {
+        store_configuration(&format!("body {number}"), number * 3, number.saturating_sub(1) * 3)
+    };
     for number in 1..=700 {
         assert!(matches!(apply(&mut state, change(number))[..], [StateChange::ConfigurationAccepted { .. }]));
         if number % 90 == 0 {
@@ -107,12 +109,12 @@
     };
     let mut state = State::restore(&stored).expect("format 0 is read");
     for _ in 0..2 {
-        assert!(is_repeat(&apply(&mut state, put("oldest", 2, 0))));
-        assert!(is_repeat(&apply(&mut state, put("newest", 5, 2))));
-        let rejected = apply(&mut state, put("other", 2, 0));
+        assert!(is_repeat(&apply(&mut state, store_configuration("oldest", 2, 0))));
+        assert!(is_repeat(&apply(&mut state, store_configuration("newest", 5, 2))));
+        let rejected = apply(&mut state, store_configuration("other", 2, 0));
         assert!(matches!(rejected[..], [StateChange::ConfigurationConflict { .. }]));
         let next = state.configuration_version() + 1;
-        apply(&mut state, put(&format!("later {next}"), next, next - 1));
+        apply(&mut state, store_configuration(&format!("later {next}"), next, next - 1));
         state = restored(&state);
     }
 }
@@ -127,8 +129,8 @@
 #[test]
 fn an_incomplete_snapshot_is_rejected_with_a_remedy() {
     let mut state = State::new();
-    apply(&mut state, put("a", 3, 0));
-    apply(&mut state, put("b", 5, 3));
+    apply(&mut state, store_configuration("a", 3, 0));
+    apply(&mut state, store_configuration("b", 5, 3));
     apply(&mut state, submit(JOB, job(vec![stage(1)])));
     apply(&mut state, commands::start(&[commands::task(JOB, 0, 0)], 1, "w"));
     let complete = state.snapshot();
--- a/crates/scheduler/tests/leader_answers.rs
+++ b/crates/scheduler/tests/leader_answers.rs
@@ -33,7 +33,7 @@
     let reply = cluster.submit("/a/", JOB, job()).unwrap();
     assert_eq!(reply.outcome, Outcome::UNAVAILABLE);
     assert!(reply.retry_after_ms > 0);
-    assert_eq!(cluster.state_of(JOB), "unknown");
+    assert_eq!(cluster.job_state(JOB), "unknown");
 }
 
 #[test]
@@ -47,7 +47,7 @@
     assert_eq!(reply, Some(ConfigurationReply::Accepted));
     assert_eq!(cluster.read("/a/", JOB).unwrap().outcome, Outcome::NO_ROUTE);
     assert_eq!(cluster.count("/b/").unwrap().outcome, Outcome::COUNT);
-    assert!(cluster.reaches(JOB, "completed", 3_000), "a job of a dropped route still runs");
+    assert!(cluster.run_until_state(JOB, "completed", 3_000), "a job of a dropped route still runs");
 }
 
 #[test]
@@ -60,7 +60,7 @@
     assert!(cluster.run_until(3_000, |cluster| cluster.running() == 1));
     assert_eq!(cluster.read("/a/", JOB).unwrap().state, "running");
     assert_eq!(cluster.count("/a/").unwrap().pending, 0);
-    cluster.reaches(JOB, "completed", 3_000);
+    cluster.run_until_state(JOB, "completed", 3_000);
     assert_eq!(cluster.read("/a/", JOB).unwrap().state, "completed");
 }
 
@@ -76,7 +76,7 @@
     let mut cluster = Cluster::new(1);
     cluster.send_job("/a/", JOB, job());
     assert_eq!(cluster.cancel("/a/", JOB).unwrap().outcome, Outcome::CANCEL_DONE);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     assert_eq!(cluster.running(), 0);
     assert!(cluster.runs.is_empty());
 }
@@ -107,7 +107,7 @@
     let mut cluster = Cluster::new(1);
     let one = cluster.send_configuration(configuration(5, &[("/a/", 1)]), Some(1));
     let other = cluster.send_configuration(configuration(6, &[("/b/", 1)]), Some(1));
-    cluster.run(100);
+    cluster.run_for_ms(100);
     assert_eq!(cluster.configuration_replies[&one], ConfigurationReply::Accepted);
     assert!(matches!(cluster.configuration_replies[&other], ConfigurationReply::Conflict { .. }));
 }
@@ -119,7 +119,7 @@
     let third = configuration(9, &[("/a/", 1)]);
     assert_eq!(cluster.configure(second.clone(), Some(1)), Some(ConfigurationReply::Accepted));
     assert_eq!(cluster.configure(third.clone(), Some(5)), Some(ConfigurationReply::Accepted));
-    cluster.elect();
+    cluster.elect_leader();
     for (body, builds_on) in [(second, 1), (third, 5)] {
         assert_eq!(cluster.configure(body, Some(builds_on)), Some(ConfigurationReply::Accepted));
     }
--- a/crates/scheduler/tests/leader_backlog.rs
+++ b/crates/scheduler/tests/leader_backlog.rs
@@ -145,8 +145,8 @@
         Some(Input::CallFinished { call, outcome: CallOutcome::Answer { now_ms: self.now / MS } })
     }
 
-    /// Submits jobs of `STEPS_PER_JOB` steps, on all routes by turns, until so many steps are submitted, and lets the
-    /// leader admit what it can. The tasks ask for workers of a kind, or for any.
+    /// Submits jobs of `STEPS_PER_JOB` steps, on all routes by turns, until so many steps are submitted, and
+    /// lets the leader admit what it can. The tasks ask for workers of a kind, or for any.
     fn submit(&mut self, steps: usize, kind: Option<&str>) {
         let inputs = self.submissions(steps, kind);
         inputs.into_iter().for_each(|input| self.turn(vec![input]));
@@ -176,7 +176,8 @@
         inputs
     }
 
-    /// One attempt ends at each of the first `count` workers of a kind; the leader gets their lists in one turn.
+    /// One attempt ends at each of the first `count` workers of a kind; the leader gets their lists in one
+    /// turn.
     fn end_attempts(&mut self, kind: &str, count: usize) {
         let is_of_kind = |worker: &&mut Worker| worker.kind == kind && !worker.running.is_empty();
         let busy = self.workers.values_mut().filter(is_of_kind);
@@ -217,8 +218,8 @@
     }
 }
 
-/// The work of so many ends on workers of the first kind while the fleet is full. Of the steps that wait, half ask for
-/// the second kind, on which nothing ends.
+/// The work of so many ends on workers of the first kind while the fleet is full. Of the steps that wait,
+/// half ask for the second kind, on which nothing ends.
 fn work_of_ends(waiting_steps: usize, ends: usize) -> LeaderWork {
     let mut site = Site::new(WORKERS);
     site.submit(WORKERS / TASKS_PER_STEP as usize, None);
--- a/crates/scheduler/tests/leader_jobs.rs
+++ b/crates/scheduler/tests/leader_jobs.rs
@@ -24,56 +24,56 @@
     let mut cluster = Cluster::new(3);
     let stages = vec![stage(4, 500, 900), Stage { depends_on: vec![0], ..stage(20, 2_000, 700) }];
     assert_eq!(cluster.submit("/a/", JOB, job(stages)).unwrap().outcome, Outcome::ACCEPTED);
-    assert!(cluster.reaches(JOB, "completed", 10_000), "{}", cluster.state_of(JOB));
+    assert!(cluster.run_until_state(JOB, "completed", 10_000), "{}", cluster.job_state(JOB));
     assert_eq!(cluster.running(), 0);
     assert_eq!(cluster.done.len(), 24);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_start_follows_the_submission_within_a_few_round_trips() {
     let mut cluster = Cluster::new(1);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let sent = cluster.now;
     cluster.send_job("/a/", JOB, job(vec![stage(1, 500, 300)]));
-    assert!(cluster.reaches(JOB, "completed", 2_000));
+    assert!(cluster.run_until_state(JOB, "completed", 2_000));
     assert!(cluster.now - sent < 400 * MS, "{} ms", (cluster.now - sent) / MS);
 }
 
 #[test]
 fn many_small_jobs_keep_the_workers_busy_and_are_all_completed() {
     let mut cluster = Cluster::new(4);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let started = cluster.now;
     for number in 0..80 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(2, 1_000, 1_000)]));
     }
     for number in 0..80 {
-        assert!(cluster.reaches(JOB + number, "completed", 30_000));
+        assert!(cluster.run_until_state(JOB + number, "completed", 30_000));
     }
     // 160 tasks of 1 s on 16 cores take 10 s at best.
     assert!(cluster.now - started < 12_500 * MS, "{} ms", (cluster.now - started) / MS);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_gang_that_fits_no_single_rack_is_spread_after_a_while() {
     // Racks of two workers with four cores each.
     let mut cluster = Cluster::new(4);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let sent = cluster.now;
     let gang = Stage { gang: true, rack_local: true, ..stage(6, 2_000, 1_000) };
     cluster.send_job("/a/", JOB, job(vec![gang]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 6), "{} run", cluster.running());
     assert!(cluster.now - sent < 1_000 * MS, "{} ms", (cluster.now - sent) / MS);
-    assert!(cluster.reaches(JOB, "completed", 5_000));
-    cluster.check();
+    assert!(cluster.run_until_state(JOB, "completed", 5_000));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_gang_waits_for_one_rack_only_as_long_as_it_would_lose_in_several() {
     let mut cluster = Cluster::new(4);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     // One task on each rack leaves no rack empty.
     let labelled = |rack: &str| Stage { constraint: rack.to_owned(), ..stage(1, 3_000, 20_000) };
     cluster.submit("/a/", JOB, job(vec![labelled("r1-0"), labelled("r1-1")]));
@@ -84,7 +84,7 @@
     assert!(cluster.run_until(2_500, |cluster| cluster.running() == 6), "{} run", cluster.running());
     let waited_ms = (cluster.now - sent) / MS;
     assert!((1_400..2_000).contains(&waited_ms), "{waited_ms} ms");
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -92,7 +92,7 @@
     let mut cluster = Cluster::new(4);
     let label = "only-here";
     cluster.workers.get_mut("i-2").unwrap().instance.labels.push(label.to_owned());
-    cluster.workers.get_mut("i-2").unwrap().fails_all = true;
+    cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     for number in 0..60 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(2, 1_000, 500)]));
     }
@@ -101,13 +101,13 @@
         workers.iter().any(|worker| worker.instance == "i-2" && !worker.obstacles.is_empty())
     };
     assert!(cluster.run_until(20_000, ejection_times));
-    cluster.workers.get_mut("i-2").unwrap().fails_all = false;
+    cluster.workers.get_mut("i-2").unwrap().fails_all_runs = false;
     let sent = cluster.now;
     let labelled = Stage { constraint: label.to_owned(), ..stage(1, 500, 300) };
     cluster.send_job("/u/", JOB + 100, job(vec![labelled]));
-    assert!(cluster.reaches(JOB + 100, "completed", 2_500), "{}", cluster.state_of(JOB + 100));
+    assert!(cluster.run_until_state(JOB + 100, "completed", 2_500), "{}", cluster.job_state(JOB + 100));
     assert!(cluster.now - sent < 2_500 * MS, "{} ms", (cluster.now - sent) / MS);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -115,10 +115,10 @@
     let mut cluster = Cluster::new(3);
     let gang = Stage { gang: true, ..stage(5, 2_000, 800) };
     cluster.submit("/a/", JOB, job(vec![gang, Stage { depends_on: vec![0], ..stage(1, 100, 100) }]));
-    assert!(cluster.reaches(JOB, "completed", 6_000), "{}", cluster.state_of(JOB));
+    assert!(cluster.run_until_state(JOB, "completed", 6_000), "{}", cluster.job_state(JOB));
     let first = TaskKey { job: JOB, time: 0, step: 0, index: 0 };
     assert_eq!(cluster.runs[&first], 1);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -128,22 +128,22 @@
     assert!(cluster.run_until(3_000, |cluster| cluster.running() == 5));
     let victim = cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap();
     let victim = victim.instance.id.clone();
-    cluster.crash(&victim);
-    assert!(cluster.reaches(JOB, "completed", 25_000), "{}", cluster.state_of(JOB));
-    cluster.check();
+    cluster.crash_worker(&victim);
+    assert!(cluster.run_until_state(JOB, "completed", 25_000), "{}", cluster.job_state(JOB));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_poisoned_job_fails_after_its_retries_and_no_more_runs() {
     let mut cluster = Cluster::new(3);
-    cluster.poisoned.insert(JOB);
+    cluster.failing_jobs.insert(JOB);
     cluster.submit(
         "/a/",
         JOB,
         job(vec![stage(1, 500, 200), Stage { depends_on: vec![0], ..stage(1, 1, 1) }]),
     );
-    assert!(cluster.reaches(JOB, "failed", 10_000));
-    cluster.run(2_000);
+    assert!(cluster.run_until_state(JOB, "failed", 10_000));
+    cluster.run_for_ms(2_000);
     let only = TaskKey { job: JOB, time: 0, step: 0, index: 0 };
     assert_eq!(cluster.runs[&only], 3);
     assert_eq!(cluster.runs.len(), 1);
@@ -152,40 +152,40 @@
 #[test]
 fn a_poisoned_job_ejects_no_worker() {
     let mut cluster = Cluster::new(1);
-    cluster.poisoned.insert(JOB);
+    cluster.failing_jobs.insert(JOB);
     cluster.submit("/a/", JOB, job(vec![stage(4, 500, 200)]));
-    assert!(cluster.reaches(JOB, "failed", 10_000));
+    assert!(cluster.run_until_state(JOB, "failed", 10_000));
     cluster.submit("/a/", JOB + 1, job(vec![stage(1, 500, 200)]));
-    assert!(cluster.reaches(JOB + 1, "completed", 1_000));
+    assert!(cluster.run_until_state(JOB + 1, "completed", 1_000));
 }
 
 #[test]
 fn a_worker_that_fails_everything_gets_no_more_for_a_while() {
     let mut cluster = Cluster::new(4);
-    cluster.workers.get_mut("i-2").unwrap().fails_all = true;
+    cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     for number in 0..150 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(1, 1_000, 300)]));
-        cluster.run(50);
+        cluster.run_for_ms(50);
     }
-    cluster.run(5_000);
-    let completed = (0..150).filter(|number| cluster.state_of(JOB + number) == "completed").count();
+    cluster.run_for_ms(5_000);
+    let completed = (0..150).filter(|number| cluster.job_state(JOB + number) == "completed").count();
     assert!(completed >= 148, "{completed} of 150");
     let retries: u32 = cluster.runs.values().sum::<u32>() - cluster.runs.len() as u32;
     assert!(retries < 30, "{retries} runs too many");
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn stalled_tasks_are_moved() {
     let mut cluster = Cluster::new(3);
-    cluster.workers.get_mut("i-0").unwrap().stalls = true;
+    cluster.workers.get_mut("i-0").unwrap().stalls_runs = true;
     for number in 0..12 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(1, 1_000, 2_000)]));
     }
     for number in 0..12 {
-        assert!(cluster.reaches(JOB + number, "completed", 25_000), "{number}");
+        assert!(cluster.run_until_state(JOB + number, "completed", 25_000), "{number}");
     }
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -195,9 +195,9 @@
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
     assert_eq!(cluster.cancel("/a/", JOB).unwrap().outcome, Outcome::CANCEL_DONE);
     assert!(cluster.run_until(500, |cluster| cluster.running() == 0));
-    cluster.run(5_000);
+    cluster.run_for_ms(5_000);
     assert_eq!(cluster.runs.values().sum::<u32>(), 2);
-    assert_eq!(cluster.state_of(JOB), "cancelled");
+    assert_eq!(cluster.job_state(JOB), "cancelled");
     assert_eq!(cluster.cancel("/a/", JOB).unwrap().outcome, Outcome::CANCEL_DONE);
 }
 
@@ -209,11 +209,11 @@
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
     let hit = cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap();
     let hit = hit.instance.id.clone();
-    cluster.crash(&hit);
+    cluster.crash_worker(&hit);
     assert!(cluster.run_until(20_000, |cluster| cluster.running() == 2));
     cluster.cancel("/a/", JOB);
     assert!(cluster.run_until(500, |cluster| cluster.running() == 0));
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -222,12 +222,12 @@
     let start_at_ms = DAY_START_MS + cluster.now / MS + 2_000;
     let times = JobSpec { repeat: 4, start_at_ms, interval_ms: 300, ..job(vec![stage(1, 500, 1_000)]) };
     cluster.submit("/a/", JOB, times);
-    cluster.run(1_800);
+    cluster.run_for_ms(1_800);
     assert_eq!(cluster.running(), 0);
-    assert_eq!(cluster.state_of(JOB), "pending");
+    assert_eq!(cluster.job_state(JOB), "pending");
     assert!(cluster.run_until(1_500, |cluster| cluster.running() == 4));
-    assert!(cluster.reaches(JOB, "completed", 3_000));
-    cluster.check();
+    assert!(cluster.run_until_state(JOB, "completed", 3_000));
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -237,12 +237,12 @@
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 8));
     let sent = cluster.now;
     cluster.send_job("/u/", JOB + 1, job(vec![stage(2, 1_000, 300)]));
-    assert!(cluster.reaches(JOB + 1, "completed", 3_000));
+    assert!(cluster.run_until_state(JOB + 1, "completed", 3_000));
     assert!(cluster.now - sent < 700 * MS, "{} ms", (cluster.now - sent) / MS);
-    assert!(cluster.reaches(JOB, "completed", 60_000));
+    assert!(cluster.run_until_state(JOB, "completed", 60_000));
     // Eight and two tasks, and the two that were preempted once more.
     assert_eq!(cluster.runs.values().sum::<u32>(), 12);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -255,11 +255,11 @@
     let worker = cluster.workers.get_mut(&busy).unwrap();
     worker.instance.draining = true;
     worker.instance.remaining_ms = Some(3_000);
-    cluster.run(2_500);
+    cluster.run_for_ms(2_500);
     assert!(cluster.workers[&busy].running.is_empty());
-    cluster.crash(&busy);
-    assert!(cluster.reaches(JOB, "completed", 12_000));
-    cluster.check();
+    cluster.crash_worker(&busy);
+    assert!(cluster.run_until_state(JOB, "completed", 12_000));
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -270,7 +270,7 @@
     let worker = cluster.workers.get_mut("i-0").unwrap();
     worker.instance.draining = true;
     worker.instance.remaining_ms = Some(6_000);
-    assert!(cluster.reaches(JOB, "completed", 4_000));
+    assert!(cluster.run_until_state(JOB, "completed", 4_000));
     assert_eq!(cluster.runs.values().sum::<u32>(), 1);
 }
 
@@ -280,12 +280,12 @@
     let stages = vec![stage(6, 1_000, 1_500), Stage { depends_on: vec![0], ..stage(6, 1_000, 500) }];
     cluster.submit("/a/", JOB, job(stages));
     for _ in 0..5 {
-        cluster.run(430);
-        cluster.elect();
+        cluster.run_for_ms(430);
+        cluster.elect_leader();
     }
-    assert!(cluster.reaches(JOB, "completed", 20_000), "{}", cluster.state_of(JOB));
+    assert!(cluster.run_until_state(JOB, "completed", 20_000), "{}", cluster.job_state(JOB));
     assert_eq!(cluster.done.len(), 12);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -293,23 +293,23 @@
     let mut cluster = Cluster::new(2);
     cluster.submit("/a/", JOB, job(vec![stage(4, 2_000, 2_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 4));
-    cluster.crash("i-1");
-    assert!(cluster.reaches(JOB, "completed", 20_000), "{}", cluster.state_of(JOB));
-    cluster.check();
+    cluster.crash_worker("i-1");
+    assert!(cluster.run_until_state(JOB, "completed", 20_000), "{}", cluster.job_state(JOB));
+    cluster.assert_no_violations();
 }
 
 /// Small jobs come faster than they can be done; large work has come among them.
 fn crowd(large: Stage) -> Cluster {
     let mut cluster = Cluster::new(3);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     for number in 1..=60 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(2, 1_000, 700)]));
     }
-    cluster.run(1_000);
+    cluster.run_for_ms(1_000);
     cluster.send_job("/a/", JOB, job(vec![large]));
     for number in 61..=400 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(2, 1_000, 700)]));
-        cluster.run(50);
+        cluster.run_for_ms(50);
     }
     cluster
 }
@@ -317,31 +317,31 @@
 #[test]
 fn a_large_task_gets_capacity_among_small_ones() {
     let cluster = crowd(stage(1, 4_000, 700));
-    assert_eq!(cluster.state_of(JOB), "completed");
-    cluster.check();
+    assert_eq!(cluster.job_state(JOB), "completed");
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_gang_gets_capacity_among_small_tasks() {
     let cluster = crowd(Stage { gang: true, ..stage(6, 1_500, 700) });
-    assert_eq!(cluster.state_of(JOB), "completed");
-    cluster.check();
+    assert_eq!(cluster.job_state(JOB), "completed");
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn nothing_starts_without_a_lease_and_all_goes_on_with_it() {
     let mut cluster = Cluster::new(2);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     cluster.has_lease = false;
-    cluster.run(1_000);
+    cluster.run_for_ms(1_000);
     cluster.send_job("/a/", JOB, job(vec![stage(4, 1_000, 300)]));
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     assert!(cluster.runs.is_empty());
     cluster.has_lease = true;
     cluster.flush(Vec::new());
     assert!(cluster.run_until(30, |cluster| cluster.running() == 4));
-    assert!(cluster.reaches(JOB, "completed", 1_000));
-    cluster.check();
+    assert!(cluster.run_until_state(JOB, "completed", 1_000));
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -349,15 +349,15 @@
     let mut cluster = Cluster::new(4);
     // All workers have just answered, so that the orders leave at once.
     cluster.submit("/a/", JOB + 1, job(vec![stage(8, 2_000, 100)]));
-    assert!(cluster.reaches(JOB + 1, "completed", 3_000));
-    cluster.workers.get_mut("i-0").unwrap().mute = true;
+    assert!(cluster.run_until_state(JOB + 1, "completed", 3_000));
+    cluster.workers.get_mut("i-0").unwrap().is_unreachable = true;
     cluster.submit("/a/", JOB, job(vec![Stage { gang: true, ..stage(7, 2_000, 800) }]));
     assert!(cluster.run_until(500, |cluster| cluster.running() >= 5));
-    cluster.run(5_000);
+    cluster.run_for_ms(5_000);
     assert_eq!(cluster.running(), 0);
-    cluster.workers.get_mut("i-0").unwrap().mute = false;
-    assert!(cluster.reaches(JOB, "completed", 15_000), "{}", cluster.state_of(JOB));
-    cluster.check();
+    cluster.workers.get_mut("i-0").unwrap().is_unreachable = false;
+    assert!(cluster.run_until_state(JOB, "completed", 15_000), "{}", cluster.job_state(JOB));
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -367,30 +367,30 @@
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 1));
     let busy =
         cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap().instance.id.clone();
-    cluster.run(4_000);
-    cluster.elect();
-    cluster.run(1_500);
+    cluster.run_for_ms(4_000);
+    cluster.elect_leader();
+    cluster.run_for_ms(1_500);
     // Some 4.5 s are left of the run, and 3 s of its worker.
     let worker = cluster.workers.get_mut(&busy).unwrap();
     worker.instance.draining = true;
     worker.instance.remaining_ms = Some(3_000);
     assert!(cluster.run_until(1_500, |cluster| cluster.workers[&busy].running.is_empty()));
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_new_leader_starts_nothing_on_a_worker_that_has_not_answered_it() {
     let mut cluster = Cluster::new(6);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     // The list still shows them: half of the workers stop responding just before another process leads.
     let timed_out: Vec<String> = cluster.workers.keys().take(3).cloned().collect();
     for instance in &timed_out {
-        cluster.workers.get_mut(instance).unwrap().mute = true;
+        cluster.workers.get_mut(instance).unwrap().is_unreachable = true;
     }
-    cluster.elect();
+    cluster.elect_leader();
     cluster.submit("/a/", JOB, job(vec![stage(12, 1_000, 300)]));
-    assert!(cluster.reaches(JOB, "completed", 1_000), "{}", cluster.state_of(JOB));
-    cluster.check();
+    assert!(cluster.run_until_state(JOB, "completed", 1_000), "{}", cluster.job_state(JOB));
+    cluster.assert_no_violations();
 }
 
 /// A job that takes all of rack `r1-0`, two workers of four cores, for so long.
@@ -414,8 +414,8 @@
     assert!(cluster.run_until(2_000, |cluster| host_of(cluster, JOB + 1).is_some()));
     let host = host_of(&cluster, JOB + 1);
     assert!(host == Some("i-0") || host == Some("i-1"), "{host:?}");
-    assert_eq!(cluster.state_of(JOB), "completed");
-    cluster.check();
+    assert_eq!(cluster.job_state(JOB), "completed");
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -432,7 +432,7 @@
     assert!((400..500).contains(&waited_ms), "{waited_ms} ms");
     let host = host_of(&cluster, JOB + 1);
     assert!(host == Some("i-2") || host == Some("i-3"), "{host:?}");
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -452,7 +452,7 @@
 #[test]
 fn a_task_whose_data_no_worker_is_near_starts_at_once() {
     let mut cluster = Cluster::new(4);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let sent = cluster.now;
     let elsewhere = Stage { affinity: "r9-9".to_owned(), ..stage(1, 1_000, 2_000) };
     cluster.submit("/a/", JOB, job(vec![elsewhere]));
@@ -463,16 +463,16 @@
 #[test]
 fn steps_follow_each_other_closely() {
     let mut cluster = Cluster::new(1);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let chain =
         (0..10u32).map(|step| Stage { depends_on: (0..step).rev().take(1).collect(), ..stage(1, 500, 50) });
     let sent = cluster.now;
     cluster.submit("/a/", JOB, job(chain.collect()));
-    assert!(cluster.reaches(JOB, "completed", 5_000));
+    assert!(cluster.run_until_state(JOB, "completed", 5_000));
     // Ten steps of 50 ms, each end reported within 100 ms, and two commits and a round trip for each.
     let took_ms = (cluster.now - sent) / MS;
     assert!(took_ms < 1_500, "{took_ms} ms");
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -494,12 +494,12 @@
 #[test]
 fn a_job_that_waited_is_started_on_the_only_worker_that_comes_into_use() {
     let mut cluster = Cluster::new(1);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     cluster.workers.get_mut("i-0").expect("a worker").instance.draining = true;
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     cluster.submit("/a/", JOB, job(vec![stage(1, 3_000, 150)]));
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     cluster.add_worker("i-1", 1, 4_000);
-    assert!(cluster.reaches(JOB, "completed", 3_000));
-    cluster.check();
+    assert!(cluster.run_until_state(JOB, "completed", 3_000));
+    cluster.assert_no_violations();
 }
--- a/crates/scheduler/tests/leader_lateness.rs
+++ b/crates/scheduler/tests/leader_lateness.rs
@@ -19,7 +19,7 @@
 fn with_calls_in_flight() -> Cluster {
     let mut cluster = Cluster::new(WORKERS);
     cluster.send_job("/a/", JOB, long_job());
-    cluster.run(8_000);
+    cluster.run_for_ms(8_000);
     cluster.send_job("/a/", JOB + 1, long_job());
     let before = cluster.running();
     assert!(cluster.run_until(2_000, |cluster| cluster.running() > before));
@@ -44,11 +44,11 @@
 fn answers_that_arrive_while_the_process_stands_still_are_not_taken_for_missing() {
     for span_ms in [150, 300, 500, 700] {
         let mut cluster = with_calls_in_flight();
-        cluster.stand_still(span_ms);
+        cluster.pause_leader_process(span_ms);
         assert_no_answer_is_missed(&mut cluster);
-        cluster.run(2_000);
+        cluster.run_for_ms(2_000);
         assert_no_answer_is_missed(&mut cluster);
-        cluster.check();
+        cluster.assert_no_violations();
     }
 }
 
@@ -56,25 +56,25 @@
 fn a_process_that_stands_still_again_and_again_takes_no_worker_for_silent() {
     let mut cluster = with_calls_in_flight();
     for _ in 0..20 {
-        cluster.stand_still(320);
-        cluster.run(15);
+        cluster.pause_leader_process(320);
+        cluster.run_for_ms(15);
     }
     assert_no_answer_is_missed(&mut cluster);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
-/// Milliseconds until a worker that falls silent counts as unreachable, with the leader's process standing still for
-/// `absence_ms` after each `presence_ms`.
+/// Milliseconds until a worker that falls silent counts as unreachable, with the leader's process standing
+/// still for `absence_ms` after each `presence_ms`.
 fn ms_until_timed_out(absence_ms: u64, presence_ms: u64) -> u64 {
     let mut cluster = with_calls_in_flight();
-    cluster.stand_still(1);
+    cluster.pause_leader_process(1);
     let silent = cluster.workers.keys().next().cloned().expect("a worker");
-    cluster.workers.get_mut(&silent).expect("the worker").mute = true;
+    cluster.workers.get_mut(&silent).expect("the worker").is_unreachable = true;
     let began = cluster.now;
     loop {
-        cluster.run(presence_ms);
+        cluster.run_for_ms(presence_ms);
         if absence_ms > 0 {
-            cluster.stand_still(absence_ms);
+            cluster.pause_leader_process(absence_ms);
         }
         let events = cluster.leader.as_mut().expect("a leader").take_worker_events();
         let timed_out = events.iter().find_map(|event| match event {
--- a/crates/scheduler/tests/leader_listing_age.rs
+++ b/crates/scheduler/tests/leader_listing_age.rs
@@ -20,19 +20,19 @@
 fn submit_for(cluster: &mut Cluster, first_job: u64, span_ms: u64) {
     for number in 0..span_ms / 100 {
         cluster.submit("/a/", first_job + number, short_job());
-        cluster.run(100);
+        cluster.run_for_ms(100);
     }
 }
 
 #[test]
 fn a_worker_that_drains_while_the_list_is_late_gets_no_start_after_its_drain_time() {
     let mut cluster = Cluster::new(WORKERS);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     submit_for(&mut cluster, FIRST_JOB, 2_000);
     assert!(!cluster.starts_on("i-0").is_empty() && !cluster.starts_on("i-1").is_empty());
     // From now on a read of the list takes longer than a worker serves on.
     cluster.list_delay = 8_000 * MS;
-    cluster.run(1_100);
+    cluster.run_for_ms(1_100);
     for worker in cluster.workers.values_mut() {
         worker.instance.draining = true;
     }
@@ -45,33 +45,33 @@
     }
     let events = cluster.leader.as_mut().expect("a leader").take_worker_events();
     assert!(events.iter().any(|event| matches!(event, WorkerEvent::ListingsExpired { workers: 2, .. })));
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn jobs_that_waited_for_a_late_list_run_once_it_has_come() {
     let mut cluster = Cluster::new(WORKERS);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     cluster.list_delay = 6_000 * MS;
-    cluster.run(4_500);
+    cluster.run_for_ms(4_500);
     let begun = cluster.now;
     cluster.submit("/a/", FIRST_JOB, short_job());
-    cluster.run(500);
+    cluster.run_for_ms(500);
     let work = cluster.state.open_work(FIRST_JOB).expect("an open job");
     assert_eq!(work.active_attempts().count(), 0, "no worker is chosen on a list that is too old");
     cluster.list_delay = 20 * MS;
-    assert!(cluster.reaches(FIRST_JOB, "completed", 6_000));
+    assert!(cluster.run_until_state(FIRST_JOB, "completed", 6_000));
     assert!(cluster.now > begun);
-    cluster.check();
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_page_is_acted_on_before_the_list_is_complete() {
     let mut cluster = Cluster::new(WORKERS);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     let mut draining = cluster.workers["i-0"].instance.clone();
     draining.draining = true;
-    cluster.hand_in_page(draining);
+    cluster.deliver_list_page(draining);
     let handed_in_at = cluster.now;
     submit_for(&mut cluster, FIRST_JOB, 500);
     let late = cluster.starts_on("i-0").into_iter().filter(|at| *at > handed_in_at).count();
@@ -82,17 +82,17 @@
 #[test]
 fn a_start_that_is_held_back_on_a_worker_that_drains_by_then_is_placed_elsewhere() {
     let mut cluster = Cluster::new(1);
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     cluster.withholds_starts = true;
     cluster.submit("/a/", FIRST_JOB, short_job());
-    cluster.run(20);
+    cluster.run_for_ms(20);
     cluster.workers.get_mut("i-0").expect("a worker").instance.draining = true;
-    cluster.hand_in_page(cluster.workers["i-0"].instance.clone());
+    cluster.deliver_list_page(cluster.workers["i-0"].instance.clone());
     cluster.withholds_starts = false;
-    cluster.run(800);
+    cluster.run_for_ms(800);
     assert!(cluster.starts_on("i-0").is_empty(), "the worker drains");
     cluster.add_worker("i-1", 1, 4_000);
-    assert!(cluster.reaches(FIRST_JOB, "completed", 4_000));
+    assert!(cluster.run_until_state(FIRST_JOB, "completed", 4_000));
     assert!(cluster.starts_on("i-0").is_empty(), "the worker drains");
 }
 
--- a/crates/scheduler/tests/leader_reports.rs
+++ b/crates/scheduler/tests/leader_reports.rs
@@ -25,11 +25,11 @@
 #[test]
 fn a_job_that_runs_and_waits_reports_where_and_for_what() {
     let mut cluster = Cluster::new(1);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let stages = vec![stage(3, 2_000, 2_000), Stage { depends_on: vec![0], ..stage(1, 500, 300) }];
     cluster.submit("/a/", JOB, job(stages));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
-    cluster.run(300);
+    cluster.run_for_ms(300);
 
     let report = job_report_of(&cluster, JOB);
     assert_eq!((report.state.as_str(), report.service.as_str(), report.priority), ("running", "service", 1));
@@ -58,7 +58,7 @@
     assert_eq!((plan.waiting_steps, plan.waiting_tasks, plan.steps_without_capacity), (1, 1, 1));
     assert_eq!(plan.first.as_ref().map(|first| first.job.as_str()), Some("5c0e7a21d94b36f8"));
 
-    assert!(cluster.reaches(JOB, "completed", 10_000));
+    assert!(cluster.run_until_state(JOB, "completed", 10_000));
     let report = job_report_of(&cluster, JOB);
     assert!(report.attempts.is_empty() && report.steps.is_empty());
     assert_eq!(report.past_attempts.len(), 4);
@@ -68,7 +68,7 @@
 #[test]
 fn the_load_and_the_work_of_a_leader_are_reported() {
     let mut cluster = Cluster::new(1);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     cluster.leader.as_mut().expect("a leader").take_work();
     cluster.submit("/a/", JOB, job(vec![stage(3, 2_000, 2_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
@@ -87,10 +87,10 @@
 #[test]
 fn a_job_that_fits_nowhere_reports_why() {
     let mut cluster = Cluster::new(2);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     let labelled = Stage { constraint: "gpu-kind".to_owned(), ..stage(1, 500, 300) };
     cluster.submit("/a/", JOB, job(vec![stage(1, 9_000, 300), labelled]));
-    cluster.run(500);
+    cluster.run_for_ms(500);
     let report = job_report_of(&cluster, JOB);
     assert_eq!(report.state, "pending");
     let obstacle = |step: usize| match &report.steps[step].waiting {
@@ -115,7 +115,7 @@
 #[test]
 fn a_worker_that_fails_everything_is_reported_as_ejected() {
     let mut cluster = Cluster::new(4);
-    cluster.workers.get_mut("i-2").unwrap().fails_all = true;
+    cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     let is_ejected = |cluster: &Cluster| {
         let workers = cluster.leader.as_ref().unwrap().workers_report(cluster.now).workers;
         let Some(bad) = workers.iter().find(|worker| worker.instance == "i-2") else { return false };
@@ -138,7 +138,7 @@
 #[test]
 fn ejections_and_timeouts_are_reported_as_events() {
     let mut cluster = Cluster::new(4);
-    cluster.workers.get_mut("i-2").unwrap().fails_all = true;
+    cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     for number in 0..60 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(2, 1_000, 500)]));
     }
@@ -158,12 +158,12 @@
     assert_eq!(ejection_times, [3_000], "{events:?}");
     assert!(cluster.leader.as_mut().unwrap().take_worker_events().is_empty(), "each is given once");
     // Attempts that ran there already when it was ejected fail as well: they prolong no ejection.
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     let events = cluster.leader.as_mut().unwrap().take_worker_events();
     assert!(!events.iter().any(|event| matches!(event, WorkerEvent::Ejected { .. })), "{events:?}");
 
-    cluster.crash("i-1");
-    cluster.run(10_000);
+    cluster.crash_worker("i-1");
+    cluster.run_for_ms(10_000);
     let events = cluster.leader.as_mut().unwrap().take_worker_events();
     // The modelled worker stops responding; nothing says for certain that its incarnation has ended.
     let timed_out = |event: &&WorkerEvent| matches!(event, WorkerEvent::TimedOut { instance, attempts: 1.. } if &**instance == "i-1");
--- a/crates/scheduler/tests/leader_scripts.rs
+++ b/crates/scheduler/tests/leader_scripts.rs
@@ -51,18 +51,18 @@
 impl Play {
     fn new(seed: u64) -> Self {
         let mut cluster = Cluster::new(WORKERS);
-        cluster.seed(seed);
+        cluster.set_seed(seed);
         Self { cluster, random: fastrand::Rng::with_seed(seed), jobs: Vec::new(), workers: WORKERS }
     }
 
     fn any_worker(&mut self) -> String {
         let up: Vec<&String> =
-            self.cluster.workers.iter().filter(|(_, worker)| worker.up).map(|(id, _)| id).collect();
+            self.cluster.workers.iter().filter(|(_, worker)| worker.is_up).map(|(id, _)| id).collect();
         up[self.random.usize(..up.len())].clone()
     }
 
     fn replace(&mut self, instance: &str) {
-        self.cluster.crash(instance);
+        self.cluster.crash_worker(instance);
         let number = self.workers;
         self.workers += 1;
         self.cluster.add_worker(&format!("i-{number}"), number, 4_000);
@@ -71,10 +71,10 @@
     fn fault(&mut self) {
         let worker = self.any_worker();
         match self.random.u8(..16) {
-            0 | 1 => self.cluster.elect(),
+            0 | 1 => self.cluster.elect_leader(),
             2 => self.replace(&worker),
-            3 => self.cluster.workers.get_mut(&worker).unwrap().stalls = true,
-            4 => self.cluster.workers.get_mut(&worker).unwrap().fails_all = true,
+            3 => self.cluster.workers.get_mut(&worker).unwrap().stalls_runs = true,
+            4 => self.cluster.workers.get_mut(&worker).unwrap().fails_all_runs = true,
             5 => {
                 let drained = self.cluster.workers.get_mut(&worker).unwrap();
                 drained.instance.draining = true;
@@ -82,17 +82,18 @@
             }
             6 => {
                 for worker in self.cluster.workers.values_mut() {
-                    (worker.stalls, worker.fails_all, worker.instance.draining) = (false, false, false);
+                    (worker.stalls_runs, worker.fails_all_runs, worker.instance.draining) =
+                        (false, false, false);
                 }
             }
-            7 => self.cluster.loss_percent = 30,
-            8 | 9 => self.cluster.loss_percent = 0,
+            7 => self.cluster.call_loss_percent = 30,
+            8 | 9 => self.cluster.call_loss_percent = 0,
             10 if !self.jobs.is_empty() => {
                 let id = self.jobs[self.random.usize(..self.jobs.len())];
                 self.cluster.cancel("/a/", id);
             }
             11 => {
-                self.cluster.poisoned.insert(FIRST_JOB + self.jobs.len() as u64);
+                self.cluster.failing_jobs.insert(FIRST_JOB + self.jobs.len() as u64);
             }
             _ => {}
         }
@@ -115,15 +116,15 @@
 
     /// No faults from now on.
     fn calm(&mut self) {
-        self.cluster.loss_percent = 0;
+        self.cluster.call_loss_percent = 0;
         for worker in self.cluster.workers.values_mut() {
-            (worker.stalls, worker.fails_all) = (false, false);
+            (worker.stalls_runs, worker.fails_all_runs) = (false, false);
             (worker.instance.draining, worker.instance.remaining_ms) = (false, None);
         }
     }
 
     fn open(&self) -> Vec<u64> {
-        let is_open = |id: &&u64| matches!(self.cluster.state_of(**id), "pending" | "running");
+        let is_open = |id: &&u64| matches!(self.cluster.job_state(**id), "pending" | "running");
         self.jobs.iter().filter(is_open).copied().collect()
     }
 }
@@ -136,20 +137,20 @@
         }
         play.fault();
         let pause = play.random.u64(50..600);
-        play.cluster.run(pause);
+        play.cluster.run_for_ms(pause);
     }
     play.calm();
     let all_ended = |cluster: &Cluster| {
-        let states = play.jobs.iter().map(|id| cluster.state_of(*id));
+        let states = play.jobs.iter().map(|id| cluster.job_state(*id));
         states.into_iter().all(|state| !matches!(state, "pending" | "running"))
     };
     play.cluster.run_until(150_000, all_ended);
     if !play.open().is_empty() {
         return Err(format!("{:x?} did not end", play.open()));
     }
-    play.cluster.run(15_000);
-    if !play.cluster.broken().is_empty() {
-        return Err(format!("{:?}", play.cluster.broken()));
+    play.cluster.run_for_ms(15_000);
+    if !play.cluster.violations().is_empty() {
+        return Err(format!("{:?}", play.cluster.violations()));
     }
     if play.cluster.running() > 0 {
         return Err("something still runs".to_owned());
--- a/crates/scheduler/tests/leader_takeover.rs
+++ b/crates/scheduler/tests/leader_takeover.rs
@@ -1,5 +1,5 @@
-//! The first seconds of a new leader among many workers: no event costs more than a bounded amount of work, and workers
-//! that carry attempts are called before those that carry nothing.
+//! The first seconds of a new leader among many workers: no event costs more than a bounded amount of work,
+//! and workers that carry attempts are called before those that carry nothing.
 
 mod cluster;
 
@@ -27,7 +27,7 @@
 /// A cluster in which attempts run on some workers, and jobs wait that no worker has capacity for.
 fn busy_cluster() -> Cluster {
     let mut cluster = Cluster::new(WORKERS);
-    cluster.run(3_000);
+    cluster.run_for_ms(3_000);
     cluster.submit("/a/", 1, job(200, 3_000, 60_000)).expect("a reply");
     assert!(cluster.run_until(5_000, |cluster| cluster.running() == 200), "{} run", cluster.running());
     for id in 2..2 + WAITING_JOBS {
@@ -96,7 +96,7 @@
     }
 
     fn answer(&mut self, cluster: &Cluster, call: CallId, instance: &str) {
-        let outcome = cluster.workers[instance].lists(self.now);
+        let outcome = cluster.workers[instance].attempt_lists(self.now);
         self.handle(Input::CallFinished { call, outcome });
     }
 
@@ -224,7 +224,7 @@
 #[test]
 fn a_lease_that_is_back_polls_sessions_in_slices() {
     let mut cluster = busy_cluster();
-    cluster.run(2_000);
+    cluster.run_for_ms(2_000);
     let (now, leader) = (cluster.now + LEASE, cluster.leader.as_mut().expect("a leader"));
     leader.take_work();
     leader.set_lease(now, now + LEASE);
--- a/crates/scheduler/tests/load_shedding.rs
+++ b/crates/scheduler/tests/load_shedding.rs
@@ -40,7 +40,7 @@
 fn rejected_of(cluster: &mut Cluster, path: &str, ids: std::ops::Range<u64>) -> Vec<u64> {
     let mut rejected = Vec::new();
     for id in ids {
-        cluster.run(JOB_INTERVAL_MS);
+        cluster.run_for_ms(JOB_INTERVAL_MS);
         if is_rejected(cluster, path, id) {
             rejected.push(id);
         }
@@ -51,16 +51,17 @@
 /// A cluster whose leader is late and has confirmed starts at that pace.
 fn late_leader() -> Cluster {
     let mut cluster = Cluster::new(MANY_WORKERS);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     assert!(rejected_of(&mut cluster, "/u/", 1..150).is_empty(), "a leader in time rejects nothing");
     cluster.leader_period = LATE_LEADER_PERIOD;
     cluster
 }
 
-/// A cluster with one worker whose queue takes `seconds` to be served: jobs of two tasks of half a second each.
+/// A cluster with one worker whose queue takes `seconds` to be served: jobs of two tasks of half a second
+/// each.
 fn queued(seconds: u64) -> Cluster {
     let mut cluster = Cluster::new(1);
-    cluster.run(1_500);
+    cluster.run_for_ms(1_500);
     for id in 1..=seconds {
         let reply = cluster.submit("/a/", id, job(2, 500)).expect("a reply");
         assert_eq!(reply.outcome, Outcome::ACCEPTED, "job {id}");
@@ -71,23 +72,23 @@
 #[test]
 fn a_job_is_rejected_with_a_time_to_come_back_while_every_start_is_too_late_for_it() {
     let mut cluster = queued(20);
-    cluster.run(WORTHLESS_AFTER_MS + 2_000);
+    cluster.run_for_ms(WORTHLESS_AFTER_MS + 2_000);
     let reply = cluster.submit("/a/", 100, job(1, 500)).expect("a reply");
     assert_eq!(reply.outcome, Outcome::OVERLOADED);
     assert!((1_000..=10_000).contains(&reply.retry_after_ms), "{reply:?}");
     let known = cluster.submit("/a/", 20, job(2, 500)).expect("a reply");
     assert_eq!(known.outcome, Outcome::ACCEPTED, "a job that was accepted stays accepted");
-    assert!(cluster.reaches(20, "completed", 60_000), "what was accepted is completed");
-    cluster.run(3_000);
+    assert!(cluster.run_until_state(20, "completed", 60_000), "what was accepted is completed");
+    cluster.run_for_ms(3_000);
     let reply = cluster.submit("/a/", 100, job(1, 500)).expect("a reply");
     assert_eq!(reply.outcome, Outcome::ACCEPTED, "the queue is served: jobs are accepted again");
-    assert!(cluster.broken_rules.is_empty(), "{:?}", cluster.broken_rules);
+    assert!(cluster.immediate_violations.is_empty(), "{:?}", cluster.immediate_violations);
 }
 
 #[test]
 fn a_job_whose_objective_allows_the_wait_is_accepted_while_others_are_rejected() {
     let mut cluster = queued(20);
-    cluster.run(WORTHLESS_AFTER_MS + 2_000);
+    cluster.run_for_ms(WORTHLESS_AFTER_MS + 2_000);
     let long = cluster.submit("/a/", 100, job(1, 10_000)).expect("a reply");
     assert_eq!(long.outcome, Outcome::ACCEPTED);
     let other_plan = cluster.submit("/u/", 101, job(1, 500)).expect("a reply");
@@ -97,7 +98,7 @@
 #[test]
 fn jobs_that_run_until_they_are_cancelled_are_not_rejected_for_a_queue() {
     let mut cluster = queued(20);
-    cluster.run(WORTHLESS_AFTER_MS + 2_000);
+    cluster.run_for_ms(WORTHLESS_AFTER_MS + 2_000);
     let mut lasting = job(1, 500);
     lasting.stages[0].long_running = true;
     let reply = cluster.submit("/a/", 100, lasting).expect("a reply");
@@ -110,9 +111,9 @@
     let rejected = rejected_of(&mut cluster, "/u/", 200..600);
     assert!(!rejected.is_empty() && rejected.len() < 400, "{} of 400", rejected.len());
     cluster.leader_period = 0;
-    cluster.run(3_000);
+    cluster.run_for_ms(3_000);
     assert!(rejected_of(&mut cluster, "/u/", 1_000..1_100).is_empty(), "a leader in time again");
-    assert!(cluster.broken_rules.is_empty(), "{:?}", cluster.broken_rules);
+    assert!(cluster.immediate_violations.is_empty(), "{:?}", cluster.immediate_violations);
 }
 
 #[test]
@@ -121,7 +122,7 @@
     cluster.leader_period = SLIGHTLY_LATE_LEADER_PERIOD;
     let (mut first_plan, mut later_plan) = (0, 0);
     for id in (200..800).step_by(2) {
-        cluster.run(JOB_INTERVAL_MS);
+        cluster.run_for_ms(JOB_INTERVAL_MS);
         first_plan += usize::from(is_rejected(&mut cluster, "/u/", id));
         later_plan += usize::from(is_rejected(&mut cluster, "/a/", id + 1));
     }
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement on its own: nothing past a capacity, a label or an anti-affinity, complete gangs, cheap preemption.
+//! Placement on its own: nothing past a capacity, a label or an anti-affinity, complete gangs, cheap
+//! preemption.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use scheduler::ids::{AttemptKey, StepKey, TaskKey};
--- a/crates/scheduler/tests/state_commands.rs
+++ b/crates/scheduler/tests/state_commands.rs
@@ -22,13 +22,13 @@
 
 #[test]
 fn a_job_runs_step_by_step_until_it_is_completed() {
-    let mut state = accepted(job(vec![stage(2), after(1, &[0])]));
-    assert_eq!(state_of(&state, JOB), Some("pending"));
+    let mut state = accepted(job(vec![stage(2), stage_after(1, &[0])]));
+    assert_eq!(job_state(&state, JOB), Some("pending"));
     assert_eq!(state.pending_jobs(PREFIX), 1);
 
     let applied = apply(&mut state, start(&[task(JOB, 0, 0), task(JOB, 0, 1)], 1, "w"));
     assert_eq!(applied.len(), 2);
-    assert_eq!(state_of(&state, JOB), Some("running"));
+    assert_eq!(job_state(&state, JOB), Some("running"));
     assert_eq!(state.pending_jobs(PREFIX), 0);
 
     let applied = apply(&mut state, end("w", 1, task(JOB, 0, 0), 1, EndKind::DONE));
@@ -40,12 +40,12 @@
     apply(&mut state, start(&[task(JOB, 1, 0)], 1, "w"));
     let applied = apply(&mut state, end("w", 3, task(JOB, 1, 0), 1, EndKind::DONE));
     assert!(applied.contains(&StateChange::JobEnded { job: JOB, phase: JobPhase::COMPLETED }));
-    assert_eq!(state_of(&state, JOB), Some("completed"));
+    assert_eq!(job_state(&state, JOB), Some("completed"));
 }
 
 #[test]
 fn a_step_does_not_start_before_those_it_depends_on() {
-    let mut state = accepted(job(vec![stage(1), after(1, &[0])]));
+    let mut state = accepted(job(vec![stage(1), stage_after(1, &[0])]));
     let applied = apply(&mut state, start(&[task(JOB, 1, 0)], 1, "w"));
     assert!(matches!(applied[..], [StateChange::StartDropped { .. }]));
 }
@@ -57,13 +57,13 @@
     assert_eq!(apply(&mut state, again.clone()), vec![StateChange::JobAlreadyAccepted { job: JOB }]);
     apply(&mut state, cancel(JOB));
     assert_eq!(apply(&mut state, again), vec![StateChange::JobAlreadyAccepted { job: JOB }]);
-    assert_eq!(state_of(&state, JOB), Some("cancelled"));
+    assert_eq!(job_state(&state, JOB), Some("cancelled"));
 }
 
 #[test]
 fn a_job_that_cannot_be_run_is_rejected() {
     let mut state = State::new();
-    for stages in [vec![], vec![stage(0)], vec![after(1, &[0])], vec![stage(1), after(1, &[2])]] {
+    for stages in [vec![], vec![stage(0)], vec![stage_after(1, &[0])], vec![stage(1), stage_after(1, &[2])]] {
         let applied = apply(&mut state, submit(JOB, job(stages)));
         assert!(matches!(applied[..], [StateChange::JobRejected { .. }]));
     }
@@ -95,7 +95,7 @@
     assert!(applied
         .iter()
         .any(|effect| matches!(effect, StateChange::StopRequested { key, .. } if *key == other)));
-    assert_eq!(state_of(&state, JOB), Some("failed"));
+    assert_eq!(job_state(&state, JOB), Some("failed"));
     let dropped = apply(&mut state, start(&[task(JOB, 0, 1)], 2, "w"));
     assert!(matches!(dropped[..], [StateChange::StartDropped { .. }]));
 }
@@ -113,19 +113,19 @@
     for (number, kind) in [EndKind::FAILED, EndKind::DONE, EndKind::FAILED].into_iter().enumerate() {
         let attempt = number as u32 + 5;
         apply(&mut state, start(&[task(JOB, 0, 0)], attempt, "w"));
-        let mut late = end_of(u64::from(attempt), task(JOB, 0, 0), attempt, kind);
+        let mut late = worker_end(u64::from(attempt), task(JOB, 0, 0), attempt, kind);
         late.counted = false;
         let applied = apply(&mut state, ends("w", vec![late]));
         assert!(applied.contains(&StateChange::TaskReady { task: task(JOB, 0, 0) }));
     }
-    assert_eq!(state_of(&state, JOB), Some("running"));
+    assert_eq!(job_state(&state, JOB), Some("running"));
 }
 
 #[test]
 fn the_next_start_resumes_from_the_checkpoint() {
     let mut state = accepted(job(vec![Stage { checkpoints: true, ..stage(1) }]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
-    let mut stopped = end_of(1, task(JOB, 0, 0), 1, EndKind::STOPPED);
+    let mut stopped = worker_end(1, task(JOB, 0, 0), 1, EndKind::STOPPED);
     stopped.checkpoint = "c1".to_owned();
     apply(&mut state, ends("w", vec![stopped]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 2, "w"));
@@ -138,7 +138,7 @@
 
 #[test]
 fn the_first_copy_that_is_done_counts_and_the_other_is_stopped() {
-    let mut state = accepted(job(vec![Stage { speculative: true, ..stage(1) }, after(1, &[0])]));
+    let mut state = accepted(job(vec![Stage { speculative: true, ..stage(1) }, stage_after(1, &[0])]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     apply(&mut state, start(&[task(JOB, 0, 0)], 2, "v"));
     let applied = apply(&mut state, end("v", 1, task(JOB, 0, 0), 2, EndKind::DONE));
@@ -159,7 +159,7 @@
 }
 
 fn gang() -> State {
-    accepted(job(vec![Stage { gang: true, ..stage(3) }, after(1, &[0])]))
+    accepted(job(vec![Stage { gang: true, ..stage(3) }, stage_after(1, &[0])]))
 }
 
 fn members() -> Vec<scheduler::ids::TaskKey> {
@@ -219,7 +219,7 @@
 fn a_gang_resumes_from_one_checkpoint_whichever_member_saved_it() {
     let mut state = gang();
     apply(&mut state, start(&members(), 1, "w"));
-    let mut broken = end_of(1, task(JOB, 0, 2), 1, EndKind::STOPPED);
+    let mut broken = worker_end(1, task(JOB, 0, 2), 1, EndKind::STOPPED);
     broken.checkpoint = "c".to_owned();
     apply(&mut state, ends("w", vec![broken]));
     for member in members() {
@@ -240,13 +240,17 @@
     apply(&mut state, start(&[task(JOB, 0, 0)], 6, "w"));
     let applied = apply(&mut state, cancel(JOB));
     assert!(applied.iter().any(|effect| matches!(effect, StateChange::StopRequested { .. })));
-    assert_eq!(state_of(&state, JOB), Some("cancelled"));
+    assert_eq!(job_state(&state, JOB), Some("cancelled"));
 }
 
 #[test]
 fn times_overlap_and_the_job_is_completed_with_the_last() {
-    let times =
-        JobSpec { repeat: 3, start_at_ms: 1_000, interval_ms: 500, ..job(vec![stage(1), after(1, &[0])]) };
+    let times = JobSpec {
+        repeat: 3,
+        start_at_ms: 1_000,
+        interval_ms: 500,
+        ..job(vec![stage(1), stage_after(1, &[0])])
+    };
     let mut state = accepted(times);
     let work = state.open_work(JOB).unwrap();
     assert_eq!(work.due_ms(2), 2_000);
@@ -261,7 +265,7 @@
         let restored = State::restore(&state.snapshot()).expect("a complete snapshot");
         assert_eq!(restored.snapshot(), state.snapshot());
     }
-    assert_eq!(state_of(&state, JOB), Some("completed"));
+    assert_eq!(job_state(&state, JOB), Some("completed"));
 }
 
 #[test]
@@ -283,7 +287,7 @@
     apply(&mut state, clock(1_000));
     apply(&mut state, cancel(JOB));
     apply(&mut state, clock(1_000 + ENDED_JOB_RETENTION_MS));
-    assert_eq!(state_of(&state, JOB), Some("cancelled"));
+    assert_eq!(job_state(&state, JOB), Some("cancelled"));
     // A clock that steps back forgets nothing and keeps nothing longer.
     apply(&mut state, clock(5));
     let applied = apply(&mut state, clock(1_001 + ENDED_JOB_RETENTION_MS));
@@ -307,25 +311,34 @@
 fn a_configuration_is_accepted_on_top_of_the_current_one_and_its_repeat_is_never_rejected() {
     let mut state = State::new();
     assert!(matches!(
-        apply(&mut state, put("a", 3, 0))[..],
+        apply(&mut state, store_configuration("a", 3, 0))[..],
         [StateChange::ConfigurationAccepted { version: 3, .. }]
     ));
-    assert!(matches!(apply(&mut state, put("a", 3, 0))[..], [StateChange::ConfigurationRepeated { .. }]));
     assert!(matches!(
-        apply(&mut state, put("b", 5, 0))[..],
+        apply(&mut state, store_configuration("a", 3, 0))[..],
+        [StateChange::ConfigurationRepeated { .. }]
+    ));
+    assert!(matches!(
+        apply(&mut state, store_configuration("b", 5, 0))[..],
         [StateChange::ConfigurationConflict { current: 3, .. }]
     ));
     assert!(matches!(
-        apply(&mut state, put("b", 3, 3))[..],
+        apply(&mut state, store_configuration("b", 3, 3))[..],
         [StateChange::ConfigurationVersionTooLow { current: 3, .. }]
     ));
     assert!(matches!(
-        apply(&mut state, put("b", 5, 3))[..],
+        apply(&mut state, store_configuration("b", 5, 3))[..],
         [StateChange::ConfigurationAccepted { version: 5, .. }]
     ));
     let mut state = State::restore(&state.snapshot()).expect("a complete snapshot");
-    assert!(matches!(apply(&mut state, put("a", 3, 0))[..], [StateChange::ConfigurationRepeated { .. }]));
-    assert!(matches!(apply(&mut state, put("b", 5, 3))[..], [StateChange::ConfigurationRepeated { .. }]));
+    assert!(matches!(
+        apply(&mut state, store_configuration("a", 3, 0))[..],
+        [StateChange::ConfigurationRepeated { .. }]
+    ));
+    assert!(matches!(
+        apply(&mut state, store_configuration("b", 5, 3))[..],
+        [StateChange::ConfigurationRepeated { .. }]
+    ));
     assert_eq!(state.configuration().unwrap().body, b"b");
     assert_eq!(state.configuration_version(), 5);
 }
@@ -346,7 +359,7 @@
 
 #[test]
 fn failures_of_copies_after_the_first_one_was_done_count_for_nothing() {
-    let mut state = accepted(job(vec![Stage { speculative: true, ..stage(1) }, after(1, &[0])]));
+    let mut state = accepted(job(vec![Stage { speculative: true, ..stage(1) }, stage_after(1, &[0])]));
     let key = task(JOB, 0, 0);
     for attempt in 1..=3 {
         apply(&mut state, start(&[key], attempt, &format!("w{attempt}")));
@@ -359,7 +372,7 @@
             "{applied:?}"
         );
     }
-    assert_eq!(state_of(&state, JOB), Some("running"), "its second step is to come");
+    assert_eq!(job_state(&state, JOB), Some("running"), "its second step is to come");
     let again = apply(&mut state, start(&[key], 4, "w1"));
     assert!(matches!(again[..], [StateChange::StartDropped { .. }]));
 }
--- a/crates/scheduler/tests/state_scripts.rs
+++ b/crates/scheduler/tests/state_scripts.rs
@@ -22,13 +22,13 @@
 /// The shape of each job: plain with dependencies, gang, speculative and long-running, scheduled.
 fn shape(id: u64) -> JobSpec {
     match id {
-        0 => job(vec![stage(2), after(2, &[0]), after(1, &[0, 1])]),
-        1 => job(vec![Stage { gang: true, ..stage(3) }, after(1, &[0])]),
+        0 => job(vec![stage(2), stage_after(2, &[0]), stage_after(1, &[0, 1])]),
+        1 => job(vec![Stage { gang: true, ..stage(3) }, stage_after(1, &[0])]),
         2 => job(vec![Stage { speculative: true, ..stage(2) }, Stage { long_running: true, ..stage(1) }]),
         _ => JobSpec {
             repeat: 3,
             interval_ms: 10,
-            ..job(vec![stage(1), Stage { gang: true, ..after(2, &[0]) }])
+            ..job(vec![stage(1), Stage { gang: true, ..stage_after(2, &[0]) }])
         },
     }
 }
@@ -75,12 +75,16 @@
                 start(&tasks, attempt, instance)
             }
             9 => resolve(instance, task, attempt.saturating_sub(1), "r"),
-            10 => put(&format!("{}", draw.2 % 4), u64::from(draw.2), state.configuration_version()),
+            10 => store_configuration(
+                &format!("{}", draw.2 % 4),
+                u64::from(draw.2),
+                state.configuration_version(),
+            ),
             _ => {
                 let sequence = self.sequences.entry(instance).or_default();
                 *sequence += u64::from(draw.1 % 2);
                 let kind = KINDS[usize::from(draw.0) % KINDS.len()];
-                let mut end = end_of(*sequence, task, attempt.saturating_sub(1), kind);
+                let mut end = worker_end(*sequence, task, attempt.saturating_sub(1), kind);
                 end.counted = draw.2 % 5 != 0;
                 end.checkpoint = format!("c{sequence}");
                 ends(instance, vec![end])
--- a/crates/scheduler/tests/support/driver.rs
+++ b/crates/scheduler/tests/support/driver.rs
@@ -1,4 +1,4 @@
-//! A session driven by hand: each call is answered by the test.
+//! A worker session without a worker: the test answers each call.
 
 use messages::job::{EndKind, Resolution, WorkerEnd};
 use scheduler::ids::AttemptKey;
@@ -6,8 +6,8 @@
 
 use super::{incarnation, options, MS};
 
-/// The steady clock when the session begins, in milliseconds; the worker's clock shows the same.
-pub const BEGIN_MS: u64 = 100_000;
+/// Monotonic time at which the session begins, in milliseconds. The worker's clock shows the same time.
+pub const SESSION_START_MS: u64 = 100_000;
 
 pub struct Driver {
     pub session: WorkerSession,
@@ -15,9 +15,9 @@
 }
 
 impl Driver {
-    /// A session under a lease whose worker's clock is unknown.
+    /// A session whose leader holds a lease and does not know the worker's clock yet.
     pub fn new() -> Self {
-        let now = BEGIN_MS * MS;
+        let now = SESSION_START_MS * MS;
         let mut session = WorkerSession::new(incarnation(1), 0, options(7, now), now);
         session.set_leader_lease(u64::MAX);
         session.extend_start_limit(u64::MAX);
@@ -28,7 +28,7 @@
         self.now / MS
     }
 
-    pub fn pass_ms(&mut self, span_ms: u64) {
+    pub fn advance_ms(&mut self, span_ms: u64) {
         self.now += span_ms * MS;
     }
 
@@ -38,7 +38,7 @@
         out
     }
 
-    /// Polls at each timer up to the end of the span; gives all outputs.
+    /// Polls at each timer up to the end of the span and returns all outputs.
     pub fn poll_for_ms(&mut self, span_ms: u64) -> Vec<SessionOutput> {
         let end = self.now + span_ms * MS;
         let mut out = self.poll();
@@ -55,7 +55,7 @@
         self.poll()
     }
 
-    pub fn ok(&mut self, call: u64) -> Vec<SessionOutput> {
+    pub fn answer_ok(&mut self, call: u64) -> Vec<SessionOutput> {
         let now_ms = self.now_ms();
         self.answer(call, CallOutcome::Answer { now_ms })
     }
@@ -65,17 +65,27 @@
         self.answer(call, CallOutcome::Refused { now_ms, reason })
     }
 
-    pub fn lists(&mut self, call: u64, running: &[AttemptKey], finished: &[WorkerEnd]) -> Vec<SessionOutput> {
+    pub fn answer_with_lists(
+        &mut self,
+        call: u64,
+        running: &[AttemptKey],
+        finished: &[WorkerEnd],
+    ) -> Vec<SessionOutput> {
         let entry = |key: &AttemptKey| RunningEntry { key: *key, checkpoint: String::new(), percent: 0 };
         let running = running.iter().map(entry).collect();
         let now_ms = self.now_ms();
         self.answer(call, CallOutcome::Lists { now_ms, running, finished: finished.to_vec() })
     }
 
-    /// Answers the first query; gives what comes of it. The session needs an attempt.
-    pub fn meet(&mut self, running: &[AttemptKey], finished: &[WorkerEnd]) -> Vec<SessionOutput> {
+    /// Answers the first query with these lists and returns the resulting outputs. The session must have an
+    /// attempt, as it sends no query otherwise.
+    pub fn answer_first_query(
+        &mut self,
+        running: &[AttemptKey],
+        finished: &[WorkerEnd],
+    ) -> Vec<SessionOutput> {
         let query = only_lease_renewal(&self.poll());
-        self.lists(query, running, finished)
+        self.answer_with_lists(query, running, finished)
     }
 }
 
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A worker as the protocol describes it, and a network between it and a session, in simulated time.
+//! Model of a worker that follows the protocol, and of the network between the worker and a session, in
+//! simulated time.
 
 #![allow(dead_code)]
 
@@ -12,6 +13,7 @@
 use scheduler::ids::{AttemptKey, TaskKey};
 use scheduler::worker::{SessionOptions, StartOrder};
 
+/// Nanoseconds per millisecond.
 pub const MS: u64 = 1_000_000;
 pub const MAX_WORKER_LEASE_MS: u64 = 6_000;
 pub const STOP_MS: u64 = 400;
--- a/crates/scheduler/tests/support/model.rs
+++ b/crates/scheduler/tests/support/model.rs
@@ -1,4 +1,4 @@
-//! One worker: fencing token, runs, ends, lease and a steady clock that may be slow.
+//! Model of one worker: fencing token, runs, ended runs, lease and a monotonic clock that may be slow.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 
 use super::{MAX_WORKER_LEASE_MS, MS};
 
-/// A run; times are milliseconds of the worker's clock. Its spec is its length in milliseconds, with an `f` behind
-/// it if it fails.
+/// A run of an attempt. Times are milliseconds of the worker's clock. The spec of the attempt is the duration
+/// of the run in milliseconds, followed by `f` if the run fails.
 #[derive(Clone, Debug)]
 struct Run {
-    started: u64,
-    ends: u64,
+    started_at: u64,
+    ends_at: u64,
     kind: EndKind,
 }
 
-/// An end with how often the lease had expired before it.
+/// An end, with the number of lease expiries before it.
 #[derive(Clone, Debug)]
 pub struct ListedEnd {
     pub end: WorkerEnd,
@@ -27,15 +27,15 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     pub incarnation: u64,
-    booted: u64,
-    /// Parts in a thousand by which the clock is slow.
-    slow_permille: u64,
+    booted_at: u64,
+    /// Thousandths by which the clock is slow.
+    clock_slow_permille: u64,
     fencing_token: u64,
     worker_lease_until: u64,
     expiry_counted: bool,
     pub expiries: u64,
     runs: BTreeMap<AttemptKey, Run>,
-    barred: BTreeMap<TaskKey, u32>,
+    barred_attempts: BTreeMap<TaskKey, u32>,
     pub finished: Vec<ListedEnd>,
     next_sequence: u64,
     pub last_seen: u64,
@@ -45,17 +45,17 @@
 }
 
 impl Worker {
-    pub fn new(incarnation: u64, booted: u64, slow_permille: u64, capacity: usize) -> Self {
+    pub fn new(incarnation: u64, booted_at: u64, clock_slow_permille: u64, capacity: usize) -> Self {
         Worker {
             incarnation,
-            booted,
-            slow_permille,
+            booted_at,
+            clock_slow_permille,
             fencing_token: 0,
             worker_lease_until: 0,
             expiry_counted: true,
             expiries: 0,
             runs: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            barred_attempts: BTreeMap::new(),
             finished: Vec::new(),
             next_sequence: 1,
             last_seen: 0,
@@ -65,9 +65,10 @@
         }
     }
 
+    /// Time of the worker's clock, in milliseconds since the worker booted.
     pub fn clock_ms(&self, now: u64) -> u64 {
-        let passed = now - self.booted;
-        (passed - passed / 1_000 * self.slow_permille) / MS
+        let passed = now - self.booted_at;
+        (passed - passed / 1_000 * self.clock_slow_permille) / MS
     }
 
     pub fn runs(&self, key: &AttemptKey) -> bool {
@@ -82,15 +83,15 @@
         self.finished.iter().any(|listed| listed.end.sequence > self.last_seen)
     }
 
-    /// Ends runs whose time has come, and all of them if the lease has expired.
+    /// Ends the runs that are due by the worker's clock, and all runs if the lease has expired.
     pub fn advance(&mut self, now: u64) {
         let clock = self.clock_ms(now);
         let until = clock.min(self.worker_lease_until);
         let mut due: Vec<(u64, AttemptKey)> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.ends <= until)
-            .map(|(key, run)| (run.ends, *key))
+            .filter(|(_, run)| run.ends_at <= until)
+            .map(|(key, run)| (run.ends_at, *key))
             .collect();
         due.sort_unstable();
         for (_, key) in due {
@@ -112,7 +113,7 @@
 
     fn end(&mut self, key: AttemptKey, kind: EndKind) {
         self.runs.remove(&key);
-        self.bar(key);
+        self.bar_up_to_attempt(key);
         let end = WorkerEnd {
             sequence: self.next_sequence,
             task: Some(key.task.into()),
@@ -125,11 +126,13 @@
         self.finished.push(ListedEnd { end, expiries_before: self.expiries });
     }
 
-    fn bar(&mut self, key: AttemptKey) {
-        let barred = self.barred.entry(key.task).or_default();
+    /// Makes the worker refuse this and all lower attempts of the task.
+    fn bar_up_to_attempt(&mut self, key: AttemptKey) {
+        let barred = self.barred_attempts.entry(key.task).or_default();
         *barred = key.attempt.max(*barred);
     }
 
+    /// Extends the lease to the deadline, at most to the longest lease from now. Never shortens the lease.
     fn renew_lease(&mut self, deadline_ms: u64, clock: u64) {
         let deadline = deadline_ms.min(clock + MAX_WORKER_LEASE_MS);
         if deadline > self.worker_lease_until && deadline > clock {
@@ -139,13 +142,13 @@
     }
 
     fn accepts_fencing_token(&mut self, fencing_token: u64) -> bool {
-        let takes = fencing_token >= self.fencing_token;
+        let is_accepted = fencing_token >= self.fencing_token;
         self.fencing_token = self.fencing_token.max(fencing_token);
-        takes
+        is_accepted
     }
 
-    /// Carries out a call; a lease renewal is answered apart, by `lists`.
-    pub fn carry_out(&mut self, now: u64, request: &WorkerRequest) -> CallOutcome {
+    /// Executes a call. The response to a lease renewal is created separately, by `attempt_lists`.
+    pub fn handle_call(&mut self, now: u64, request: &WorkerRequest) -> CallOutcome {
         self.advance(now);
         let now_ms = self.clock_ms(now);
         let refused = |reason| CallOutcome::Refused { now_ms: Some(now_ms), reason };
@@ -188,7 +191,7 @@
         if self.runs.contains_key(&key) {
             return CallOutcome::Answer { now_ms };
         }
-        if self.barred.get(&key.task).is_some_and(|barred| key.attempt <= *barred) {
+        if self.barred_attempts.get(&key.task).is_some_and(|barred| key.attempt <= *barred) {
             return refused(Refusal::SupersededAttempt);
         }
         if self.runs.len() >= self.capacity {
@@ -197,23 +200,24 @@
         let fails = spec.ends_with('f');
         let length: u64 = spec.trim_end_matches('f').parse().expect("a length in milliseconds");
         let kind = if fails { EndKind::FAILED } else { EndKind::DONE };
-        self.runs.insert(key, Run { started: now_ms, ends: now_ms + length, kind });
+        self.runs.insert(key, Run { started_at: now_ms, ends_at: now_ms + length, kind });
         self.starts += 1;
         CallOutcome::Answer { now_ms }
     }
 
     fn stop(&mut self, key: AttemptKey, now_ms: u64) {
-        self.bar(key);
+        self.bar_up_to_attempt(key);
         if let Some(run) = self.runs.get_mut(&key) {
             let stops = now_ms + super::STOP_MS / 2;
-            if stops < run.ends {
-                run.ends = stops;
+            if stops < run.ends_at {
+                run.ends_at = stops;
                 run.kind = EndKind::STOPPED;
             }
         }
     }
 
-    pub fn lists(&self, now: u64) -> CallOutcome {
+    /// The response to a lease renewal: the running attempts and at most 500 ends that are not acknowledged.
+    pub fn attempt_lists(&self, now: u64) -> CallOutcome {
         let now_ms = self.clock_ms(now);
         let running = self
             .runs
@@ -221,7 +225,8 @@
             .map(|(key, run)| RunningEntry {
                 key: *key,
                 checkpoint: String::new(),
-                percent: ((now_ms - run.started) * 100 / (run.ends - run.started).max(1)).min(99) as u32,
+                percent: ((now_ms - run.started_at) * 100 / (run.ends_at - run.started_at).max(1)).min(99)
+                    as u32,
             })
             .collect();
         let unseen = self.finished.iter().filter(|listed| listed.end.sequence > self.last_seen);
--- a/crates/scheduler/tests/support/world.rs
+++ b/crates/scheduler/tests/support/world.rs
@@ -1,4 +1,5 @@
-//! A session, a worker and a network with faults; what the session claims is checked against the worker.
+//! Simulation of a worker session, a worker and a network with faults. Compares the outputs of the session
+//! with the state of the worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,16 +10,16 @@
 use super::model::Worker;
 use super::{incarnation, options, order, MS};
 
-/// The step of simulated time.
-const STEP: u64 = 5 * MS;
-/// How long a commit takes.
-const COMMIT: u64 = 20 * MS;
-/// The latest that a call without an answer is carried out.
-const LATEST_MS: u64 = 12_000;
+/// Step of the simulated time.
+const STEP_NS: u64 = 5 * MS;
+/// Time from the report of an end until that end is committed.
+const COMMIT_DELAY_NS: u64 = 20 * MS;
+/// Upper limit of the delay after which a call whose answer is lost is still executed, in milliseconds.
+const MAX_LATE_DELAY_MS: u64 = 12_000;
 
 struct RequestInFlight {
     at: u64,
-    epoch: u64,
+    session_number: u64,
     call: u64,
     incarnation: u64,
     request: WorkerRequest,
@@ -27,33 +28,33 @@
 
 struct LongPoll {
     until: u64,
-    epoch: u64,
+    session_number: u64,
     call: u64,
 }
 
 struct AnswerInFlight {
     at: u64,
-    epoch: u64,
+    session_number: u64,
     call: u64,
     outcome: CallOutcome,
 }
 
-/// An end on its way to being durable.
+/// An end that is not durable yet.
 struct Commit {
     at: u64,
     sequence: u64,
-    /// The attempt that it ended, if it was active.
+    /// The attempt that ended, if it was active.
     ended: Option<AttemptKey>,
 }
 
-/// How the network treats calls.
+/// Faults and delays of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// Percent of calls that are lost or carried out late, without an answer.
+    /// Percentage of calls without an answer: such a call is either lost or executed late.
     pub lost: u64,
-    /// Percent of answers that are lost.
+    /// Percentage of answers that are lost.
     pub unanswered: u64,
-    /// Longest time on one way, in milliseconds.
+    /// Upper limit of the one-way delay, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -62,14 +63,14 @@
 pub struct World {
     pub now: u64,
     pub term: u64,
-    /// Number of the session: answers to the calls of another one are dropped.
-    epoch: u64,
+    /// Number of the current session. Answers to calls of earlier sessions are dropped.
+    session_number: u64,
     pub session: WorkerSession,
     pub worker: Worker,
     pub network: NetworkConditions,
-    /// Nothing gets through until then; what was under way is carried out late or never.
+    /// End of the network partition. Calls sent before then get no answer and are executed late or never.
     pub partitioned_until: u64,
-    /// No lease until then.
+    /// The leader has no lease until then.
     pub no_lease_until: u64,
     lease_until: u64,
     random: fastrand::Rng,
@@ -77,22 +78,22 @@
     long_polls: Vec<LongPoll>,
     answers_in_flight: Vec<AnswerInFlight>,
     commits: Vec<Commit>,
-    durable: u64,
+    durable_sequence: u64,
     pub active: BTreeSet<AttemptKey>,
     pub started: BTreeSet<AttemptKey>,
     pub resolved: BTreeMap<AttemptKey, Resolution>,
     pub ended: Vec<WorkerEnd>,
-    /// Ends that this session reported.
+    /// Sequence numbers of the ends that the current session reported.
     reported_ends: BTreeSet<u64>,
     pub outputs: Vec<SessionOutput>,
     pub calls: u64,
     pub cancelled: u64,
     pub last_attempt: BTreeMap<TaskKey, u32>,
-    pub withhold_commits: bool,
+    pub withholds_commits: bool,
 }
 
-/// The session with starts that may leave at any time.
-fn session_without_limit(mut session: WorkerSession) -> WorkerSession {
+/// Returns the session with no limit on when starts may be sent.
+fn without_start_limit(mut session: WorkerSession) -> WorkerSession {
     session.extend_start_limit(u64::MAX);
     session
 }
@@ -103,8 +104,8 @@
         World {
             now,
             term: 7,
-            epoch: 0,
-            session: session_without_limit(WorkerSession::new(incarnation(1), 0, options(7, now), now)),
+            session_number: 0,
+            session: without_start_limit(WorkerSession::new(incarnation(1), 0, options(7, now), now)),
             worker: Worker::new(1, now - 30_000 * MS, seed % 21, 4),
             network: RELIABLE,
             partitioned_until: 0,
@@ -115,7 +116,7 @@
             long_polls: Vec::new(),
             answers_in_flight: Vec::new(),
             commits: Vec::new(),
-            durable: 0,
+            durable_sequence: 0,
             active: BTreeSet::new(),
             started: BTreeSet::new(),
             resolved: BTreeMap::new(),
@@ -125,11 +126,11 @@
             calls: 0,
             cancelled: 0,
             last_attempt: BTreeMap::new(),
-            withhold_commits: false,
+            withholds_commits: false,
         }
     }
 
-    /// Orders the next attempt of a task unless one is active.
+    /// Orders the next attempt of a task unless an attempt is active. Returns the active attempt.
     pub fn start(&mut self, index: u32, spec: &str) -> AttemptKey {
         let task = super::key(index, 1).task;
         if let Some(active) = self.active.iter().find(|active| active.task == task) {
@@ -143,43 +144,46 @@
         key
     }
 
-    /// Another leader takes over and finds what was durable.
+    /// Another leader takes over. It knows only what was durable.
     pub fn change_leader(&mut self) {
         self.term += 1;
         let incarnation = self.session.incarnation().clone();
         let lost = std::mem::take(&mut self.commits);
         self.active.extend(lost.iter().filter_map(|commit| commit.ended));
-        self.open_session(incarnation, self.durable);
+        self.open_session(incarnation, self.durable_sequence);
         for key in &self.active {
             self.session.adopt(*key);
         }
     }
 
-    /// The worker crashes and returns as another incarnation.
+    /// The worker crashes and restarts as a new incarnation.
     pub fn crash(&mut self) {
         self.long_polls.clear();
         let number = self.worker.incarnation + 1;
         self.worker = Worker::new(number, self.now, self.worker.incarnation * 7 % 21, self.worker.capacity);
     }
 
-    /// A session with the worker's present incarnation.
+    /// Replaces the session by one with the worker's current incarnation.
     pub fn observe_new_incarnation(&mut self) {
-        assert!(self.active.is_empty(), "an attempt of the last incarnation is left: {:?}", self.active);
-        self.durable = 0;
+        assert!(
+            self.active.is_empty(),
+            "an attempt of the previous incarnation is still active: {:?}",
+            self.active
+        );
+        self.durable_sequence = 0;
         self.commits.clear();
         self.open_session(incarnation(self.worker.incarnation), 0);
     }
 
     fn open_session(&mut self, incarnation: WorkerIncarnation, acknowledged: u64) {
-        self.epoch += 1;
+        self.session_number += 1;
         self.started.clear();
         self.reported_ends.clear();
         let options = options(self.term, self.now);
-        self.session =
-            session_without_limit(WorkerSession::new(incarnation, acknowledged, options, self.now));
+        self.session = without_start_limit(WorkerSession::new(incarnation, acknowledged, options, self.now));
     }
 
-    pub fn has_incarnation(&self) -> bool {
+    pub fn session_matches_worker(&self) -> bool {
         self.session.incarnation().instance == incarnation(self.worker.incarnation).instance
     }
 
@@ -191,7 +195,7 @@
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_NS;
         self.worker.advance(self.now);
         self.commit();
         self.deliver_requests();
@@ -204,7 +208,7 @@
         if self.session.next_timer() <= self.now {
             self.poll();
         }
-        self.check_resolved();
+        self.assert_resolved_attempts_do_not_run();
     }
 
     fn poll(&mut self) {
@@ -212,19 +216,19 @@
         self.session.poll(self.now, &mut out);
         assert!(self.session.next_timer() > self.now, "a busy loop at {}", self.now);
         for output in out {
-            self.take(output);
+            self.handle_output(output);
         }
     }
 
-    fn take(&mut self, output: SessionOutput) {
+    fn handle_output(&mut self, output: SessionOutput) {
         match &output {
             SessionOutput::Call { call, request } => self.send(*call, request.clone()),
             SessionOutput::CancelCall { .. } => self.cancelled += 1,
             SessionOutput::Started { key } => {
-                assert!(self.started.insert(*key), "started twice: {key}");
+                assert!(self.started.insert(*key), "reported as started twice: {key}");
                 assert!(self.active.contains(key), "started, but not active: {key}");
             }
-            SessionOutput::Ended { end } => self.take_end(end),
+            SessionOutput::Ended { end } => self.handle_end(end),
             SessionOutput::Resolved { key, resolution, .. } => {
                 assert!(self.active.remove(key), "resolved, but not active: {key}");
                 self.resolved.insert(*key, *resolution);
@@ -234,22 +238,22 @@
         self.outputs.push(output);
     }
 
-    fn take_end(&mut self, end: &WorkerEnd) {
+    fn handle_end(&mut self, end: &WorkerEnd) {
         let task = TaskKey::from(end.task.as_ref().expect("an end names its task"));
         let key = AttemptKey { task, attempt: end.attempt };
         let was_active = self.active.remove(&key);
         let listed = self.worker.finished.iter().find(|listed| listed.end.sequence == end.sequence);
-        if let Some(listed) = listed.filter(|_| self.has_incarnation()) {
+        if let Some(listed) = listed.filter(|_| self.session_matches_worker()) {
             let expired_since = self.worker.expiries > listed.expiries_before;
             let may_not_count = expired_since || end.kind == EndKind::LAPSED;
-            assert!(end.counted || may_not_count, "an end that counts was dropped: {end:?}");
+            assert!(end.counted || may_not_count, "an end was not counted although it had to be: {end:?}");
         }
-        assert!(was_active || !end.counted, "an end of a resolved attempt counts: {end:?}");
+        assert!(was_active || !end.counted, "an end of a resolved attempt was counted: {end:?}");
         assert!(self.reported_ends.insert(end.sequence), "an end was reported twice: {end:?}");
         self.ended.push(end.clone());
-        if !self.withhold_commits {
+        if !self.withholds_commits {
             let ended = was_active.then_some(key);
-            self.commits.push(Commit { at: self.now + COMMIT, sequence: end.sequence, ended });
+            self.commits.push(Commit { at: self.now + COMMIT_DELAY_NS, sequence: end.sequence, ended });
         }
     }
 
@@ -259,27 +263,30 @@
             WorkerRequest::Start { .. } => true,
             WorkerRequest::Stop { .. } => false,
             WorkerRequest::RenewLease { last_seen, deadline_ms, .. } => {
-                assert!(*last_seen <= self.durable, "LastSeen is ahead of what is durable");
+                assert!(*last_seen <= self.durable_sequence, "LastSeen exceeds the durable sequence number");
                 deadline_ms.is_some()
             }
         };
-        assert!(!extends || self.now < self.lease_until, "a call that needs the lease left without it");
+        assert!(
+            !extends || self.now < self.lease_until,
+            "a call that needs the leader's lease was sent without it"
+        );
         let is_lost = self.now < self.partitioned_until || self.random.u64(..100) < self.network.lost;
         let carried_out = !is_lost || self.random.bool();
         if !carried_out {
             return;
         }
         let delay_ms = if is_lost {
-            self.random.u64(..LATEST_MS)
+            self.random.u64(..MAX_LATE_DELAY_MS)
         } else {
             self.random.u64(..self.network.delay_ms.max(1))
         };
         let incarnation = self.incarnation_number();
         let at = self.now + delay_ms * MS;
-        let epoch = self.epoch;
+        let session_number = self.session_number;
         self.requests_in_flight.push(RequestInFlight {
             at,
-            epoch,
+            session_number,
             call,
             incarnation,
             request,
@@ -300,7 +307,7 @@
         let due: Vec<RequestInFlight> = due;
         for call in due {
             let outcome = if call.incarnation == self.worker.incarnation {
-                self.worker.carry_out(now, &call.request)
+                self.worker.handle_call(now, &call.request)
             } else {
                 CallOutcome::Refused { now_ms: None, reason: Refusal::WrongIncarnation }
             };
@@ -310,9 +317,13 @@
             match (&call.request, &outcome) {
                 (WorkerRequest::RenewLease { wait_ms, .. }, CallOutcome::Answer { .. }) => {
                     let until = now + wait_ms * MS;
-                    self.long_polls.push(LongPoll { until, epoch: call.epoch, call: call.call });
+                    self.long_polls.push(LongPoll {
+                        until,
+                        session_number: call.session_number,
+                        call: call.call,
+                    });
                 }
-                _ => self.send_back(call.epoch, call.call, outcome),
+                _ => self.send_back(call.session_number, call.call, outcome),
             }
         }
     }
@@ -323,19 +334,19 @@
         let long_polls = std::mem::take(&mut self.long_polls);
         for call in long_polls {
             if ready || call.until <= now {
-                let outcome = self.worker.lists(now);
-                self.send_back(call.epoch, call.call, outcome);
+                let outcome = self.worker.attempt_lists(now);
+                self.send_back(call.session_number, call.call, outcome);
             } else {
                 self.long_polls.push(call);
             }
         }
     }
 
-    fn send_back(&mut self, epoch: u64, call: u64, outcome: CallOutcome) {
+    fn send_back(&mut self, session_number: u64, call: u64, outcome: CallOutcome) {
         let is_lost = self.now < self.partitioned_until || self.random.u64(..100) < self.network.unanswered;
         if !is_lost {
             let at = self.now + self.random.u64(..self.network.delay_ms.max(1)) * MS;
-            self.answers_in_flight.push(AnswerInFlight { at, epoch, call, outcome });
+            self.answers_in_flight.push(AnswerInFlight { at, session_number, call, outcome });
         }
     }
 
@@ -345,7 +356,7 @@
         for answer in std::mem::take(&mut self.answers_in_flight) {
             if answer.at > now {
                 later.push(answer);
-            } else if answer.epoch == self.epoch {
+            } else if answer.session_number == self.session_number {
                 self.session.complete_call(now, answer.call, answer.outcome);
             }
         }
@@ -356,20 +367,20 @@
         let now = self.now;
         for commit in &self.commits {
             if commit.at <= now {
-                self.durable = self.durable.max(commit.sequence);
+                self.durable_sequence = self.durable_sequence.max(commit.sequence);
             }
         }
         self.commits.retain(|commit| commit.at > now);
-        self.session.acknowledge_ends(self.durable);
+        self.session.acknowledge_ends(self.durable_sequence);
     }
 
-    /// What was resolved doesn't run; it is asked at each step, so it never runs later either.
-    fn check_resolved(&self) {
-        if !self.has_incarnation() {
+    /// Asserts that no resolved attempt runs. Called at each step, so that a later run is found, too.
+    fn assert_resolved_attempts_do_not_run(&self) {
+        if !self.session_matches_worker() {
             return;
         }
         for key in self.resolved.keys() {
-            assert!(!self.worker.runs(key), "resolved as {:?}, but it runs: {key}", self.resolved[key]);
+            assert!(!self.worker.runs(key), "resolved as {:?}, but still running: {key}", self.resolved[key]);
         }
     }
 }
--- a/crates/scheduler/tests/worker_lateness.rs
+++ b/crates/scheduler/tests/worker_lateness.rs
@@ -15,7 +15,7 @@
 fn with_start_in_flight() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     (driver, starts(&out)[0])
 }
 
@@ -44,7 +44,7 @@
     let out = driver.poll_for_ms(LONGEST_WAIT_MS);
     assert!(!misses_an_answer(&out), "{out:?}");
     assert!(driver.session.awaits_input());
-    let out = driver.ok(start);
+    let out = driver.answer_ok(start);
     assert!(out.contains(&SessionOutput::Started { key: key(0, 1) }), "{out:?}");
     assert!(resolutions(&out).is_empty());
 }
@@ -71,7 +71,7 @@
 #[test]
 fn no_second_lease_renewal_is_sent_for_one_whose_answer_may_have_arrived() {
     let (mut driver, start) = with_start_in_flight();
-    driver.ok(start);
+    driver.answer_ok(start);
     driver.session.set_response_clock(read_until(driver.now));
     let out = driver.poll_for_ms(LONGEST_WAIT_MS);
     assert!(lease_renewals(&out).is_empty(), "{out:?}");
@@ -82,11 +82,11 @@
     let (mut driver, _) = with_start_in_flight();
     let mut expected = Driver::new();
     expected.session.start(order(key(0, 1), "text"));
-    expected.meet(&[], &[]);
+    expected.answer_first_query(&[], &[]);
     let suspected_after_ms = ms_until_suspected(&mut expected);
     let mut clock = ResponseClock::default();
     clock.add_absence(700 * MS);
-    driver.pass_ms(700);
+    driver.advance_ms(700);
     driver.session.set_response_clock(clock);
     assert_eq!(ms_until_suspected(&mut driver), suspected_after_ms);
 }
@@ -95,7 +95,7 @@
     let began = driver.now;
     while !driver.poll().contains(&SessionOutput::SuspicionChanged { suspected: true }) {
         assert!(driver.now < began + LONGEST_WAIT_MS * MS, "no answer is ever missing");
-        driver.pass_ms(1);
+        driver.advance_ms(1);
     }
     (driver.now - began) / MS
 }
@@ -114,7 +114,7 @@
 #[test]
 fn calls_that_the_leader_withholds_without_its_lease_do_not_make_a_worker_unreachable() {
     let (mut driver, start) = with_start_in_flight();
-    driver.pass_ms(5);
+    driver.advance_ms(5);
     let mut out = driver.answer(start, CallOutcome::Withheld);
     for _ in 0..20 {
         out.extend(driver.poll_for_ms(50));
--- a/crates/scheduler/tests/worker_lists.rs
+++ b/crates/scheduler/tests/worker_lists.rs
@@ -7,7 +7,7 @@
 
 use support::driver::{
     calls, end, ends, has_started, lease_renewals, only_lease_renewal, resolutions, starts, stops, Driver,
-    BEGIN_MS,
+    SESSION_START_MS,
 };
 use support::world::World;
 use support::{incarnation, key, options, order, MAX_WORKER_LEASE_MS, MS};
@@ -16,7 +16,7 @@
 fn with_run() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 1));
-    let out = driver.meet(&[key(0, 1)], &[]);
+    let out = driver.answer_first_query(&[key(0, 1)], &[]);
     assert!(has_started(&out, key(0, 1)));
     let lease_renewal = only_lease_renewal(&out);
     (driver, lease_renewal)
@@ -34,19 +34,19 @@
 fn an_end_is_reported_once_and_the_worker_forgets_it_once_it_is_acknowledged() {
     let (mut driver, lease_renewal) = with_run();
     let listed = [end(1, key(0, 1), EndKind::DONE)];
-    driver.pass_ms(500);
-    let out = driver.lists(lease_renewal, &[], &listed);
+    driver.advance_ms(500);
+    let out = driver.answer_with_lists(lease_renewal, &[], &listed);
     assert_eq!(ends(&out), [(1, true)]);
     assert!(lease_renewals(&out).is_empty(), "it would be answered at once");
     let out = driver.poll_for_ms(150);
     assert_eq!(last_seen(&out), [0]);
-    let out = driver.lists(only_lease_renewal(&out), &[], &listed);
+    let out = driver.answer_with_lists(only_lease_renewal(&out), &[], &listed);
     assert!(ends(&out).is_empty());
     assert!(!driver.session.is_idle());
     driver.session.acknowledge_ends(1);
     let out = driver.poll_for_ms(140);
     assert_eq!(last_seen(&out), [1]);
-    driver.lists(only_lease_renewal(&out), &[], &[]);
+    driver.answer_with_lists(only_lease_renewal(&out), &[], &[]);
     assert!(driver.session.is_idle());
     assert!(calls(&driver.poll_for_ms(60_000)).is_empty());
 }
@@ -55,13 +55,13 @@
 fn unacknowledged_ends_cause_no_busy_loop() {
     let (mut driver, lease_renewal) = with_run();
     let listed = [end(1, key(0, 1), EndKind::DONE)];
-    let mut out = driver.lists(lease_renewal, &[], &listed);
+    let mut out = driver.answer_with_lists(lease_renewal, &[], &listed);
     let mut queries = 0;
     let until = driver.now + 10_000 * MS;
     while driver.now < until {
         for lease_renewal in lease_renewals(&out) {
             queries += 1;
-            driver.lists(lease_renewal, &[], &listed);
+            driver.answer_with_lists(lease_renewal, &[], &listed);
         }
         out = driver.poll_for_ms(10);
     }
@@ -72,15 +72,15 @@
 fn acknowledgements_never_exceed_reported_ends() {
     let (mut driver, lease_renewal) = with_run();
     driver.session.acknowledge_ends(99);
-    driver.pass_ms(1_000);
-    let mut out = driver.lists(lease_renewal, &[key(0, 1)], &[]);
+    driver.advance_ms(1_000);
+    let mut out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
     out.extend(driver.poll_for_ms(100));
     assert_eq!(last_seen(&out), [0]);
 }
 
 #[test]
 fn a_new_leader_sends_the_acknowledged_end_to_the_worker() {
-    let now = BEGIN_MS * MS;
+    let now = SESSION_START_MS * MS;
     let mut session = WorkerSession::new(incarnation(1), 57, options(7, now), now);
     session.set_leader_lease(u64::MAX);
     session.extend_start_limit(u64::MAX);
@@ -88,7 +88,7 @@
     let mut driver = Driver { session, now };
     let out = driver.poll();
     assert_eq!(last_seen(&out), [57]);
-    driver.lists(only_lease_renewal(&out), &[], &[end(57, key(0, 1), EndKind::DONE)]);
+    driver.answer_with_lists(only_lease_renewal(&out), &[], &[end(57, key(0, 1), EndKind::DONE)]);
     assert!(driver.session.is_idle());
 }
 
@@ -103,7 +103,7 @@
         end(2, key(1, 1), EndKind::LAPSED),
         end(1, key(0, 1), EndKind::DONE),
     ];
-    assert_eq!(ends(&driver.meet(&[], &listed)), [(1, false), (2, true), (3, true)]);
+    assert_eq!(ends(&driver.answer_first_query(&[], &listed)), [(1, false), (2, true), (3, true)]);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let (mut driver, _) = with_run();
     let partitioned_at = driver.now_ms();
     // Earlier leaders may have sent the longest worker lease until this session began.
-    let mut deadline = (partitioned_at + 5_000).max(BEGIN_MS + MAX_WORKER_LEASE_MS);
+    let mut deadline = (partitioned_at + 5_000).max(SESSION_START_MS + MAX_WORKER_LEASE_MS);
     let mut out = driver.poll();
     while resolutions(&out).is_empty() {
         for (_, request) in calls(&out) {
@@ -149,7 +149,7 @@
         out = driver.poll_for_ms(100);
     }
     let query = lease_renewals(&out)[0];
-    let out = driver.lists(query, &[], &[end(1, key(0, 1), EndKind::DONE)]);
+    let out = driver.answer_with_lists(query, &[], &[end(1, key(0, 1), EndKind::DONE)]);
     assert_eq!(ends(&out), [(1, false)]);
 }
 
@@ -206,7 +206,7 @@
     while lease_renewals(&query).is_empty() {
         query = driver.poll_for_ms(100);
     }
-    let out = driver.lists(lease_renewals(&query)[0], &[], &[]);
+    let out = driver.answer_with_lists(lease_renewals(&query)[0], &[], &[]);
     assert!(out.contains(&SessionOutput::ReachabilityChanged { reachable: true }));
     assert!(calls(&driver.poll_for_ms(60_000)).is_empty());
 }
@@ -222,12 +222,12 @@
 #[test]
 fn a_list_as_long_as_a_page_shows_no_absence() {
     let (mut driver, lease_renewal) = with_run();
-    driver.pass_ms(1_000);
+    driver.advance_ms(1_000);
     let page: Vec<_> = (1..=500).map(|n| end(n, key(n as u32 + 10, 1), EndKind::DONE)).collect();
-    let mut out = driver.lists(lease_renewal, &[], &page);
+    let mut out = driver.answer_with_lists(lease_renewal, &[], &page);
     out.extend(driver.poll_for_ms(100));
     let next = only_lease_renewal(&out);
-    out.extend(driver.lists(next, &[], &page));
+    out.extend(driver.answer_with_lists(next, &[], &page));
     assert!(stops(&out).is_empty());
 }
 
@@ -262,7 +262,7 @@
 fn status_queries_do_not_put_off_ordinary_lease_renewals() {
     let (mut driver, lease_renewal) = with_run();
     let mut running = vec![key(0, 1)];
-    let mut out = driver.lists(lease_renewal, &running, &[]);
+    let mut out = driver.answer_with_lists(lease_renewal, &running, &[]);
     for index in 1..=60 {
         driver.session.adopt(key(index, 1));
         running.push(key(index, 1));
@@ -270,13 +270,13 @@
         let in_flight = lease_renewals(&out);
         out = in_flight
             .into_iter()
-            .flat_map(|lease_renewal| driver.lists(lease_renewal, &running, &[]))
+            .flat_map(|lease_renewal| driver.answer_with_lists(lease_renewal, &running, &[]))
             .collect();
     }
     out.extend(driver.poll_for_ms(250));
     let until_settled: Vec<_> = lease_renewals(&out)
         .into_iter()
-        .flat_map(|lease_renewal| driver.lists(lease_renewal, &running, &[]))
+        .flat_map(|lease_renewal| driver.answer_with_lists(lease_renewal, &running, &[]))
         .collect();
     let after = [until_settled, driver.poll_for_ms(150)].concat();
     assert!(!lease_renewals(&after).is_empty(), "no lease renewal within 150 ms of the last answer");
--- a/crates/scheduler/tests/worker_orders.rs
+++ b/crates/scheduler/tests/worker_orders.rs
@@ -7,7 +7,7 @@
 
 use support::driver::{
     calls, end, ends, has_started, lease_renewals, only_lease_renewal, resolutions, starts, stops, Driver,
-    BEGIN_MS,
+    SESSION_START_MS,
 };
 use support::{key, order, MAX_WORKER_LEASE_MS, MS};
 
@@ -15,7 +15,7 @@
 fn with_start() -> (Driver, u64, u64) {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     let (start, lease_renewal) = (starts(&out)[0], only_lease_renewal(&out));
     (driver, start, lease_renewal)
 }
@@ -27,8 +27,8 @@
     let first = calls(&driver.poll());
     let query = WorkerRequest::RenewLease { fencing_token: 7, last_seen: 0, deadline_ms: None, wait_ms: 0 };
     assert_eq!(first.iter().map(|(_, request)| request).collect::<Vec<_>>(), [&query]);
-    let out = driver.lists(first[0].0, &[], &[]);
-    let deadline = BEGIN_MS + 5_000;
+    let out = driver.answer_with_lists(first[0].0, &[], &[]);
+    let deadline = SESSION_START_MS + 5_000;
     let requests: Vec<WorkerRequest> = calls(&out).into_iter().map(|(_, request)| request).collect();
     let start = WorkerRequest::Start {
         key: key(0, 1),
@@ -50,21 +50,21 @@
 #[test]
 fn an_accepted_start_is_reported_once() {
     let (mut driver, start, lease_renewal) = with_start();
-    assert!(has_started(&driver.ok(start), key(0, 1)));
-    driver.pass_ms(1_000);
-    assert!(!has_started(&driver.lists(lease_renewal, &[key(0, 1)], &[]), key(0, 1)));
+    assert!(has_started(&driver.answer_ok(start), key(0, 1)));
+    driver.advance_ms(1_000);
+    assert!(!has_started(&driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]), key(0, 1)));
 }
 
-/// A session that has been answered this many starts after `answer_ms` each, and now gets no answer to one more; gives
-/// the time from that start to the cancelling of its call, in milliseconds.
+/// A session that has been answered this many starts after `answer_ms` each, and now gets no answer to one
+/// more; gives the time from that start to the cancelling of its call, in milliseconds.
 fn start_timeout_after(starts_answered: u32, answer_ms: u64) -> u64 {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     for index in 0..starts_answered {
         driver.session.start(order(key(index, 1), "text"));
         let call = starts(&driver.poll())[0];
-        driver.pass_ms(answer_ms);
-        driver.ok(call);
+        driver.advance_ms(answer_ms);
+        driver.answer_ok(call);
     }
     driver.session.start(order(key(starts_answered, 1), "text"));
     let call = starts(&driver.poll())[0];
@@ -112,7 +112,7 @@
     let (mut driver, _, lease_renewal) = with_start();
     let out = driver.poll_for_ms(1_000);
     assert!(starts(&out).is_empty());
-    let out = driver.lists(lease_renewal, &[key(0, 1)], &[]);
+    let out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
     assert!(has_started(&out, key(0, 1)));
     assert!(stops(&driver.poll_for_ms(100)).is_empty());
 }
@@ -120,21 +120,21 @@
 #[test]
 fn an_unanswered_start_that_no_list_shows_is_stopped_and_needs_a_list_sent_after_the_answer() {
     let (mut driver, start, lease_renewal) = with_start();
-    let early_lease_renewal = only_lease_renewal(&driver.lists(lease_renewal, &[], &[]));
+    let early_lease_renewal = only_lease_renewal(&driver.answer_with_lists(lease_renewal, &[], &[]));
     let out = driver.answer(start, CallOutcome::NoResponse);
     let mut queries = lease_renewals(&out);
     queries.extend(lease_renewals(&driver.poll_for_ms(100)));
-    let out = driver.lists(queries[0], &[], &[]);
+    let out = driver.answer_with_lists(queries[0], &[], &[]);
     let (stop, stopped) = stops(&out)[0];
     assert_eq!(stopped, key(0, 1));
-    let out = driver.ok(stop);
+    let out = driver.answer_ok(stop);
     assert!(resolutions(&out).is_empty());
     let mut later = lease_renewals(&out);
-    let out = driver.lists(early_lease_renewal, &[], &[]);
+    let out = driver.answer_with_lists(early_lease_renewal, &[], &[]);
     assert!(resolutions(&out).is_empty(), "this list may have been made before the stop");
     later.extend(lease_renewals(&out));
     later.extend(lease_renewals(&driver.poll_for_ms(200)));
-    let out = driver.lists(later[0], &[], &[]);
+    let out = driver.answer_with_lists(later[0], &[], &[]);
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::NEVER_RAN)]);
 }
 
@@ -145,14 +145,14 @@
     assert!(resolutions(&out).is_empty());
     out.extend(driver.poll_for_ms(100));
     let query = lease_renewals(&out)[0];
-    let out = driver.lists(query, &[], &[end(1, key(0, 1), EndKind::DONE)]);
+    let out = driver.answer_with_lists(query, &[], &[end(1, key(0, 1), EndKind::DONE)]);
     assert_eq!(ends(&out), [(1, true)]);
 }
 
 #[test]
 fn a_start_that_was_never_sent_is_tried_three_times() {
     let (mut driver, start, lease_renewal) = with_start();
-    driver.lists(lease_renewal, &[], &[]);
+    driver.answer_with_lists(lease_renewal, &[], &[]);
     let mut start = Some(start);
     let mut sends = 0;
     let mut out = Vec::new();
@@ -160,10 +160,10 @@
         sends += 1;
         out = driver.answer(call, CallOutcome::NotSent);
         let lease_renewal = lease_renewals(&out).first().copied();
-        lease_renewal.map(|lease_renewal| driver.lists(lease_renewal, &[], &[]));
+        lease_renewal.map(|lease_renewal| driver.answer_with_lists(lease_renewal, &[], &[]));
         out.extend(driver.poll_for_ms(200));
         for lease_renewal in lease_renewals(&out) {
-            driver.lists(lease_renewal, &[], &[]);
+            driver.answer_with_lists(lease_renewal, &[], &[]);
         }
         start = starts(&out).first().copied();
     }
@@ -174,18 +174,18 @@
 #[test]
 fn a_run_that_disappears_is_stopped_and_resolved() {
     let (mut driver, start, lease_renewal) = with_start();
-    driver.ok(start);
-    driver.pass_ms(1_000);
-    let mut out = driver.lists(lease_renewal, &[], &[]);
+    driver.answer_ok(start);
+    driver.advance_ms(1_000);
+    let mut out = driver.answer_with_lists(lease_renewal, &[], &[]);
     assert!(stops(&out).is_empty(), "the lease renewal was sent before the answer to the start");
     out.extend(driver.poll_for_ms(200));
     let lease_renewal = lease_renewals(&out)[0];
-    let out = driver.lists(lease_renewal, &[], &[]);
+    let out = driver.answer_with_lists(lease_renewal, &[], &[]);
     let (stop, _) = stops(&out)[0];
-    let mut out = driver.ok(stop);
+    let mut out = driver.answer_ok(stop);
     out.extend(driver.poll_for_ms(200));
     let lease_renewal = lease_renewals(&out)[0];
-    let out = driver.lists(lease_renewal, &[], &[]);
+    let out = driver.answer_with_lists(lease_renewal, &[], &[]);
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::NEVER_RAN)]);
 }
 
@@ -195,13 +195,13 @@
     for index in 0..20 {
         driver.session.start(order(key(index, 1), "text"));
     }
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     let mut sent = starts(&out);
     assert_eq!(sent.len(), 8);
     let mut started = Vec::new();
     while !sent.is_empty() {
         let call = sent.remove(0);
-        let out = driver.ok(call);
+        let out = driver.answer_ok(call);
         started.extend((0..20).filter(|index| has_started(&out, key(*index, 1))));
         sent.extend(starts(&out));
     }
@@ -214,7 +214,7 @@
     for index in 0..3 {
         driver.session.adopt(key(index, 1));
     }
-    let out = driver.meet(&[key(0, 1)], &[end(5, key(1, 1), EndKind::FAILED)]);
+    let out = driver.answer_first_query(&[key(0, 1)], &[end(5, key(1, 1), EndKind::FAILED)]);
     assert!(has_started(&out, key(0, 1)));
     assert_eq!(ends(&out), [(5, true)]);
     assert_eq!(stops(&out).iter().map(|(_, key)| *key).collect::<Vec<_>>(), [key(2, 1)]);
@@ -224,14 +224,14 @@
 #[test]
 fn an_unanswered_stop_is_repeated_and_done_when_the_end_is_listed() {
     let (mut driver, start, lease_renewal) = with_start();
-    driver.ok(start);
+    driver.answer_ok(start);
     driver.session.stop(key(0, 1));
     let (first, _) = stops(&driver.poll())[0];
     let out = driver.answer(first, CallOutcome::NoResponse);
     assert!(stops(&out).is_empty(), "not at once");
     let (second, _) = stops(&driver.poll_for_ms(100))[0];
-    assert!(resolutions(&driver.ok(second)).is_empty());
-    let out = driver.lists(lease_renewal, &[], &[end(1, key(0, 1), EndKind::STOPPED)]);
+    assert!(resolutions(&driver.answer_ok(second)).is_empty());
+    let out = driver.answer_with_lists(lease_renewal, &[], &[end(1, key(0, 1), EndKind::STOPPED)]);
     assert_eq!(ends(&out), [(1, true)]);
 }
 
@@ -251,7 +251,7 @@
 fn an_orphaned_attempt_is_stopped() {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 2));
-    let out = driver.meet(&[key(0, 2), key(4, 1)], &[]);
+    let out = driver.answer_first_query(&[key(0, 2), key(4, 1)], &[]);
     assert_eq!(stops(&out).iter().map(|(_, key)| *key).collect::<Vec<_>>(), [key(4, 1)]);
     assert!(!has_started(&out, key(4, 1)));
 }
@@ -261,7 +261,7 @@
     let mut driver = Driver::new();
     driver.session.set_leader_lease(driver.now);
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     let requests: Vec<WorkerRequest> = calls(&out).into_iter().map(|(_, request)| request).collect();
     assert!(matches!(requests[..], [WorkerRequest::RenewLease { deadline_ms: None, .. }]), "{requests:?}");
     driver.session.set_leader_lease(driver.now + MS);
@@ -274,15 +274,15 @@
 fn deadlines_rise_and_stay_within_the_longest_worker_lease() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "100"));
-    let mut out = driver.meet(&[], &[]);
+    let mut out = driver.answer_first_query(&[], &[]);
     let mut last = 0;
     for _ in 0..50 {
         for (call, request) in calls(&out) {
             if let WorkerRequest::RenewLease { deadline_ms: Some(deadline), .. } = request {
                 assert!(deadline >= last && deadline <= driver.now_ms() + MAX_WORKER_LEASE_MS);
                 last = deadline;
-                driver.pass_ms(900);
-                out = driver.lists(call, &[key(0, 1)], &[]);
+                driver.advance_ms(900);
+                out = driver.answer_with_lists(call, &[key(0, 1)], &[]);
             }
         }
         out.extend(driver.poll_for_ms(0));
@@ -294,21 +294,21 @@
 fn deadlines_allow_for_a_slow_clock_of_the_worker() {
     let (mut driver, start, lease_renewal) = with_start();
     driver.refuse(start, Refusal::NoCapacity);
-    driver.lists(lease_renewal, &[], &[]);
+    driver.answer_with_lists(lease_renewal, &[], &[]);
     assert!(driver.session.is_idle());
-    driver.pass_ms(20_000);
+    driver.advance_ms(20_000);
     driver.session.start(order(key(1, 1), "text"));
     let (_, request) = calls(&driver.poll()).remove(0);
     let WorkerRequest::Start { deadline_ms, .. } = request else {
         panic!("a start is expected: {request:?}");
     };
-    assert_eq!(deadline_ms, BEGIN_MS + 20_000 * 98 / 100 + 5_000);
+    assert_eq!(deadline_ms, SESSION_START_MS + 20_000 * 98 / 100 + 5_000);
 }
 
 #[test]
 fn a_held_start_leaves_only_once_it_is_released_and_then_ahead_of_others() {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     driver.session.hold_start(order(key(0, 1), "held"));
     assert!(driver.session.holds_start(key(0, 1)));
     assert!(starts(&driver.poll()).is_empty());
@@ -324,7 +324,7 @@
 #[test]
 fn other_starts_leave_slots_for_held_ones() {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     assert!(driver.session.can_send_starts(20, driver.now), "no order is in flight");
     driver.session.hold_start(order(key(0, 1), "held"));
     for index in 1..20 {
@@ -340,7 +340,7 @@
 #[test]
 fn a_held_start_that_is_stopped_never_leaves() {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     driver.session.hold_start(order(key(0, 1), "held"));
     driver.session.stop(key(0, 1));
     assert_eq!(resolutions(&driver.poll()), [(key(0, 1), Resolution::NEVER_RAN)]);
@@ -351,7 +351,7 @@
 #[test]
 fn a_held_start_is_given_up_once_its_worker_is_unreachable() {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     driver.session.start(order(key(1, 1), "text"));
     driver.poll();
     driver.session.hold_start(order(key(0, 1), "held"));
@@ -373,7 +373,7 @@
 #[test]
 fn a_start_that_waits_past_the_age_of_its_listing_does_not_leave() {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     driver.session.withdraw_starts();
     driver.session.start(order(key(0, 1), "text"));
     assert!(starts(&driver.poll_for_ms(200)).is_empty(), "nothing is known of the worker");
@@ -385,7 +385,7 @@
         _ => None,
     });
     assert_eq!(expires, Some(limit));
-    driver.pass_ms(10);
+    driver.advance_ms(10);
     driver.session.start(order(key(1, 1), "text"));
     assert!(starts(&driver.poll_for_ms(200)).is_empty(), "the limit has passed");
 }
@@ -393,12 +393,12 @@
 #[test]
 fn a_start_that_was_held_back_at_the_age_of_its_listing_is_placed_elsewhere() {
     let mut driver = Driver::new();
-    driver.meet(&[], &[]);
+    driver.answer_first_query(&[], &[]);
     driver.session.withdraw_starts();
     driver.session.start(order(key(0, 1), "text"));
     driver.session.extend_start_limit(driver.now + 10 * MS);
     let start = starts(&driver.poll())[0];
-    driver.pass_ms(10);
+    driver.advance_ms(10);
     let out = driver.answer(start, CallOutcome::Withheld);
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::REJECTED)]);
 }
--- a/crates/scheduler/tests/worker_pace.rs
+++ b/crates/scheduler/tests/worker_pace.rs
@@ -10,16 +10,17 @@
 /// Lease renewals of half a second at the ordinary pace: one every 100 ms, and two ahead of it.
 const ORDINARY_PACE: usize = 8;
 
-/// A driver with one running attempt whose lease renewal in flight is overdue, and the one that was sent beside it.
+/// A driver with one running attempt whose lease renewal in flight is overdue, and the one that was sent
+/// beside it.
 fn with_overdue_lease_renewal() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 1));
-    let out = driver.meet(&[key(0, 1)], &[]);
+    let out = driver.answer_first_query(&[key(0, 1)], &[]);
     assert!(has_started(&out, key(0, 1)));
     only_lease_renewal(&out);
     let mut out = Vec::new();
     while lease_renewals(&out).is_empty() {
-        driver.pass_ms(10);
+        driver.advance_ms(10);
         out = driver.poll();
     }
     let beside = only_lease_renewal(&out);
@@ -35,7 +36,7 @@
         let out: Vec<SessionOutput> = match waiting.pop() {
             Some(call) => driver.answer(call, outcome.clone()),
             None => {
-                driver.pass_ms(1);
+                driver.advance_ms(1);
                 driver.poll()
             }
         };
@@ -74,16 +75,16 @@
     let mut driver = Driver::new();
     driver.session.set_status_query_spacing(spacing_ms * MS);
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     let ordinary = only_lease_renewal(&out);
     driver.answer(starts(&out)[0], CallOutcome::NoResponse);
-    let mut out = driver.lists(ordinary, &[], &[]);
+    let mut out = driver.answer_with_lists(ordinary, &[], &[]);
     while stops(&out).is_empty() {
         let lists = *lease_renewals(&out).first().unwrap_or(&0);
-        out = if lists > 0 { driver.lists(lists, &[], &[]) } else { driver.poll_for_ms(1) };
+        out = if lists > 0 { driver.answer_with_lists(lists, &[], &[]) } else { driver.poll_for_ms(1) };
     }
     let began = driver.now;
-    let mut out = driver.ok(stops(&out)[0].0);
+    let mut out = driver.answer_ok(stops(&out)[0].0);
     while lease_renewals(&out).is_empty() {
         out = driver.poll_for_ms(1);
     }
--- a/crates/scheduler/tests/worker_scripts.rs
+++ b/crates/scheduler/tests/worker_scripts.rs
@@ -105,7 +105,7 @@
     world.run_ms(30_000);
     assert!(world.active.is_empty(), "neither ended nor resolved: {:?}", world.active);
     assert!(world.session.is_idle(), "the session doesn't come to rest");
-    if world.has_incarnation() {
+    if world.session_matches_worker() {
         assert_eq!(world.worker.running(), 0, "something runs that nobody knows of");
     }
 }
@@ -122,7 +122,7 @@
         let mut world = World::new(script.seed);
         for (pause_ms, next) in &script.acts {
             world.run_ms(u64::from(*pause_ms));
-            if !world.has_incarnation() && world.active.is_empty() {
+            if !world.session_matches_worker() && world.active.is_empty() {
                 world.observe_new_incarnation();
             }
             act(&mut world, *next);
--- a/crates/scheduler/tests/worker_suspicion.rs
+++ b/crates/scheduler/tests/worker_suspicion.rs
@@ -4,17 +4,17 @@
 
 use scheduler::worker::{CallOutcome, SessionOutput, WorkerRequest};
 
-use support::driver::{calls, lease_renewals, resolutions, starts, Driver, BEGIN_MS};
+use support::driver::{calls, lease_renewals, resolutions, starts, Driver, SESSION_START_MS};
 use support::{key, order, MS};
 
-/// A driver whose session has sent one start that got no answer; the worker has answered before. Gives the query that
-/// follows, too.
+/// A driver whose session has sent one start that got no answer; the worker has answered before. Gives the
+/// query that follows, too.
 fn with_unanswered_start() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     let start = starts(&out)[0];
-    driver.pass_ms(300);
+    driver.advance_ms(300);
     let out = driver.answer(start, CallOutcome::NoResponse);
     assert!(out.contains(&SessionOutput::SuspicionChanged { suspected: true }), "{out:?}");
     assert!(deadlines(&out).is_empty(), "{out:?}");
@@ -38,7 +38,7 @@
     let out = driver.poll_for_ms(200);
     assert!(starts(&out).is_empty(), "{out:?}");
     assert!(deadlines(&out).is_empty(), "{out:?}");
-    let out = driver.lists(query, &[key(0, 1)], &[]);
+    let out = driver.answer_with_lists(query, &[key(0, 1)], &[]);
     assert!(out.contains(&SessionOutput::SuspicionChanged { suspected: false }), "{out:?}");
     assert_eq!(starts(&out).len(), 1, "what waited leaves: {out:?}");
     assert!(!deadlines(&out).is_empty(), "{out:?}");
@@ -57,7 +57,7 @@
 fn a_call_that_was_never_sent_raises_no_suspicion() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
+    let out = driver.answer_first_query(&[], &[]);
     let out = driver.answer(starts(&out)[0], CallOutcome::NotSent);
     assert!(!out.contains(&SessionOutput::SuspicionChanged { suspected: true }), "{out:?}");
 }
@@ -67,21 +67,22 @@
     let mut driver = Driver::new();
     driver.session.set_worker_lease(2_500);
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
-    assert_eq!(deadlines(&out), [BEGIN_MS + 2_500, BEGIN_MS + 2_500]);
+    let out = driver.answer_first_query(&[], &[]);
+    assert_eq!(deadlines(&out), [SESSION_START_MS + 2_500, SESSION_START_MS + 2_500]);
 }
 
-/// When the session takes the worker's lease as expired, in milliseconds after the last call that it could answer.
+/// When the session takes the worker's lease as expired, in milliseconds after the last call that it could
+/// answer.
 fn expiry_after(first_ms: u64, then_ms: u64) -> u64 {
     let mut driver = Driver::new();
     driver.session.set_worker_lease(first_ms);
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
-    driver.ok(starts(&out)[0]);
+    let out = driver.answer_first_query(&[], &[]);
+    driver.answer_ok(starts(&out)[0]);
     driver.session.set_worker_lease(then_ms);
     let lease_renewal = lease_renewals(&out)[0];
-    driver.pass_ms(100);
-    driver.lists(lease_renewal, &[key(0, 1)], &[]);
+    driver.advance_ms(100);
+    driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
     let begin = driver.now;
     loop {
         let out = driver.poll_for_ms(10);
@@ -100,19 +101,20 @@
     assert!(expiry_after(5_000, 1_000) >= earlier);
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
-    let out = driver.meet(&[], &[]);
-    driver.ok(starts(&out)[0]);
-    // Long after the election only own deadlines count: the first one, 5 s ahead, is in force when a shorter one follows.
+    let out = driver.answer_first_query(&[], &[]);
+    driver.answer_ok(starts(&out)[0]);
+    // Long after the election only own deadlines count: the first one, 5 s ahead, is in force when a shorter
+    // one follows.
     let mut lease_renewal = lease_renewals(&out)[0];
     for _ in 0..10 {
-        driver.pass_ms(900);
-        let out = driver.lists(lease_renewal, &[key(0, 1)], &[]);
+        driver.advance_ms(900);
+        let out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
         lease_renewal = *lease_renewals(&out).last().unwrap_or(&lease_renewal);
     }
     let longest_sent = driver.now_ms() + 5_000;
     driver.session.set_worker_lease(1_000);
-    driver.pass_ms(500);
-    let out = driver.lists(lease_renewal, &[key(0, 1)], &[]);
+    driver.advance_ms(500);
+    let out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
     assert!(deadlines(&out).iter().all(|deadline| *deadline >= longest_sent), "never shortened: {out:?}");
     while driver.now_ms() < longest_sent {
         assert_eq!(resolutions(&driver.poll_for_ms(10)), []);
