--- a/crates/mutants/src/list/answers.rs
+++ b/crates/mutants/src/list/answers.rs
@@ -52,7 +52,7 @@
             file: "crates/scheduler/src/worker/lease_expiry.rs",
             find: "self.greatest_sent_deadline_ms = self.greatest_sent_deadline_ms.max(least_ms.saturating_add(ahead));",
             replace: "self.greatest_sent_deadline_ms = least_ms.saturating_add(ahead);",
-            test: "-p scheduler --test worker_suspicion lease_expiry_is_computed_from_the_greatest_deadline_that_was_sent",
+            test: "-p scheduler --test worker_suspicion lease_expiry_follows_the_greatest_deadline_sent",
         },
         Mutant {
             name: "hold-of-a-suspect-extended",
@@ -60,7 +60,7 @@
             file: "crates/scheduler/src/worker/lease_renewals.rs",
             find: "\n            && !self.suspected",
             replace: "",
-            test: "-p scheduler --test worker_suspicion a_suspected_worker_gets_no_start_and_no_longer_lease_until_it_answers",
+            test: "-p scheduler --test worker_suspicion suspected_worker_gets_no_start_and_no_lease_extension",
         },
         Mutant {
             name: "holds-of-earlier-leaders-forgotten",
--- a/crates/mutants/src/list/configuration_changes.rs
+++ b/crates/mutants/src/list/configuration_changes.rs
@@ -21,7 +21,7 @@
             replace: r#"        self.accepted.clear();
         self.accepted.insert(digest);
         let Some"#,
-            test: "-p scheduler --test configuration_changes a_change_is_recognized_after_hundreds_of_others_and_snapshots",
+            test: "-p scheduler --test configuration_changes recognizes_repeated_changes_after_700_changes_and_snapshots",
         },
         Mutant {
             name: "order-on-any-version",
@@ -29,7 +29,7 @@
             file: "crates/scheduler/src/state/configuration.rs",
             find: "if put.builds_on != current {",
             replace: "if put.builds_on > current {",
-            test: "-p scheduler --test configuration_changes of_two_changes_under_one_number_one_is_accepted_whatever_is_repeated",
+            test: "-p scheduler --test configuration_changes accepts_only_one_of_two_changes_with_the_same_version",
         },
         Mutant {
             name: "digests-of-format-0-unread",
@@ -37,7 +37,7 @@
             file: "crates/scheduler/src/state/configuration.rs",
             find: "self.has_format_0_digests |= matches!(replaced.digest, ConfigurationDigest::Fnv(_));",
             replace: "",
-            test: "-p scheduler --test configuration_changes changes_of_a_snapshot_of_format_0_are_recognized",
+            test: "-p scheduler --test configuration_changes recognizes_changes_from_snapshots_of_format_0",
         },
         Mutant {
             name: "repeat-in-flight-proposed-again",
@@ -47,7 +47,7 @@
             return None;"#,
             replace: r#"            tokens.push(token);
             return Some(ConfigurationReply::Unavailable { retry_after_ms: RETRY_MS });"#,
-            test: "-p scheduler --test configuration_changes a_change_that_is_repeated_while_its_first_copy_is_in_flight_gets_the_same_reply",
+            test: "-p scheduler --test configuration_changes repeat_of_a_change_in_flight_gets_the_same_reply",
         },
         Mutant {
             name: "history-cut-short-passed-over",
@@ -56,6 +56,6 @@
             find: r#"            let digest = ConfigurationDigest::from_bytes(&put.body)
                 .ok_or(SnapshotError::InvalidDigest(put.version, put.body.len()))?;"#,
             replace: "            let Some(digest) = ConfigurationDigest::from_bytes(&put.body) else { continue };",
-            test: "-p scheduler --test configuration_changes an_incomplete_snapshot_is_rejected_with_a_remedy",
+            test: "-p scheduler --test configuration_changes rejects_incomplete_snapshots_and_names_the_remedy",
         },
 ];
--- a/crates/scheduler/tests/configuration_changes.rs
+++ b/crates/scheduler/tests/configuration_changes.rs
@@ -1,5 +1,5 @@
-//! The identity of the operator's configuration changes: at most one of two under one number is accepted, and
-//! one that was accepted is recognized for good.
+//! Identity of configuration changes: of two changes with the same version at most one is accepted, and a
+//! repeat of an accepted change is recognized for good.
 
 mod cluster;
 mod commands;
@@ -12,7 +12,7 @@
 
 const JOB: u64 = 0x5c0e_7a21_d94b_36f8;
 
-fn restored(state: &State) -> State {
+fn restore_from_snapshot(state: &State) -> State {
     State::restore(&state.snapshot()).expect("a complete snapshot")
 }
 
@@ -20,7 +20,7 @@
     matches!(applied, [StateChange::ConfigurationRepeated { .. }])
 }
 
-/// The hash by which snapshots of format 0 know configurations, as the well-known definition has it.
+/// FNV-1a with 128 bits, the hash that snapshots of format 0 store for earlier configurations.
 fn fnv_1a_128(body: &[u8]) -> Vec<u8> {
     let start = 144_066_263_297_769_815_596_495_629_667_062_367_629_u128;
     let prime = (1_u128 << 88) + (1 << 8) + 0x3b;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn of_two_changes_under_one_number_one_is_accepted_whatever_is_repeated() {
+fn accepts_only_one_of_two_changes_with_the_same_version() {
     let mut state = State::new();
     apply(&mut state, store_configuration("first", 1, 0));
     assert!(matches!(
@@ -43,18 +43,18 @@
             "{rejected:?}"
         );
         assert!(is_repeat(&apply(&mut state, store_configuration("winner", 4, 1))));
-        state = restored(&state);
+        state = restore_from_snapshot(&state);
     }
     let rejected = apply(&mut state, store_configuration("loser", 4, 4));
     assert!(
         matches!(rejected[..], [StateChange::ConfigurationVersionTooLow { .. }]),
-        "the number is used up: {rejected:?}"
+        "the version is already in use: {rejected:?}"
     );
-    assert_eq!(state.configuration().expect("one is in force").body, b"winner");
+    assert_eq!(state.configuration().expect("a configuration is in force").body, b"winner");
 }
 
 #[test]
-fn a_change_is_recognized_after_hundreds_of_others_and_snapshots() {
+fn recognizes_repeated_changes_after_700_changes_and_snapshots() {
     let mut state = State::new();
     let change = |number: u64| {
         store_configuration(&format!("body {number}"), number * 3, number.saturating_sub(1) * 3)
@@ -62,7 +62,7 @@
     for number in 1..=700 {
         assert!(matches!(apply(&mut state, change(number))[..], [StateChange::ConfigurationAccepted { .. }]));
         if number % 90 == 0 {
-            state = restored(&state);
+            state = restore_from_snapshot(&state);
         }
     }
     for number in 1..=700 {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_change_that_is_repeated_while_its_first_copy_is_in_flight_gets_the_same_reply() {
+fn repeat_of_a_change_in_flight_gets_the_same_reply() {
     let mut cluster = Cluster::new(1);
     let body = configuration(7, &[("/a/", 1)]);
     let first = cluster.send_configuration(body.clone(), Some(1));
@@ -82,11 +82,15 @@
     assert!(cluster.run_until(200, |cluster| cluster.configuration_replies.contains_key(&again)));
     assert_eq!(cluster.configuration_replies.get(&first).cloned(), Some(ConfigurationReply::Accepted));
     assert_eq!(cluster.configuration_replies.get(&again).cloned(), Some(ConfigurationReply::Accepted));
-    assert_eq!(cluster.configure(body, Some(1)), Some(ConfigurationReply::Accepted), "and after it");
+    assert_eq!(
+        cluster.configure(body, Some(1)),
+        Some(ConfigurationReply::Accepted),
+        "a repeat after the commit gets the same reply"
+    );
 }
 
 #[test]
-fn of_two_changes_in_flight_on_one_version_one_is_confirmed() {
+fn accepts_only_one_of_two_conflicting_changes_in_flight() {
     let mut cluster = Cluster::new(1);
     let one = cluster.send_configuration(configuration(7, &[("/a/", 1)]), Some(1));
     let other = cluster.send_configuration(configuration(7, &[("/b/", 1)]), Some(1));
@@ -99,7 +103,7 @@
 }
 
 #[test]
-fn changes_of_a_snapshot_of_format_0_are_recognized() {
+fn recognizes_changes_from_snapshots_of_format_0() {
     let stored = SchedulerSnapshot {
         configurations: vec![
             PutConfiguration { body: fnv_1a_128(b"oldest"), version: 2, builds_on: 0 },
@@ -115,7 +119,7 @@
         assert!(matches!(rejected[..], [StateChange::ConfigurationConflict { .. }]));
         let next = state.configuration_version() + 1;
         apply(&mut state, store_configuration(&format!("later {next}"), next, next - 1));
-        state = restored(&state);
+        state = restore_from_snapshot(&state);
     }
 }
 
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn an_incomplete_snapshot_is_rejected_with_a_remedy() {
+fn rejects_incomplete_snapshots_and_names_the_remedy() {
     let mut state = State::new();
     apply(&mut state, store_configuration("a", 3, 0));
     apply(&mut state, store_configuration("b", 5, 3));
--- a/crates/scheduler/tests/ids.rs
+++ b/crates/scheduler/tests/ids.rs
@@ -1,30 +1,30 @@
-//! Names of tasks.
+//! Text and message forms of task keys.
 
 use messages::job;
 use quickcheck::quickcheck;
 use scheduler::ids::{TaskKey, TaskKeyError};
 
 quickcheck! {
-    fn a_key_survives_its_text_and_its_message(job: u64, time: u32, step: u32, index: u32) -> bool {
+    fn keys_round_trip_through_text_and_message(job: u64, time: u32, step: u32, index: u32) -> bool {
         let key = TaskKey { job, time, step, index };
         let message = job::TaskId::from(key);
         key.to_string().parse() == Ok(key) && TaskKey::from(message) == key
     }
 
-    fn no_text_panics(text: String) -> bool {
+    fn parsing_random_text_fails_without_panic(text: String) -> bool {
         text.parse::<TaskKey>().is_err()
     }
 }
 
 #[test]
-fn a_key_is_written_as_on_the_wire() {
+fn formats_keys_as_on_the_wire() {
     let key = TaskKey { job: 0x0c0e_7a21_d94b_36f8, time: 0, step: 1, index: 17 };
     assert_eq!(key.to_string(), "0c0e7a21d94b36f8.0.1.17");
 }
 
 #[test]
-fn texts_that_are_no_names_are_rejected() {
-    let refused = [
+fn rejects_texts_that_are_not_task_names() {
+    let invalid_texts = [
         ("", TaskKeyError::Job),
         ("5c0e7a21d94b36f8", TaskKeyError::Parts),
         ("5c0e7a21d94b36f8.0.1", TaskKeyError::Parts),
@@ -35,7 +35,7 @@
         ("5c0e7a21d94b36f8..1.2", TaskKeyError::Number),
         ("5c0e7a21d94b36f8.0.1.4294967296", TaskKeyError::Number),
     ];
-    for (text, error) in refused {
+    for (text, error) in invalid_texts {
         assert_eq!(text.parse::<TaskKey>(), Err(error), "{text}");
     }
 }
--- a/crates/scheduler/tests/leader_answers.rs
+++ b/crates/scheduler/tests/leader_answers.rs
@@ -1,4 +1,4 @@
-//! Replies to clients and the operator, and when they are sent.
+//! Replies to clients and to the operator, and the time at which they are sent.
 
 mod cluster;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn nothing_is_accepted_before_its_commit_and_a_repeat_waits_for_the_same() {
+fn accepts_a_submission_and_its_repeat_after_the_commit() {
     let mut cluster = Cluster::new(1);
     let first = cluster.send_job("/a/", JOB, job());
     let repeat = cluster.send_job("/a/", JOB, job());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn without_a_configuration_nothing_is_taken() {
+fn rejects_jobs_without_a_configuration() {
     let mut cluster = Cluster::without_configuration(1);
     let reply = cluster.submit("/a/", JOB, job()).unwrap();
     assert_eq!(reply.outcome, Outcome::UNAVAILABLE);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn requests_are_routed_by_the_configuration_in_force() {
+fn routes_requests_by_the_current_configuration() {
     let mut cluster = Cluster::new(1);
     assert_eq!(cluster.submit("/none/", JOB, job()).unwrap().outcome, Outcome::NO_ROUTE);
     assert_eq!(cluster.count("/none/").unwrap().outcome, Outcome::NO_ROUTE);
@@ -47,11 +47,11 @@
     assert_eq!(reply, Some(ConfigurationReply::Accepted));
     assert_eq!(cluster.read("/a/", JOB).unwrap().outcome, Outcome::NO_ROUTE);
     assert_eq!(cluster.count("/b/").unwrap().outcome, Outcome::COUNT);
-    assert!(cluster.run_until_state(JOB, "completed", 3_000), "a job of a dropped route still runs");
+    assert!(cluster.run_until_state(JOB, "completed", 3_000), "a job whose route was removed still runs");
 }
 
 #[test]
-fn states_and_counts_follow_the_job() {
+fn reads_and_counts_show_the_job_state() {
     let mut cluster = Cluster::new(0);
     cluster.submit("/a/", JOB, job());
     assert_eq!(cluster.read("/a/", JOB).unwrap().state, "pending");
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn jobs_that_are_not_there_are_said_so() {
+fn reports_unknown_jobs() {
     let mut cluster = Cluster::new(1);
     assert_eq!(cluster.read("/a/", JOB).unwrap().outcome, Outcome::NO_SUCH_JOB);
     assert_eq!(cluster.cancel("/a/", JOB).unwrap().outcome, Outcome::NO_SUCH_JOB);
 }
 
 #[test]
-fn a_cancel_that_follows_a_submission_in_flight_is_carried_out() {
+fn cancels_a_job_whose_submission_is_in_flight() {
     let mut cluster = Cluster::new(1);
     cluster.send_job("/a/", JOB, job());
     assert_eq!(cluster.cancel("/a/", JOB).unwrap().outcome, Outcome::CANCEL_DONE);
@@ -82,14 +82,14 @@
 }
 
 #[test]
-fn a_job_that_cannot_run_is_invalid() {
+fn rejects_a_job_without_steps() {
     let mut cluster = Cluster::new(1);
     let without_steps = JobSpec { stages: Vec::new(), ..job() };
     assert_eq!(cluster.submit("/a/", JOB, without_steps).unwrap().outcome, Outcome::INVALID);
 }
 
 #[test]
-fn a_known_job_is_accepted_again_also_when_too_much_is_open() {
+fn accepts_a_repeated_submission_while_overloaded() {
     let mut cluster = Cluster::new(0);
     let mut large = job();
     large.stages[0].count = 4_900;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn two_operators_on_one_version_one_prevails() {
+fn accepts_only_one_of_two_changes_to_the_same_version() {
     let mut cluster = Cluster::new(1);
     let one = cluster.send_configuration(configuration(5, &[("/a/", 1)]), Some(1));
     let other = cluster.send_configuration(configuration(6, &[("/b/", 1)]), Some(1));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_configuration_once_accepted_is_acknowledged_again() {
+fn acknowledges_repeated_configurations_after_a_leader_change() {
     let mut cluster = Cluster::new(1);
     let second = configuration(5, &[("/a/", 1)]);
     let third = configuration(9, &[("/a/", 1)]);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn invalid_configurations_are_rejected() {
+fn rejects_invalid_configurations() {
     let mut cluster = Cluster::new(1);
     for body in [configuration(1, &[("/x/", 1)]), configuration(5, &[("/x/", 1), ("/x/", 1)]), b"{".to_vec()]
     {
--- a/crates/scheduler/tests/leader_backlog.rs
+++ b/crates/scheduler/tests/leader_backlog.rs
@@ -1,4 +1,4 @@
-//! What a turn of a large fleet's leader costs, in units of work that do not depend on the machine.
+//! Cost of a leader's turns with many workers, counted in units of work that do not depend on the machine.
 
 mod cluster;
 
@@ -16,26 +16,26 @@
 
 const WORKERS: usize = 1_100;
 const DAY_START_MS: u64 = 1_700_000_000_000;
-/// Longer than any of these plays.
-const LEASE: u64 = 3_600_000 * MS;
-/// Two thirds of a worker's memory: each takes one task, and what is left fits no other.
+/// Lease of the leader, longer than any of these tests.
+const LEADER_LEASE_NS: u64 = 3_600_000 * MS;
+/// Two thirds of a worker's memory, so that a worker has capacity for one task only.
 const TASK_MEM_MB: u64 = 8_000;
 const WORKER_MEM_MB: u64 = 12_000;
 const STEPS_PER_JOB: usize = 5;
 const TASKS_PER_STEP: u32 = 4;
 /// Prefixes of the routes, with their priorities.
 const ROUTES: [(&str, u32); 4] = [("/a/", 1), ("/b/", 2), ("/c/", 3), ("/d/", 4)];
-/// The kinds of workers, by turns.
+/// Labels of the workers: the first for even numbers, the second for odd numbers.
 const KINDS: [&str; 2] = ["first-kind", "second-kind"];
 
-/// A lease renewal that waits for an end.
+/// A lease renewal that a worker holds as a long poll until there is an end to report.
 #[derive(Debug, Clone, Copy)]
 struct LeaseRenewal {
     call: CallId,
     until: u64,
 }
 
-/// What a worker of the model runs and has listed.
+/// A modelled worker.
 #[derive(Debug, Default)]
 struct Worker {
     kind: String,
@@ -44,8 +44,9 @@
     finished: Vec<WorkerEnd>,
 }
 
-/// A leader, a log that commits at once, and workers that answer at once, lease renewals after their wait.
-struct Site {
+/// A leader with a log that commits at once and workers that answer at once, except lease renewals, which are
+/// answered when their wait is over.
+struct LargeCluster {
     now: u64,
     state: State,
     leader: Leader,
@@ -70,30 +71,35 @@
     }
 }
 
-impl Site {
-    /// A leader that knows all workers and has been answered by each.
+impl LargeCluster {
+    /// A leader that has got a list of all workers and an answer from each.
     fn new(workers: usize) -> Self {
         let now = 1_000 * MS;
         let state = State::new();
         let settings = LeaderSettings { max_open_tasks: 1_000_000, ..settings() };
         let leader = Leader::new(1, settings, &state, now, 1);
-        let mut site = Site { now, state, leader, workers: BTreeMap::new(), jobs: 0, starts: 0 };
-        site.leader.set_lease(now, now + LEASE);
+        let mut cluster = LargeCluster { now, state, leader, workers: BTreeMap::new(), jobs: 0, starts: 0 };
+        cluster.leader.set_lease(now, now + LEADER_LEASE_NS);
         let body = configuration(1, &ROUTES);
-        site.turn(vec![Input::Tick { time_of_day_ms: DAY_START_MS }]);
-        site.turn(vec![Input::PutConfiguration { token: 0, if_match: Some(0), body }]);
+        cluster.process_turn(vec![Input::Tick { time_of_day_ms: DAY_START_MS }]);
+        cluster.process_turn(vec![Input::PutConfiguration { token: 0, if_match: Some(0), body }]);
         let instances: Vec<Instance> = (0..workers).map(instance).collect();
         let worker = |listed: &Instance| Worker { kind: listed.labels[0].clone(), ..Worker::default() };
-        site.workers = instances.iter().map(|listed| (listed.id.clone(), worker(listed))).collect();
+        cluster.workers = instances.iter().map(|listed| (listed.id.clone(), worker(listed))).collect();
         let instances = instances.into();
-        site.turn(vec![Input::Instances { instances, as_of: u64::MAX, has_changed: true, is_last: true }]);
-        let lists: Vec<Input> = site.workers.values_mut().filter_map(|worker| worker.lists(now)).collect();
-        site.turn(lists);
-        site
+        cluster.process_turn(vec![Input::Instances {
+            instances,
+            as_of: u64::MAX,
+            has_changed: true,
+            is_last: true,
+        }]);
+        let lists: Vec<Input> = cluster.workers.values_mut().filter_map(|worker| worker.lists(now)).collect();
+        cluster.process_turn(lists);
+        cluster
     }
 
-    /// Handles these inputs in one turn, and what follows from them in the next ones.
-    fn turn(&mut self, inputs: Vec<Input>) {
+    /// Handles these inputs in one turn, and the inputs that result from them in further turns.
+    fn process_turn(&mut self, inputs: Vec<Input>) {
         let mut inputs = inputs;
         while !inputs.is_empty() {
             let mut out = Vec::new();
@@ -102,25 +108,25 @@
             }
             self.leader.flush(&self.state, self.now, &mut out);
             for output in out {
-                inputs.extend(self.carry_out(output));
+                inputs.extend(self.handle_output(output));
             }
         }
     }
 
-    /// Turns at which only time passes and lease renewals without an end are answered.
-    fn idle_turns(&mut self, turns: usize) {
+    /// Processes turns of 2 ms in which only ticks and answers to due lease renewals arrive.
+    fn run_idle_turns(&mut self, turns: usize) {
         for _ in 0..turns {
             self.now += 2 * MS;
             let now = self.now;
             let mut inputs = vec![Input::Tick { time_of_day_ms: DAY_START_MS + now / MS }];
             let due = |worker: &&mut Worker| worker.lease_renewal.is_some_and(|waiting| waiting.until <= now);
             inputs.extend(self.workers.values_mut().filter(due).filter_map(|worker| worker.lists(now)));
-            self.turn(inputs);
+            self.process_turn(inputs);
         }
     }
 
-    /// Carries an output out; gives the input that follows at once.
-    fn carry_out(&mut self, output: Output) -> Option<Input> {
+    /// Executes an output. Returns the input that results from it, if any.
+    fn handle_output(&mut self, output: Output) -> Option<Input> {
         match output {
             Output::Propose { batch } => {
                 Some(Input::BatchApplied { changes: self.state.apply(&batch), batch })
@@ -131,7 +137,7 @@
     }
 
     fn call(&mut self, call: CallId, instance: &str, request: &WorkerRequest) -> Option<Input> {
-        let worker = self.workers.get_mut(instance).expect("a listed worker");
+        let worker = self.workers.get_mut(instance).expect("the worker is listed");
         match request {
             WorkerRequest::RenewLease { last_seen, wait_ms, .. } => {
                 worker.lease_renewal = Some(LeaseRenewal { call, until: self.now + wait_ms * MS });
@@ -139,18 +145,18 @@
                 return None;
             }
             WorkerRequest::Start { key, .. } => worker.running.push(*key),
-            WorkerRequest::Stop { .. } => panic!("nothing is stopped here"),
+            WorkerRequest::Stop { .. } => panic!("unexpected stop"),
         }
         self.starts += 1;
         Some(Input::CallFinished { call, outcome: CallOutcome::Answer { now_ms: self.now / MS } })
     }
 
-    /// Submits jobs of `STEPS_PER_JOB` steps, on all routes by turns, until so many steps are submitted, and
-    /// lets the leader admit what it can. The tasks ask for workers of a kind, or for any.
+    /// Submits jobs with `steps` steps in total, `STEPS_PER_JOB` each, on all routes in turn, and runs 50
+    /// turns. The tasks require workers of a kind if `kind` is given.
     fn submit(&mut self, steps: usize, kind: Option<&str>) {
         let inputs = self.submissions(steps, kind);
-        inputs.into_iter().for_each(|input| self.turn(vec![input]));
-        self.idle_turns(50);
+        inputs.into_iter().for_each(|input| self.process_turn(vec![input]));
+        self.run_idle_turns(50);
     }
 
     fn submissions(&mut self, steps: usize, kind: Option<&str>) -> Vec<Input> {
@@ -176,16 +182,16 @@
         inputs
     }
 
-    /// One attempt ends at each of the first `count` workers of a kind; the leader gets their lists in one
+    /// Ends one attempt on each of the first `count` workers of a kind. The leader gets all lists in one
     /// turn.
     fn end_attempts(&mut self, kind: &str, count: usize) {
         let is_of_kind = |worker: &&mut Worker| worker.kind == kind && !worker.running.is_empty();
         let busy = self.workers.values_mut().filter(is_of_kind);
         let now = self.now;
-        let lists: Vec<Input> = busy.take(count).filter_map(|worker| worker.end_one(now)).collect();
+        let lists: Vec<Input> = busy.take(count).filter_map(|worker| worker.end_attempt(now)).collect();
         assert_eq!(lists.len(), count);
-        self.turn(lists);
-        self.idle_turns(20);
+        self.process_turn(lists);
+        self.run_idle_turns(20);
     }
 
     fn waiting_steps(&self) -> usize {
@@ -194,7 +200,7 @@
 }
 
 impl Worker {
-    /// The answer to the lease renewal that waits.
+    /// Answers the waiting lease renewal. Returns `None` if no lease renewal waits.
     fn lists(&mut self, now: u64) -> Option<Input> {
         let LeaseRenewal { call, .. } = self.lease_renewal.take()?;
         let entry = |key: &AttemptKey| RunningEntry { key: *key, checkpoint: String::new(), percent: 1 };
@@ -203,8 +209,8 @@
         Some(Input::CallFinished { call, outcome })
     }
 
-    /// Ends an attempt, and answers the lease renewal that waits.
-    fn end_one(&mut self, now: u64) -> Option<Input> {
+    /// Ends an attempt and answers the waiting lease renewal.
+    fn end_attempt(&mut self, now: u64) -> Option<Input> {
         let key = self.running.pop()?;
         self.finished.push(WorkerEnd {
             sequence: self.finished.last().map_or(1, |end| end.sequence + 1),
@@ -218,51 +224,61 @@
     }
 }
 
-/// The work of so many ends on workers of the first kind while the fleet is full. Of the steps that wait,
-/// half ask for the second kind, on which nothing ends.
-fn work_of_ends(waiting_steps: usize, ends: usize) -> LeaderWork {
-    let mut site = Site::new(WORKERS);
-    site.submit(WORKERS / TASKS_PER_STEP as usize, None);
-    assert_eq!(site.starts, WORKERS, "the fleet is full");
+/// Returns the leader's work for `ends` ended attempts on workers of the first kind, while no worker has free
+/// capacity and `waiting_steps` steps wait. Half of these steps require the second kind, on which no attempt
+/// ends.
+fn work_for_ended_attempts(waiting_steps: usize, ends: usize) -> LeaderWork {
+    let mut cluster = LargeCluster::new(WORKERS);
+    cluster.submit(WORKERS / TASKS_PER_STEP as usize, None);
+    assert_eq!(cluster.starts, WORKERS, "each worker runs a task");
     for _ in 0..waiting_steps / 100 {
-        site.submit(50, None);
-        site.submit(50, Some(KINDS[1]));
+        cluster.submit(50, None);
+        cluster.submit(50, Some(KINDS[1]));
     }
-    assert_eq!((site.waiting_steps(), site.starts), (waiting_steps, WORKERS));
-    site.leader.take_work();
-    site.end_attempts(KINDS[0], ends);
-    let started = site.starts - WORKERS;
-    assert!(started + 1 >= ends, "{started} of {ends}: one worker at most is reserved for a step");
-    site.leader.take_work()
+    assert_eq!((cluster.waiting_steps(), cluster.starts), (waiting_steps, WORKERS));
+    cluster.leader.take_work();
+    cluster.end_attempts(KINDS[0], ends);
+    let started = cluster.starts - WORKERS;
+    assert!(
+        started + 1 >= ends,
+        "{started} starts after {ends} ends: at most one worker may be reserved for a step"
+    );
+    cluster.leader.take_work()
 }
 
 #[test]
-fn a_backlog_does_not_raise_the_cost_of_a_finished_attempt() {
+fn backlog_does_not_raise_the_cost_of_finished_attempts() {
     const ENDS: usize = 50;
-    let few = work_of_ends(100, ENDS);
-    let many = work_of_ends(2_500, ENDS);
-    // Less than one look at each worker for each end.
-    assert!(many.workers_examined < (ENDS * WORKERS) as u64, "{many:?} beside {few:?}");
-    assert!(many.workers_examined < 2 * few.workers_examined, "{many:?} beside {few:?}");
+    let few = work_for_ended_attempts(100, ENDS);
+    let many = work_for_ended_attempts(2_500, ENDS);
+    // Fewer than one examination of each worker per end.
+    assert!(
+        many.workers_examined < (ENDS * WORKERS) as u64,
+        "{many:?} with many waiting steps, {few:?} with few"
+    );
+    assert!(
+        many.workers_examined < 2 * few.workers_examined,
+        "{many:?} with many waiting steps, {few:?} with few"
+    );
 }
 
 #[test]
-fn a_burst_of_jobs_is_started_over_several_turns() {
+fn spreads_the_starts_of_a_burst_over_several_turns() {
     const STARTS_PER_TURN: usize = 128;
     const MAX_TURNS: usize = 64;
-    let mut site = Site::new(WORKERS);
-    let burst = site.submissions(WORKERS / TASKS_PER_STEP as usize, None);
-    // All that follows at the same time belongs to one turn.
-    site.turn(burst);
-    let mut before = site.starts;
-    assert!((1..=STARTS_PER_TURN).contains(&before), "{before} in the first turn");
-    // Turns that only poll sessions lie between those that start something.
+    let mut cluster = LargeCluster::new(WORKERS);
+    let burst = cluster.submissions(WORKERS / TASKS_PER_STEP as usize, None);
+    // All inputs at the same time belong to one turn.
+    cluster.process_turn(burst);
+    let mut before = cluster.starts;
+    assert!((1..=STARTS_PER_TURN).contains(&before), "{before} starts in the first turn");
+    // Some turns only poll sessions and start nothing.
     for _ in 0..MAX_TURNS {
-        site.idle_turns(1);
-        let started = site.starts - before;
-        assert!(started <= STARTS_PER_TURN, "{started} in a turn, {before} before it");
-        before = site.starts;
+        cluster.run_idle_turns(1);
+        let started = cluster.starts - before;
+        assert!(started <= STARTS_PER_TURN, "{started} starts in a turn, {before} before");
+        before = cluster.starts;
     }
-    assert_eq!(site.waiting_steps(), 0, "all are started within {MAX_TURNS} turns");
-    assert_eq!(site.starts, WORKERS);
+    assert_eq!(cluster.waiting_steps(), 0, "all steps start within {MAX_TURNS} turns");
+    assert_eq!(cluster.starts, WORKERS);
 }
--- a/crates/scheduler/tests/leader_gangs.rs
+++ b/crates/scheduler/tests/leader_gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs whose members cannot all start at once: none of them may wait for the others until it ends alone.
+//! Gangs whose members cannot all start at once. The leader must stop the started members before their gang
+//! timeout.
 
 mod cluster;
 
@@ -7,7 +8,7 @@
 use messages::peer::Outcome;
 
 const JOB: u64 = 0x2b91_6fd0_83ac_57e4;
-/// Members of the gangs: they fill three workers and half of a fourth.
+/// Number of gang members. They fill three workers and half of a fourth worker.
 const MEMBERS: usize = 7;
 
 fn stage(count: u32, cpu: u64, est_runtime_ms: u64) -> Stage {
@@ -22,45 +23,45 @@
     JobSpec { spec: "text".to_owned(), stages, ..JobSpec::default() }
 }
 
-/// Four workers that have all just answered, so that orders leave at once.
-fn cluster_at_work() -> Cluster {
+/// A cluster of four workers that have all just answered, so that orders are sent to them at once.
+fn cluster_with_responsive_workers() -> Cluster {
     let mut cluster = Cluster::new(4);
     cluster.submit("/a/", JOB + 1, job(vec![stage(8, 2_000, 100)]));
     assert!(cluster.run_until_state(JOB + 1, "completed", 3_000));
     cluster
 }
 
-fn mute(cluster: &mut Cluster, instance: &str, is_mute: bool) {
-    cluster.workers.get_mut(instance).unwrap().is_unreachable = is_mute;
+fn set_unreachable(cluster: &mut Cluster, instance: &str, unreachable: bool) {
+    cluster.workers.get_mut(instance).unwrap().is_unreachable = unreachable;
 }
 
-/// Starts a gang of which the members on `i-0` never arrive, and waits until the others are there.
-fn gang_with_missing_members(cluster: &mut Cluster) {
-    mute(cluster, "i-0", true);
+/// Starts a gang while `i-0` is unreachable, and waits until the members on the other workers have started.
+fn start_incomplete_gang(cluster: &mut Cluster) {
+    set_unreachable(cluster, "i-0", true);
     cluster.submit("/a/", JOB, job(vec![gang(800)]));
     assert!(cluster.run_until(500, |cluster| cluster.running() >= 5), "{} run", cluster.running());
 }
 
-fn finishes_without_a_member_alone(cluster: &mut Cluster) {
-    mute(cluster, "i-0", false);
+fn assert_completes_without_gang_timeouts(cluster: &mut Cluster) {
+    set_unreachable(cluster, "i-0", false);
     assert!(cluster.run_until_state(JOB, "completed", 15_000), "{}", cluster.job_state(JOB));
     assert_eq!(cluster.gang_timeouts, 0);
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_new_leader_stops_members_that_have_waited_under_the_former_one() {
-    let mut cluster = cluster_at_work();
-    gang_with_missing_members(&mut cluster);
+fn new_leader_stops_members_that_wait_for_others() {
+    let mut cluster = cluster_with_responsive_workers();
+    start_incomplete_gang(&mut cluster);
     cluster.run_for_ms(1_300);
     cluster.elect_leader();
     cluster.run_for_ms(4_000);
-    finishes_without_a_member_alone(&mut cluster);
+    assert_completes_without_gang_timeouts(&mut cluster);
 }
 
 #[test]
-fn members_that_resume_from_a_checkpoint_are_stopped_before_they_end_alone() {
-    let mut cluster = cluster_at_work();
+fn stops_waiting_members_that_resumed_from_a_checkpoint() {
+    let mut cluster = cluster_with_responsive_workers();
     cluster.add_worker("i-4", 4, 4_000);
     cluster.run_for_ms(1_500);
     for worker in cluster.workers.values_mut() {
@@ -71,54 +72,54 @@
     cluster.run_for_ms(1_000);
     let idle = cluster.workers.values().find(|worker| worker.running.is_empty());
     let idle = idle.unwrap().instance.id.clone();
-    // The gang leaves a worker that is about to end, with its work saved.
+    // The gang is moved from a worker that drains, with its progress saved.
     let hosts = cluster.workers.values().rev().filter(|worker| !worker.running.is_empty());
     let host = hosts.map(|worker| worker.instance.id.clone()).next().unwrap();
     let draining = &mut cluster.workers.get_mut(&host).unwrap().instance;
     (draining.draining, draining.remaining_ms) = (true, Some(2_000));
     assert!(cluster.run_until(1_500, |cluster| cluster.running() == 0));
-    mute(&mut cluster, &idle, true);
+    set_unreachable(&mut cluster, &idle, true);
     assert!(cluster.run_until(500, |cluster| cluster.running() >= 5), "{} run", cluster.running());
     let resumes =
         |worker: &cluster::ModelWorker| worker.running.values().all(|run| !run.checkpoint.is_empty());
     assert!(cluster.workers.values().all(resumes));
     cluster.run_for_ms(6_000);
-    mute(&mut cluster, &idle, false);
-    finishes_without_a_member_alone(&mut cluster);
+    set_unreachable(&mut cluster, &idle, false);
+    assert_completes_without_gang_timeouts(&mut cluster);
 }
 
 #[test]
-fn members_of_which_no_answer_arrives_are_stopped_before_they_end_alone() {
-    let mut cluster = cluster_at_work();
-    mute(&mut cluster, "i-0", true);
+fn stops_waiting_members_whose_answers_are_lost() {
+    let mut cluster = cluster_with_responsive_workers();
+    set_unreachable(&mut cluster, "i-0", true);
     cluster.send_job("/a/", JOB, job(vec![gang(800)]));
     cluster.loses_answers = true;
     assert!(cluster.run_until(500, |cluster| cluster.running() >= 5), "{} run", cluster.running());
     cluster.run_for_ms(1_450);
     cluster.loses_answers = false;
     cluster.run_for_ms(4_000);
-    finishes_without_a_member_alone(&mut cluster);
+    assert_completes_without_gang_timeouts(&mut cluster);
 }
 
 #[test]
-fn no_member_starts_while_the_order_of_another_cannot_leave() {
-    let mut cluster = cluster_at_work();
-    mute(&mut cluster, "i-0", true);
-    // Their starts get no answer and take all places for orders to that worker.
+fn starts_no_member_while_another_order_is_queued() {
+    let mut cluster = cluster_with_responsive_workers();
+    set_unreachable(&mut cluster, "i-0", true);
+    // The starts of these tasks get no answer and take up all order slots of that worker.
     let labelled = Stage { constraint: "r1-0".to_owned(), ..stage(4, 100, 100) };
     cluster.send_job("/a/", JOB + 2, job(vec![labelled]));
     cluster.run_for_ms(30);
     cluster.send_job("/a/", JOB, job(vec![gang(800)]));
     cluster.run_for_ms(250);
     let members = cluster.runs.keys().filter(|task| task.job == JOB).count();
-    assert_eq!(members, 0, "members that run by themselves");
-    finishes_without_a_member_alone(&mut cluster);
+    assert_eq!(members, 0, "a member runs without the others");
+    assert_completes_without_gang_timeouts(&mut cluster);
     assert!(cluster.run_until_state(JOB + 2, "completed", 15_000));
 }
 
 #[test]
-fn a_job_cancelled_while_its_gang_waits_for_its_orders_to_leave_never_runs() {
-    let mut cluster = cluster_at_work();
+fn gang_cancelled_before_its_orders_are_sent_never_runs() {
+    let mut cluster = cluster_with_responsive_workers();
     cluster.run_for_ms(1_000);
     cluster.has_lease = false;
     cluster.run_for_ms(1_000);
@@ -129,15 +130,15 @@
     cluster.run_for_ms(3_000);
     assert_eq!(cluster.runs.keys().filter(|task| task.job == JOB).count(), 0);
     assert_eq!(cluster.job_state(JOB), "cancelled");
-    // Its capacity is free for others.
+    // The capacity of the cancelled gang is free for other jobs.
     cluster.submit("/a/", JOB + 3, job(vec![stage(8, 2_000, 100)]));
     assert!(cluster.run_until_state(JOB + 3, "completed", 1_000));
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_gang_starts_once_the_lease_returns() {
-    let mut cluster = cluster_at_work();
+fn starts_a_gang_when_the_leader_regains_its_lease() {
+    let mut cluster = cluster_with_responsive_workers();
     cluster.run_for_ms(1_000);
     cluster.has_lease = false;
     cluster.run_for_ms(1_000);
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn a_gang_of_whole_gpu_workers_moves_together_when_a_rack_leaves() {
+fn moves_a_gang_from_a_draining_rack() {
     let mut cluster = Cluster::new(6);
     for worker in cluster.workers.values_mut() {
         worker.instance.available.gpu = 8;
@@ -188,12 +189,12 @@
 }
 
 #[test]
-fn a_job_cancelled_while_members_wait_for_others_is_stopped() {
-    let mut cluster = cluster_at_work();
-    gang_with_missing_members(&mut cluster);
+fn stops_waiting_members_of_a_cancelled_job() {
+    let mut cluster = cluster_with_responsive_workers();
+    start_incomplete_gang(&mut cluster);
     assert_eq!(cluster.cancel("/a/", JOB).unwrap().outcome, Outcome::CANCEL_DONE);
     assert!(cluster.run_until(500, |cluster| cluster.running() == 0), "{} run", cluster.running());
-    mute(&mut cluster, "i-0", false);
+    set_unreachable(&mut cluster, "i-0", false);
     cluster.run_for_ms(5_000);
     assert_eq!((cluster.running(), cluster.gang_timeouts), (0, 0));
     assert_eq!(cluster.job_state(JOB), "cancelled");
@@ -201,8 +202,8 @@
 }
 
 #[test]
-fn a_complete_gang_runs_on_under_a_new_leader_that_hears_of_it_late() {
-    let mut cluster = cluster_at_work();
+fn complete_gang_continues_under_a_new_leader() {
+    let mut cluster = cluster_with_responsive_workers();
     cluster.submit("/a/", JOB, job(vec![gang(5_000)]));
     assert!(cluster.run_until(500, |cluster| cluster.running() == MEMBERS));
     cluster.run_for_ms(300);
@@ -216,30 +217,33 @@
     cluster.assert_no_violations();
 }
 
-/// Plays a gang of which one worker's orders get lost under a leader that handles what comes only at
-/// multiples of `period_ms`; a new one takes over `takeover_ms` after the job was accepted. Gives the members
-/// that ended alone.
-fn alone_under_late_leader(period_ms: u64, takeover_ms: u64) -> u32 {
-    let mut cluster = cluster_at_work();
+/// Runs a gang while one worker is unreachable and the leader handles its input only at multiples of
+/// `period_ms`. A new leader takes over `takeover_ms` after the job was accepted. Returns the number of gang
+/// timeouts.
+fn gang_timeouts_under_late_leader(period_ms: u64, takeover_ms: u64) -> u32 {
+    let mut cluster = cluster_with_responsive_workers();
     cluster.leader_period = period_ms * MS;
-    mute(&mut cluster, "i-0", true);
+    set_unreachable(&mut cluster, "i-0", true);
     cluster.submit("/a/", JOB, job(vec![gang(800)]));
     cluster.run_for_ms(takeover_ms);
     cluster.elect_leader();
     cluster.run_for_ms(5_000);
     cluster.leader_period = 0;
-    mute(&mut cluster, "i-0", false);
+    set_unreachable(&mut cluster, "i-0", false);
     assert!(cluster.run_until_state(JOB, "completed", 15_000), "{}", cluster.job_state(JOB));
     cluster.assert_no_violations();
     cluster.gang_timeouts
 }
 
 #[test]
-fn no_member_ends_alone_under_leaders_that_are_late_with_everything() {
+fn no_member_times_out_under_late_leaders() {
     for period_ms in [0, 60, 150, 300, 450, 700] {
         for takeover_ms in [100, 400, 700, 1_000, 1_300, 1_700, 3_000] {
-            let alone = alone_under_late_leader(period_ms, takeover_ms);
-            assert_eq!(alone, 0, "{period_ms} ms late, a new leader after {takeover_ms} ms");
+            let gang_timeouts = gang_timeouts_under_late_leader(period_ms, takeover_ms);
+            assert_eq!(
+                gang_timeouts, 0,
+                "leader up to {period_ms} ms late, new leader after {takeover_ms} ms"
+            );
         }
     }
 }
--- a/crates/scheduler/tests/leader_jobs.rs
+++ b/crates/scheduler/tests/leader_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of all kinds under a leader, over modelled workers.
+//! Jobs of all kinds on a simulated cluster.
 
 mod cluster;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_job_of_several_steps_is_completed() {
+fn completes_a_job_of_several_steps() {
     let mut cluster = Cluster::new(3);
     let stages = vec![stage(4, 500, 900), Stage { depends_on: vec![0], ..stage(20, 2_000, 700) }];
     assert_eq!(cluster.submit("/a/", JOB, job(stages)).unwrap().outcome, Outcome::ACCEPTED);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_start_follows_the_submission_within_a_few_round_trips() {
+fn starts_a_job_within_400_ms_of_its_submission() {
     let mut cluster = Cluster::new(1);
     cluster.run_for_ms(1_500);
     let sent = cluster.now;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn many_small_jobs_keep_the_workers_busy_and_are_all_completed() {
+fn completes_many_small_jobs_at_high_utilization() {
     let mut cluster = Cluster::new(4);
     cluster.run_for_ms(1_500);
     let started = cluster.now;
@@ -51,13 +51,13 @@
     for number in 0..80 {
         assert!(cluster.run_until_state(JOB + number, "completed", 30_000));
     }
-    // 160 tasks of 1 s on 16 cores take 10 s at best.
+    // 160 tasks of 1 s on 16 cores take at least 10 s.
     assert!(cluster.now - started < 12_500 * MS, "{} ms", (cluster.now - started) / MS);
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_gang_that_fits_no_single_rack_is_spread_after_a_while() {
+fn spreads_a_gang_that_fits_no_single_rack() {
     // Racks of two workers with four cores each.
     let mut cluster = Cluster::new(4);
     cluster.run_for_ms(1_500);
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn a_gang_waits_for_one_rack_only_as_long_as_it_would_lose_in_several() {
+fn gang_waits_for_one_rack_as_long_as_spreading_would_cost() {
     let mut cluster = Cluster::new(4);
     cluster.run_for_ms(1_500);
-    // One task on each rack leaves no rack empty.
+    // One task on each rack, so that no rack is empty.
     let labelled = |rack: &str| Stage { constraint: rack.to_owned(), ..stage(1, 3_000, 20_000) };
     cluster.submit("/a/", JOB, job(vec![labelled("r1-0"), labelled("r1-1")]));
     assert!(cluster.run_until(1_000, |cluster| cluster.running() == 2));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_ejected_worker_takes_what_no_other_can() {
+fn ejected_worker_runs_tasks_that_fit_no_other_worker() {
     let mut cluster = Cluster::new(4);
     let label = "only-here";
     cluster.workers.get_mut("i-2").unwrap().instance.labels.push(label.to_owned());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_gang_runs_together() {
+fn runs_a_gang_once_and_then_its_dependent_step() {
     let mut cluster = Cluster::new(3);
     let gang = Stage { gang: true, ..stage(5, 2_000, 800) };
     cluster.submit("/a/", JOB, job(vec![gang, Stage { depends_on: vec![0], ..stage(1, 100, 100) }]));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_gang_whose_member_dies_starts_again_completely() {
+fn restarts_the_whole_gang_after_a_worker_crash() {
     let mut cluster = Cluster::new(4);
     cluster.submit("/a/", JOB, job(vec![Stage { gang: true, ..stage(5, 2_000, 2_000) }]));
     assert!(cluster.run_until(3_000, |cluster| cluster.running() == 5));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_poisoned_job_fails_after_its_retries_and_no_more_runs() {
+fn failing_job_fails_after_its_retries() {
     let mut cluster = Cluster::new(3);
     cluster.failing_jobs.insert(JOB);
     cluster.submit(
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_poisoned_job_ejects_no_worker() {
+fn failing_job_ejects_no_worker() {
     let mut cluster = Cluster::new(1);
     cluster.failing_jobs.insert(JOB);
     cluster.submit("/a/", JOB, job(vec![stage(4, 500, 200)]));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_everything_gets_no_more_for_a_while() {
+fn failing_worker_gets_few_starts() {
     let mut cluster = Cluster::new(4);
     cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     for number in 0..150 {
@@ -169,14 +169,14 @@
     }
     cluster.run_for_ms(5_000);
     let completed = (0..150).filter(|number| cluster.job_state(JOB + number) == "completed").count();
-    assert!(completed >= 148, "{completed} of 150");
+    assert!(completed >= 148, "{completed} of 150 jobs completed");
     let retries: u32 = cluster.runs.values().sum::<u32>() - cluster.runs.len() as u32;
-    assert!(retries < 30, "{retries} runs too many");
+    assert!(retries < 30, "{retries} retries");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn stalled_tasks_are_moved() {
+fn moves_stalled_tasks() {
     let mut cluster = Cluster::new(3);
     cluster.workers.get_mut("i-0").unwrap().stalls_runs = true;
     for number in 0..12 {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_cancelled_job_is_stopped_and_its_waiting_tasks_never_start() {
+fn cancelling_stops_running_tasks_and_drops_waiting_tasks() {
     let mut cluster = Cluster::new(1);
     cluster.submit("/a/", JOB, job(vec![stage(10, 2_000, 2_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn long_running_tasks_start_again_until_cancelled() {
+fn restarts_long_running_tasks_until_cancelled() {
     let mut cluster = Cluster::new(2);
     let lasting = Stage { long_running: true, ..stage(2, 1_000, 500) };
     cluster.submit("/a/", JOB, job(vec![lasting]));
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn times_start_when_they_are_due_and_may_overlap() {
+fn repeats_start_when_due_and_may_overlap() {
     let mut cluster = Cluster::new(2);
     let start_at_ms = DAY_START_MS + cluster.now / MS + 2_000;
     let times = JobSpec { repeat: 4, start_at_ms, interval_ms: 300, ..job(vec![stage(1, 500, 1_000)]) };
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn the_first_priority_preempts_others() {
+fn highest_priority_preempts_others() {
     let mut cluster = Cluster::new(2);
     cluster.submit("/a/", JOB, job(vec![stage(8, 1_000, 20_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 8));
@@ -240,13 +240,13 @@
     assert!(cluster.run_until_state(JOB + 1, "completed", 3_000));
     assert!(cluster.now - sent < 700 * MS, "{} ms", (cluster.now - sent) / MS);
     assert!(cluster.run_until_state(JOB, "completed", 60_000));
-    // Eight and two tasks, and the two that were preempted once more.
+    // Eight and two tasks, and second runs of the two tasks that were preempted.
     assert_eq!(cluster.runs.values().sum::<u32>(), 12);
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_draining_worker_is_left_in_time() {
+fn moves_tasks_from_a_draining_worker() {
     let mut cluster = Cluster::new(2);
     cluster.submit("/a/", JOB, job(vec![stage(2, 2_000, 8_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_short_run_may_end_on_a_draining_worker() {
+fn short_run_completes_on_a_draining_worker() {
     let mut cluster = Cluster::new(1);
     cluster.submit("/a/", JOB, job(vec![stage(1, 2_000, 2_500)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 1));
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_new_leader_finds_what_runs_and_loses_nothing() {
+fn new_leader_adopts_running_attempts() {
     let mut cluster = Cluster::new(3);
     let stages = vec![stage(6, 1_000, 1_500), Stage { depends_on: vec![0], ..stage(6, 1_000, 500) }];
     cluster.submit("/a/", JOB, job(stages));
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_worker_that_dies_gives_its_tasks_to_others() {
+fn reruns_tasks_of_a_crashed_worker() {
     let mut cluster = Cluster::new(2);
     cluster.submit("/a/", JOB, job(vec![stage(4, 2_000, 2_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 4));
@@ -298,8 +298,8 @@
     cluster.assert_no_violations();
 }
 
-/// Small jobs come faster than they can be done; large work has come among them.
-fn crowd(large: Stage) -> Cluster {
+/// Submits small jobs faster than the workers can run them, with one job of the stage `large` among them.
+fn run_beside_small_jobs(large: Stage) -> Cluster {
     let mut cluster = Cluster::new(3);
     cluster.run_for_ms(1_500);
     for number in 1..=60 {
@@ -315,21 +315,21 @@
 }
 
 #[test]
-fn a_large_task_gets_capacity_among_small_ones() {
-    let cluster = crowd(stage(1, 4_000, 700));
+fn large_task_gets_capacity_despite_many_small_tasks() {
+    let cluster = run_beside_small_jobs(stage(1, 4_000, 700));
     assert_eq!(cluster.job_state(JOB), "completed");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_gang_gets_capacity_among_small_tasks() {
-    let cluster = crowd(Stage { gang: true, ..stage(6, 1_500, 700) });
+fn gang_gets_capacity_despite_many_small_tasks() {
+    let cluster = run_beside_small_jobs(Stage { gang: true, ..stage(6, 1_500, 700) });
     assert_eq!(cluster.job_state(JOB), "completed");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn nothing_starts_without_a_lease_and_all_goes_on_with_it() {
+fn starts_only_while_the_leader_holds_its_lease() {
     let mut cluster = Cluster::new(2);
     cluster.run_for_ms(1_500);
     cluster.has_lease = false;
@@ -345,9 +345,9 @@
 }
 
 #[test]
-fn members_of_a_gang_are_stopped_before_they_end_alone() {
+fn stops_members_of_an_incomplete_gang_before_their_timeout() {
     let mut cluster = Cluster::new(4);
-    // All workers have just answered, so that the orders leave at once.
+    // All workers have just answered, so that orders are sent to them at once.
     cluster.submit("/a/", JOB + 1, job(vec![stage(8, 2_000, 100)]));
     assert!(cluster.run_until_state(JOB + 1, "completed", 3_000));
     cluster.workers.get_mut("i-0").unwrap().is_unreachable = true;
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_new_leader_measures_progress_from_what_it_first_sees() {
+fn new_leader_measures_progress_from_its_first_report() {
     let mut cluster = Cluster::new(2);
     cluster.submit("/a/", JOB, job(vec![stage(1, 2_000, 10_000)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 1));
@@ -370,7 +370,7 @@
     cluster.run_for_ms(4_000);
     cluster.elect_leader();
     cluster.run_for_ms(1_500);
-    // Some 4.5 s are left of the run, and 3 s of its worker.
+    // The run takes about 4.5 s more, but its worker serves only 3 s more.
     let worker = cluster.workers.get_mut(&busy).unwrap();
     worker.instance.draining = true;
     worker.instance.remaining_ms = Some(3_000);
@@ -379,10 +379,10 @@
 }
 
 #[test]
-fn a_new_leader_starts_nothing_on_a_worker_that_has_not_answered_it() {
+fn new_leader_starts_only_on_workers_that_answered_it() {
     let mut cluster = Cluster::new(6);
     cluster.run_for_ms(2_000);
-    // The list still shows them: half of the workers stop responding just before another process leads.
+    // Half of the workers stop responding just before the election. The list still shows these workers.
     let timed_out: Vec<String> = cluster.workers.keys().take(3).cloned().collect();
     for instance in &timed_out {
         cluster.workers.get_mut(instance).unwrap().is_unreachable = true;
@@ -393,19 +393,19 @@
     cluster.assert_no_violations();
 }
 
-/// A job that takes all of rack `r1-0`, two workers of four cores, for so long.
+/// A job that occupies rack `r1-0`, two workers of four cores, for `ms` milliseconds.
 fn fills_first_rack(ms: u64) -> JobSpec {
     job(vec![Stage { constraint: "r1-0".to_owned(), ..stage(2, 4_000, ms) }])
 }
 
-/// The worker on which the only task of a job runs.
+/// Returns the worker on which the only task of a job runs.
 fn host_of(cluster: &Cluster, id: u64) -> Option<&str> {
     let runs_there = |worker: &&cluster::ModelWorker| worker.running.keys().any(|key| key.task.job == id);
     cluster.workers.values().find(runs_there).map(|worker| worker.instance.id.as_str())
 }
 
 #[test]
-fn a_task_waits_for_capacity_near_its_data_while_that_is_sooner_than_going_far() {
+fn task_waits_for_capacity_in_the_rack_of_its_data() {
     let mut cluster = Cluster::new(4);
     cluster.submit("/a/", JOB, fills_first_rack(600));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_task_goes_far_from_its_data_once_it_has_waited_for_what_that_costs() {
+fn task_leaves_the_rack_of_its_data_after_a_bounded_wait() {
     let mut cluster = Cluster::new(4);
     cluster.submit("/a/", JOB, fills_first_rack(5_000));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
@@ -428,7 +428,7 @@
     cluster.submit("/a/", JOB + 1, job(vec![near]));
     assert!(cluster.run_until(2_000, |cluster| host_of(cluster, JOB + 1).is_some()));
     let waited_ms = (cluster.now - sent) / MS;
-    // Far from its data it takes 1.5 times as long: 400 ms more.
+    // In another rack the task takes 1.5 times as long, 400 ms more.
     assert!((400..500).contains(&waited_ms), "{waited_ms} ms");
     let host = host_of(&cluster, JOB + 1);
     assert!(host == Some("i-2") || host == Some("i-3"), "{host:?}");
@@ -436,11 +436,11 @@
 }
 
 #[test]
-fn a_long_task_waits_for_capacity_near_its_data_no_longer_than_a_job_may_run_nothing() {
+fn long_task_waits_for_the_rack_of_its_data_two_seconds() {
     let mut cluster = Cluster::new(4);
     cluster.submit("/a/", JOB, fills_first_rack(20_000));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
-    // Far from its data it would lose 10 s.
+    // In another rack the task would take 10 s more.
     let near = Stage { affinity: "r1-0".to_owned(), ..stage(1, 1_000, 20_000) };
     let sent = cluster.now;
     cluster.submit("/a/", JOB + 1, job(vec![near]));
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn a_task_whose_data_no_worker_is_near_starts_at_once() {
+fn task_starts_at_once_if_no_worker_is_in_the_rack_of_its_data() {
     let mut cluster = Cluster::new(4);
     cluster.run_for_ms(1_500);
     let sent = cluster.now;
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn steps_follow_each_other_closely() {
+fn dependent_steps_start_without_delay() {
     let mut cluster = Cluster::new(1);
     cluster.run_for_ms(1_500);
     let chain =
@@ -469,14 +469,14 @@
     let sent = cluster.now;
     cluster.submit("/a/", JOB, job(chain.collect()));
     assert!(cluster.run_until_state(JOB, "completed", 5_000));
-    // Ten steps of 50 ms, each end reported within 100 ms, and two commits and a round trip for each.
+    // Ten steps of 50 ms. For each step: a report of the end within 100 ms, two commits and a round trip.
     let took_ms = (cluster.now - sent) / MS;
     assert!(took_ms < 1_500, "{took_ms} ms");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn an_unchanged_page_that_this_leader_never_got_makes_its_workers_known() {
+fn unchanged_list_page_is_new_to_a_new_leader() {
     let state = State::new();
     let mut leader = Leader::new(1, cluster::settings(), &state, MS, 1);
     let mut out = Vec::new();
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn a_job_that_waited_is_started_on_the_only_worker_that_comes_into_use() {
+fn starts_waiting_job_on_the_first_usable_worker() {
     let mut cluster = Cluster::new(1);
     cluster.run_for_ms(2_000);
     cluster.workers.get_mut("i-0").expect("a worker").instance.draining = true;
--- a/crates/scheduler/tests/leader_lateness.rs
+++ b/crates/scheduler/tests/leader_lateness.rs
@@ -1,4 +1,5 @@
-//! A leader whose own process is late does not take that for the silence of its workers.
+//! A leader must not treat its workers as unreachable because its own process was paused. During a pause
+//! answers arrive but are not read yet.
 
 mod cluster;
 
@@ -9,14 +10,14 @@
 const JOB: u64 = 0x10;
 const WORKERS: usize = 8;
 
-/// A job of tasks that outlast the test.
+/// A job whose tasks run longer than the test.
 fn long_job() -> JobSpec {
     let stage = Stage { count: 16, cpu: 1_000, mem_mb: 1, est_runtime_ms: 60_000, ..Stage::default() };
     JobSpec { stages: vec![stage], ..JobSpec::default() }
 }
 
-/// A cluster in which tasks run on all workers and more have just been sent there.
-fn with_calls_in_flight() -> Cluster {
+/// A cluster in which tasks run on all workers and more starts are in flight.
+fn cluster_with_calls_in_flight() -> Cluster {
     let mut cluster = Cluster::new(WORKERS);
     cluster.send_job("/a/", JOB, long_job());
     cluster.run_for_ms(8_000);
@@ -29,8 +30,9 @@
     cluster
 }
 
-/// Asserts that the leader missed no answer: no worker is suspected or unreachable, and no call was given up.
-fn assert_no_answer_is_missed(cluster: &mut Cluster) {
+/// Asserts that the leader regards no answer as missing: no worker is suspected or unreachable, and no call
+/// was cancelled.
+fn assert_no_answer_counts_as_missing(cluster: &mut Cluster) {
     let now = cluster.now;
     let leader = cluster.leader.as_mut().expect("a leader");
     let load = leader.load_report(now);
@@ -41,40 +43,40 @@
 }
 
 #[test]
-fn answers_that_arrive_while_the_process_stands_still_are_not_taken_for_missing() {
+fn answers_that_arrive_during_a_pause_are_not_missing() {
     for span_ms in [150, 300, 500, 700] {
-        let mut cluster = with_calls_in_flight();
+        let mut cluster = cluster_with_calls_in_flight();
         cluster.pause_leader_process(span_ms);
-        assert_no_answer_is_missed(&mut cluster);
+        assert_no_answer_counts_as_missing(&mut cluster);
         cluster.run_for_ms(2_000);
-        assert_no_answer_is_missed(&mut cluster);
+        assert_no_answer_counts_as_missing(&mut cluster);
         cluster.assert_no_violations();
     }
 }
 
 #[test]
-fn a_process_that_stands_still_again_and_again_takes_no_worker_for_silent() {
-    let mut cluster = with_calls_in_flight();
+fn repeated_pauses_make_no_worker_unreachable() {
+    let mut cluster = cluster_with_calls_in_flight();
     for _ in 0..20 {
         cluster.pause_leader_process(320);
         cluster.run_for_ms(15);
     }
-    assert_no_answer_is_missed(&mut cluster);
+    assert_no_answer_counts_as_missing(&mut cluster);
     cluster.assert_no_violations();
 }
 
-/// Milliseconds until a worker that falls silent counts as unreachable, with the leader's process standing
-/// still for `absence_ms` after each `presence_ms`.
-fn ms_until_timed_out(absence_ms: u64, presence_ms: u64) -> u64 {
-    let mut cluster = with_calls_in_flight();
+/// Returns the milliseconds until the leader detects an unreachable worker, while the leader's process
+/// alternately runs for `run_ms` and is paused for `pause_ms`.
+fn unreachable_detection_ms(pause_ms: u64, run_ms: u64) -> u64 {
+    let mut cluster = cluster_with_calls_in_flight();
     cluster.pause_leader_process(1);
-    let silent = cluster.workers.keys().next().cloned().expect("a worker");
-    cluster.workers.get_mut(&silent).expect("the worker").is_unreachable = true;
-    let began = cluster.now;
+    let unreachable = cluster.workers.keys().next().cloned().expect("a worker");
+    cluster.workers.get_mut(&unreachable).expect("the worker").is_unreachable = true;
+    let unreachable_since = cluster.now;
     loop {
-        cluster.run_for_ms(presence_ms);
-        if absence_ms > 0 {
-            cluster.pause_leader_process(absence_ms);
+        cluster.run_for_ms(run_ms);
+        if pause_ms > 0 {
+            cluster.pause_leader_process(pause_ms);
         }
         let events = cluster.leader.as_mut().expect("a leader").take_worker_events();
         let timed_out = events.iter().find_map(|event| match event {
@@ -82,21 +84,21 @@
             _ => None,
         });
         if let Some(instance) = timed_out {
-            assert_eq!(instance, silent, "another one is not");
-            return (cluster.now - began) / MS;
+            assert_eq!(instance, unreachable, "another worker timed out");
+            return (cluster.now - unreachable_since) / MS;
         }
-        assert!(cluster.now - began < 20_000 * MS, "the silent worker is never found out");
+        assert!(cluster.now - unreachable_since < 20_000 * MS, "the unreachable worker is never detected");
     }
 }
 
 #[test]
-fn a_silent_worker_is_found_out_at_once_by_a_leader_that_is_in_time() {
-    let found_out = ms_until_timed_out(0, 5);
-    assert!(found_out <= 1_700, "{found_out} ms");
+fn detects_an_unreachable_worker_within_1700_ms() {
+    let detection_ms = unreachable_detection_ms(0, 5);
+    assert!(detection_ms <= 1_700, "{detection_ms} ms");
 }
 
 #[test]
-fn a_leader_that_is_always_late_still_finds_out_a_silent_worker() {
-    let found_out = ms_until_timed_out(100, 5);
-    assert!(found_out <= 5_000, "{found_out} ms");
+fn late_leader_detects_an_unreachable_worker_within_5_s() {
+    let detection_ms = unreachable_detection_ms(100, 5);
+    assert!(detection_ms <= 5_000, "{detection_ms} ms");
 }
--- a/crates/scheduler/tests/leader_reports.rs
+++ b/crates/scheduler/tests/leader_reports.rs
@@ -1,4 +1,4 @@
-//! The leader's reports of workers, queues and jobs, and its events.
+//! Reports on workers, queues and jobs, and worker events of the leader.
 
 mod cluster;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_job_that_runs_and_waits_reports_where_and_for_what() {
+fn job_report_shows_attempts_and_reasons_for_waiting() {
     let mut cluster = Cluster::new(1);
     cluster.run_for_ms(1_500);
     let stages = vec![stage(3, 2_000, 2_000), Stage { depends_on: vec![0], ..stage(1, 500, 300) }];
@@ -46,7 +46,7 @@
             assert_eq!(obstacles.len(), 1);
             assert_eq!((&obstacles[0].obstacle, obstacles[0].workers), (&Obstacle::NoCapacity, 1));
         }
-        other => panic!("one task waits for capacity, not {other:?}"),
+        other => panic!("expected one task that waits for capacity, not {other:?}"),
     }
     assert_eq!(report.steps[1].waiting, Waiting::Steps { steps: vec![0] });
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_load_and_the_work_of_a_leader_are_reported() {
+fn reports_load_and_work_of_the_leader() {
     let mut cluster = Cluster::new(1);
     cluster.run_for_ms(1_500);
     cluster.leader.as_mut().expect("a leader").take_work();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_job_that_fits_nowhere_reports_why() {
+fn job_report_shows_why_no_worker_fits() {
     let mut cluster = Cluster::new(2);
     cluster.run_for_ms(1_500);
     let labelled = Stage { constraint: "gpu-kind".to_owned(), ..stage(1, 500, 300) };
@@ -95,34 +95,34 @@
     assert_eq!(report.state, "pending");
     let obstacle = |step: usize| match &report.steps[step].waiting {
         Waiting::Worker { obstacles, .. } => obstacles[0].obstacle.clone(),
-        other => panic!("a worker, not {other:?}"),
+        other => panic!("expected to wait for a worker, not {other:?}"),
     };
     assert_eq!(obstacle(0), Obstacle::TooSmall);
     assert_eq!(obstacle(1), Obstacle::LacksLabel { label: "gpu-kind".to_owned() });
 }
 
 #[test]
-fn a_job_that_is_not_due_reports_when() {
+fn job_report_shows_the_due_time() {
     let mut cluster = Cluster::new(1);
     let start_at_ms = DAY_START_MS + 60_000;
     let later = JobSpec { start_at_ms, interval_ms: 1_000, repeat: 50, ..job(vec![stage(1, 500, 300)]) };
     cluster.submit("/a/", JOB, later);
     let report = job_report_of(&cluster, JOB);
-    assert_eq!(report.steps.len(), 1, "only the next of its times is reported");
+    assert_eq!(report.steps.len(), 1, "only the next repeat is reported");
     assert_eq!(report.steps[0].waiting, Waiting::DueTime { at_ms: start_at_ms });
 }
 
 #[test]
-fn a_worker_that_fails_everything_is_reported_as_ejected() {
+fn reports_a_failing_worker_as_ejected() {
     let mut cluster = Cluster::new(4);
     cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     let is_ejected = |cluster: &Cluster| {
         let workers = cluster.leader.as_ref().unwrap().workers_report(cluster.now).workers;
-        let Some(bad) = workers.iter().find(|worker| worker.instance == "i-2") else { return false };
-        let ejected = matches!(bad.obstacles[..], [WorkerObstacle::Ejected { left_ms: 1.. }, ..]);
+        let Some(failing) = workers.iter().find(|worker| worker.instance == "i-2") else { return false };
+        let ejected = matches!(failing.obstacles[..], [WorkerObstacle::Ejected { left_ms: 1.. }, ..]);
         assert!(
-            !ejected || (!bad.usable && bad.trust_percent < 100 && bad.consecutive_failures >= 3),
-            "{bad:?}"
+            !ejected || (!failing.usable && failing.trust_percent < 100 && failing.consecutive_failures >= 3),
+            "{failing:?}"
         );
         ejected
     };
@@ -131,12 +131,12 @@
     }
     assert!(cluster.run_until(20_000, is_ejected));
     let workers = cluster.leader.as_ref().unwrap().workers_report(cluster.now).workers;
-    let sound = workers.iter().filter(|worker| worker.obstacles.is_empty()).count();
-    assert_eq!((workers.len(), sound), (4, 3));
+    let healthy = workers.iter().filter(|worker| worker.obstacles.is_empty()).count();
+    assert_eq!((workers.len(), healthy), (4, 3));
 }
 
 #[test]
-fn ejections_and_timeouts_are_reported_as_events() {
+fn reports_ejections_and_timeouts_as_events() {
     let mut cluster = Cluster::new(4);
     cluster.workers.get_mut("i-2").unwrap().fails_all_runs = true;
     for number in 0..60 {
@@ -156,8 +156,8 @@
         })
         .collect();
     assert_eq!(ejection_times, [3_000], "{events:?}");
-    assert!(cluster.leader.as_mut().unwrap().take_worker_events().is_empty(), "each is given once");
-    // Attempts that ran there already when it was ejected fail as well: they prolong no ejection.
+    assert!(cluster.leader.as_mut().unwrap().take_worker_events().is_empty(), "each event is returned once");
+    // Failures of attempts that already ran on the worker when it was ejected do not extend the ejection.
     cluster.run_for_ms(2_000);
     let events = cluster.leader.as_mut().unwrap().take_worker_events();
     assert!(!events.iter().any(|event| matches!(event, WorkerEvent::Ejected { .. })), "{events:?}");
@@ -165,13 +165,13 @@
     cluster.crash_worker("i-1");
     cluster.run_for_ms(10_000);
     let events = cluster.leader.as_mut().unwrap().take_worker_events();
-    // The modelled worker stops responding; nothing says for certain that its incarnation has ended.
+    // The crashed worker stops responding, but nothing shows that its incarnation has ended.
     let timed_out = |event: &&WorkerEvent| matches!(event, WorkerEvent::TimedOut { instance, attempts: 1.. } if &**instance == "i-1");
     assert_eq!(events.iter().filter(timed_out).count(), 1, "{events:?}");
 }
 
 #[test]
-fn an_unknown_job_has_no_report() {
+fn unknown_job_has_no_report() {
     let cluster = Cluster::new(1);
     assert!(cluster.leader.as_ref().unwrap().job_report(&cluster.state, JOB, cluster.now).is_none());
 }
--- a/crates/scheduler/tests/leader_scripts.rs
+++ b/crates/scheduler/tests/leader_scripts.rs
@@ -1,4 +1,5 @@
-//! Random faults over random jobs: no start breaks a rule, and once the faults are over every job ends.
+//! Runs random jobs with random faults. No start may violate a guarantee, and after the faults every job must
+//! end.
 
 mod cluster;
 
@@ -41,38 +42,38 @@
     job
 }
 
-struct Play {
+struct Simulation {
     cluster: Cluster,
     random: fastrand::Rng,
     jobs: Vec<u64>,
     workers: usize,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut cluster = Cluster::new(WORKERS);
         cluster.set_seed(seed);
         Self { cluster, random: fastrand::Rng::with_seed(seed), jobs: Vec::new(), workers: WORKERS }
     }
 
-    fn any_worker(&mut self) -> String {
+    fn random_running_worker(&mut self) -> String {
         let up: Vec<&String> =
             self.cluster.workers.iter().filter(|(_, worker)| worker.is_up).map(|(id, _)| id).collect();
         up[self.random.usize(..up.len())].clone()
     }
 
-    fn replace(&mut self, instance: &str) {
+    fn replace_worker(&mut self, instance: &str) {
         self.cluster.crash_worker(instance);
         let number = self.workers;
         self.workers += 1;
         self.cluster.add_worker(&format!("i-{number}"), number, 4_000);
     }
 
-    fn fault(&mut self) {
-        let worker = self.any_worker();
+    fn inject_random_fault(&mut self) {
+        let worker = self.random_running_worker();
         match self.random.u8(..16) {
             0 | 1 => self.cluster.elect_leader(),
-            2 => self.replace(&worker),
+            2 => self.replace_worker(&worker),
             3 => self.cluster.workers.get_mut(&worker).unwrap().stalls_runs = true,
             4 => self.cluster.workers.get_mut(&worker).unwrap().fails_all_runs = true,
             5 => {
@@ -104,7 +105,7 @@
         let now_ms = DAY_START_MS + self.cluster.now / MS;
         let job = job(&mut self.random, now_ms);
         let prefix = if self.random.u8(..4) == 0 { "/u/" } else { "/a/" };
-        // Submitted until it is acknowledged, as clients do.
+        // Repeats the submission until it is acknowledged, as clients do.
         for _ in 0..5 {
             if self.cluster.submit(prefix, id, job.clone()).is_some() {
                 self.jobs.push(id);
@@ -114,8 +115,8 @@
         panic!("job {id:x} was never answered");
     }
 
-    /// No faults from now on.
-    fn calm(&mut self) {
+    /// Ends all faults of the network and the workers.
+    fn clear_faults(&mut self) {
         self.cluster.call_loss_percent = 0;
         for worker in self.cluster.workers.values_mut() {
             (worker.stalls_runs, worker.fails_all_runs) = (false, false);
@@ -123,49 +124,52 @@
         }
     }
 
-    fn open(&self) -> Vec<u64> {
+    fn open_jobs(&self) -> Vec<u64> {
         let is_open = |id: &&u64| matches!(self.cluster.job_state(**id), "pending" | "running");
         self.jobs.iter().filter(is_open).copied().collect()
     }
 }
 
-fn play(seed: u64) -> Result<(), String> {
-    let mut play = Play::new(seed);
+fn run_simulation(seed: u64) -> Result<(), String> {
+    let mut simulation = Simulation::new(seed);
     for _ in 0..40 {
-        if play.random.u8(..3) > 0 {
-            play.submit();
+        if simulation.random.u8(..3) > 0 {
+            simulation.submit();
         }
-        play.fault();
-        let pause = play.random.u64(50..600);
-        play.cluster.run_for_ms(pause);
+        simulation.inject_random_fault();
+        let pause = simulation.random.u64(50..600);
+        simulation.cluster.run_for_ms(pause);
     }
-    play.calm();
+    simulation.clear_faults();
     let all_ended = |cluster: &Cluster| {
-        let states = play.jobs.iter().map(|id| cluster.job_state(*id));
+        let states = simulation.jobs.iter().map(|id| cluster.job_state(*id));
         states.into_iter().all(|state| !matches!(state, "pending" | "running"))
     };
-    play.cluster.run_until(150_000, all_ended);
-    if !play.open().is_empty() {
-        return Err(format!("{:x?} did not end", play.open()));
+    simulation.cluster.run_until(150_000, all_ended);
+    if !simulation.open_jobs().is_empty() {
+        return Err(format!("jobs {:x?} did not end", simulation.open_jobs()));
     }
-    play.cluster.run_for_ms(15_000);
-    if !play.cluster.violations().is_empty() {
-        return Err(format!("{:?}", play.cluster.violations()));
+    simulation.cluster.run_for_ms(15_000);
+    if !simulation.cluster.violations().is_empty() {
+        return Err(format!("{:?}", simulation.cluster.violations()));
     }
-    if play.cluster.running() > 0 {
-        return Err("something still runs".to_owned());
+    if simulation.cluster.running() > 0 {
+        return Err("attempts still run after all jobs ended".to_owned());
     }
-    let occupied: u32 = play.cluster.state.workers().map(|worker| worker.active).sum();
-    let snapshot = play.cluster.state.snapshot();
+    let occupied: u32 = simulation.cluster.state.workers().map(|worker| worker.active).sum();
+    let snapshot = simulation.cluster.state.snapshot();
     if occupied > 0 || State::restore(&snapshot).expect("a complete snapshot").snapshot() != snapshot {
-        return Err(format!("{occupied} attempts are still on the books, or the snapshot differs"));
+        return Err(format!(
+            "{occupied} attempts are still recorded as active, or the restored snapshot differs"
+        ));
     }
     Ok(())
 }
 
 #[test]
-fn no_rule_is_broken_and_every_job_ends() {
-    let failed: Vec<String> =
-        (0..60).filter_map(|seed| play(seed).err().map(|error| format!("seed {seed}: {error}"))).collect();
+fn keeps_guarantees_and_ends_every_job_despite_faults() {
+    let failed: Vec<String> = (0..60)
+        .filter_map(|seed| run_simulation(seed).err().map(|error| format!("seed {seed}: {error}")))
+        .collect();
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
--- a/crates/scheduler/tests/leader_settings.rs
+++ b/crates/scheduler/tests/leader_settings.rs
@@ -1,17 +1,17 @@
-//! Settings that follow from the size of a deployment.
+//! Long-poll wait by number of workers and length of the worker lease.
 
 use configuration::Bounds;
 use scheduler::leader::LeaderSettings;
 
 #[test]
-fn few_workers_wait_as_set() {
+fn uses_the_configured_wait_for_few_workers() {
     let settings = LeaderSettings::from_bounds(&Bounds::default());
     assert_eq!(settings.long_poll_wait_ms_among(0), settings.long_poll_wait_ms);
     assert_eq!(settings.long_poll_wait_ms_among(48), settings.long_poll_wait_ms);
 }
 
 #[test]
-fn many_workers_answer_less_often_each_and_no_more_often_together() {
+fn limits_answers_of_many_workers_to_1000_per_second() {
     let settings = LeaderSettings::from_bounds(&Bounds::default());
     for workers in [500, 700, 1_000] {
         let answers_a_second = workers as u64 * 1_000 / settings.long_poll_wait_ms_among(workers);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn no_wait_takes_more_than_a_quarter_of_the_lease_or_a_second() {
+fn long_poll_wait_is_at_most_a_second_and_a_quarter_of_the_lease() {
     for max_worker_lease_ms in [0, 1_000, 2_000, 6_000, 60_000] {
         let settings = LeaderSettings::from_bounds(&Bounds { max_worker_lease_ms, ..Bounds::default() });
         let wait_ms = settings.long_poll_wait_ms_among(usize::MAX);
--- a/crates/scheduler/tests/leader_takeover.rs
+++ b/crates/scheduler/tests/leader_takeover.rs
@@ -1,5 +1,5 @@
-//! The first seconds of a new leader among many workers: no event costs more than a bounded amount of work,
-//! and workers that carry attempts are called before those that carry nothing.
+//! First seconds of a new leader with many workers. Each event must cause a bounded amount of work, and
+//! workers with attempts must be called before workers without attempts.
 
 mod cluster;
 
@@ -11,20 +11,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const WORKERS: usize = 1_100;
-/// Jobs that wait at the change of leaders.
+/// Number of jobs that wait when the new leader begins.
 const WAITING_JOBS: u64 = 400;
-/// Calls that one event may cause.
+/// Maximum number of calls that one event may cause.
 const MAX_CALLS_PER_EVENT: usize = 64;
-/// How often the shares of waiting steps may be computed for one list of instances.
-const MAX_REBUILDS_PER_LIST: u64 = 2;
-const LEASE: u64 = 10_000 * MS;
+/// Maximum number of times that one list of instances may update the shares of waiting steps.
+const MAX_SHARE_UPDATES_PER_LIST: u64 = 2;
+const LEADER_LEASE_NS: u64 = 10_000 * MS;
 
 fn job(count: u32, cpu: u64, est_runtime_ms: u64) -> JobSpec {
     let stage = Stage { count, cpu, mem_mb: 16, est_runtime_ms, ..Stage::default() };
     JobSpec { spec: "text".to_owned(), stages: vec![stage], ..JobSpec::default() }
 }
 
-/// A cluster in which attempts run on some workers, and jobs wait that no worker has capacity for.
+/// A cluster in which attempts run on 200 workers and jobs wait for which no worker has capacity.
 fn busy_cluster() -> Cluster {
     let mut cluster = Cluster::new(WORKERS);
     cluster.run_for_ms(3_000);
@@ -36,14 +36,14 @@
     cluster
 }
 
-/// What one event of a new leader caused.
+/// Calls and work caused by one event of a new leader.
 struct Turn {
     calls: Vec<(CallId, String)>,
     work: LeaderWork,
 }
 
-/// A new leader, played event by event.
-struct Takeover<'a> {
+/// A new leader that the test drives event by event.
+struct NewLeader<'a> {
     state: &'a State,
     leader: Leader,
     now: u64,
@@ -51,24 +51,24 @@
     turns: Vec<Turn>,
 }
 
-impl<'a> Takeover<'a> {
-    fn begin(cluster: &'a Cluster) -> Self {
-        Self::of(cluster, Leader::new(cluster.term + 1, settings(), &cluster.state, cluster.now, 1))
+impl<'a> NewLeader<'a> {
+    fn after_election(cluster: &'a Cluster) -> Self {
+        Self::with_leader(cluster, Leader::new(cluster.term + 1, settings(), &cluster.state, cluster.now, 1))
     }
 
-    fn of(cluster: &'a Cluster, leader: Leader) -> Self {
-        let mut takeover =
-            Takeover { state: &cluster.state, leader, now: cluster.now, wake_at: None, turns: Vec::new() };
-        takeover.leader.take_work();
-        takeover.tick();
-        takeover
+    fn with_leader(cluster: &'a Cluster, leader: Leader) -> Self {
+        let mut new_leader =
+            NewLeader { state: &cluster.state, leader, now: cluster.now, wake_at: None, turns: Vec::new() };
+        new_leader.leader.take_work();
+        new_leader.tick();
+        new_leader
     }
 
     fn handle(&mut self, input: Input) {
         self.now += 1_000;
         let mut out = Vec::new();
         self.leader.handle(self.state, self.now, input, &mut out);
-        self.leader.set_lease(self.now, self.now + LEASE);
+        self.leader.set_lease(self.now, self.now + LEADER_LEASE_NS);
         self.leader.flush(self.state, self.now, &mut out);
         let mut turn = Turn { calls: Vec::new(), work: self.leader.take_work() };
         for output in out {
@@ -86,7 +86,7 @@
         self.handle(Input::Tick { time_of_day_ms: DAY_START_MS + self.now / MS });
     }
 
-    /// Ticks for as long as the leader asks for one within `span` from now.
+    /// Delivers the ticks that the leader requests within the next `span` nanoseconds.
     fn tick_while_due(&mut self, span: u64) {
         let end = self.now + span;
         while let Some(at) = self.wake_at.filter(|at| *at <= end) {
@@ -100,20 +100,20 @@
         self.handle(Input::CallFinished { call, outcome });
     }
 
-    fn list(&mut self, cluster: &Cluster) {
+    fn deliver_list(&mut self, cluster: &Cluster) {
         let instances = cluster.workers.values().map(|worker| worker.instance.clone()).collect();
         self.handle(Input::Instances { instances, as_of: self.now, has_changed: true, is_last: true });
     }
 
-    fn called(&self) -> Vec<(CallId, String)> {
+    fn sent_calls(&self) -> Vec<(CallId, String)> {
         self.turns.iter().flat_map(|turn| turn.calls.iter().cloned()).collect()
     }
 
-    fn most_calls(&self) -> usize {
+    fn max_calls_per_turn(&self) -> usize {
         self.turns.iter().map(|turn| turn.calls.len()).max().unwrap_or(0)
     }
 
-    fn most_polls(&self) -> u64 {
+    fn max_polls_per_turn(&self) -> u64 {
         self.turns.iter().map(|turn| turn.work.sessions_polled).max().unwrap_or(0)
     }
 }
@@ -124,17 +124,25 @@
 }
 
 #[test]
-fn no_event_of_a_new_leader_calls_or_polls_all_workers() {
+fn bounds_calls_and_polls_of_each_event() {
     let cluster = busy_cluster();
-    let mut takeover = Takeover::begin(&cluster);
-    takeover.list(&cluster);
-    takeover.tick_while_due(50 * MS);
-    assert!(takeover.most_calls() <= MAX_CALLS_PER_EVENT, "{} calls in one event", takeover.most_calls());
-    assert!(takeover.most_polls() <= MAX_CALLS_PER_EVENT as u64, "{} polls", takeover.most_polls());
+    let mut new_leader = NewLeader::after_election(&cluster);
+    new_leader.deliver_list(&cluster);
+    new_leader.tick_while_due(50 * MS);
+    assert!(
+        new_leader.max_calls_per_turn() <= MAX_CALLS_PER_EVENT,
+        "{} calls in one event",
+        new_leader.max_calls_per_turn()
+    );
+    assert!(
+        new_leader.max_polls_per_turn() <= MAX_CALLS_PER_EVENT as u64,
+        "{} polls",
+        new_leader.max_polls_per_turn()
+    );
 }
 
 #[test]
-fn a_leader_that_is_built_in_slices_is_the_same_as_one_built_at_once() {
+fn recovery_in_slices_gives_the_same_leader() {
     let cluster = busy_cluster();
     let mut recovery = LeaderRecovery::new(cluster.term + 1, settings(), &cluster.state, cluster.now, 1);
     let mut slices = 1;
@@ -142,42 +150,45 @@
         slices += 1;
     }
     assert!(slices > WAITING_JOBS / 64, "{slices} slices");
-    let mut built = Takeover::of(&cluster, recovery.finish());
-    let mut at_once = Takeover::begin(&cluster);
-    for takeover in [&mut built, &mut at_once] {
-        takeover.list(&cluster);
-        takeover.tick_while_due(50 * MS);
+    let mut built_in_slices = NewLeader::with_leader(&cluster, recovery.finish());
+    let mut at_once = NewLeader::after_election(&cluster);
+    for new_leader in [&mut built_in_slices, &mut at_once] {
+        new_leader.deliver_list(&cluster);
+        new_leader.tick_while_due(50 * MS);
     }
-    assert_eq!(built.called(), at_once.called());
-    assert_eq!(built.leader.load_report(built.now), at_once.leader.load_report(at_once.now));
-    assert_eq!(built.leader.load_report(built.now).waiting_steps, WAITING_JOBS as usize);
+    assert_eq!(built_in_slices.sent_calls(), at_once.sent_calls());
+    assert_eq!(
+        built_in_slices.leader.load_report(built_in_slices.now),
+        at_once.leader.load_report(at_once.now)
+    );
+    assert_eq!(built_in_slices.leader.load_report(built_in_slices.now).waiting_steps, WAITING_JOBS as usize);
 }
 
 #[test]
-fn workers_that_carry_attempts_are_called_before_the_others() {
+fn calls_workers_with_attempts_first() {
     let cluster = busy_cluster();
     let busy = busy_workers(&cluster);
     assert!(busy.len() > MAX_CALLS_PER_EVENT);
-    let mut takeover = Takeover::begin(&cluster);
-    takeover.list(&cluster);
-    takeover.tick_while_due(50 * MS);
+    let mut new_leader = NewLeader::after_election(&cluster);
+    new_leader.deliver_list(&cluster);
+    new_leader.tick_while_due(50 * MS);
     let first: BTreeSet<String> =
-        takeover.called().into_iter().take(busy.len()).map(|(_, instance)| instance).collect();
+        new_leader.sent_calls().into_iter().take(busy.len()).map(|(_, instance)| instance).collect();
     assert_eq!(first, busy);
 }
 
 #[test]
-fn first_contacts_are_paced_by_answers_and_reach_every_worker() {
+fn first_contacts_are_paced_and_reach_every_worker() {
     let cluster = busy_cluster();
     let busy = busy_workers(&cluster);
-    let mut takeover = Takeover::begin(&cluster);
-    takeover.list(&cluster);
+    let mut new_leader = NewLeader::after_election(&cluster);
+    new_leader.deliver_list(&cluster);
     let mut answered = BTreeSet::new();
     let mut rounds = 0;
     while answered.len() < WORKERS {
-        takeover.tick_while_due(MS);
-        let open: BTreeMap<String, CallId> = takeover
-            .called()
+        new_leader.tick_while_due(MS);
+        let open: BTreeMap<String, CallId> = new_leader
+            .sent_calls()
             .into_iter()
             .filter(|(_, instance)| !answered.contains(instance))
             .map(|(call, instance)| (instance, call))
@@ -186,48 +197,50 @@
         let idle = open.keys().filter(|instance| !busy.contains(*instance)).count();
         assert!(idle <= MAX_CALLS_PER_EVENT, "{idle} first contacts in flight");
         for (instance, call) in open {
-            takeover.answer(&cluster, call, &instance);
+            new_leader.answer(&cluster, call, &instance);
             answered.insert(instance);
         }
         rounds += 1;
-        assert!(rounds < 100, "an answer lets the next worker be called at once");
+        assert!(rounds < 100, "answers do not lead to further first contacts");
     }
 }
 
 #[test]
-fn workers_that_do_not_answer_hold_up_first_contacts_for_a_moment_only() {
+fn missing_answers_do_not_block_first_contacts() {
     let cluster = busy_cluster();
-    let mut takeover = Takeover::begin(&cluster);
-    takeover.list(&cluster);
-    takeover.tick_while_due(2_500 * MS);
-    let called: BTreeSet<String> = takeover.called().into_iter().map(|(_, instance)| instance).collect();
-    assert_eq!(called.len(), WORKERS);
+    let mut new_leader = NewLeader::after_election(&cluster);
+    new_leader.deliver_list(&cluster);
+    new_leader.tick_while_due(2_500 * MS);
+    let sent_calls: BTreeSet<String> =
+        new_leader.sent_calls().into_iter().map(|(_, instance)| instance).collect();
+    assert_eq!(sent_calls.len(), WORKERS);
 }
 
 #[test]
-fn a_list_of_workers_that_have_answered_computes_the_shares_of_waiting_steps_once() {
+fn updates_shares_at_most_twice_for_a_list_of_answered_workers() {
     let cluster = busy_cluster();
-    let mut takeover = Takeover::begin(&cluster);
-    // The attempts' workers answer before the list has come, so that it brings them all into use at once.
-    takeover.tick_while_due(50 * MS);
-    let calls = takeover.called();
+    let mut new_leader = NewLeader::after_election(&cluster);
+    // Workers with attempts answer before the list arrives, so that the list makes all of them usable at
+    // once.
+    new_leader.tick_while_due(50 * MS);
+    let calls = new_leader.sent_calls();
     assert!(calls.len() >= 200);
     for (call, instance) in &calls {
-        takeover.answer(&cluster, *call, instance);
+        new_leader.answer(&cluster, *call, instance);
     }
-    takeover.list(&cluster);
-    let work = takeover.turns.last().expect("a turn").work;
-    assert!(work.share_updates >= 1, "workers came into use");
-    assert!(work.share_updates <= MAX_REBUILDS_PER_LIST, "{} times", work.share_updates);
+    new_leader.deliver_list(&cluster);
+    let work = new_leader.turns.last().expect("a turn").work;
+    assert!(work.share_updates >= 1, "the list made workers usable");
+    assert!(work.share_updates <= MAX_SHARE_UPDATES_PER_LIST, "{} updates", work.share_updates);
 }
 
 #[test]
-fn a_lease_that_is_back_polls_sessions_in_slices() {
+fn regained_lease_polls_sessions_in_slices() {
     let mut cluster = busy_cluster();
     cluster.run_for_ms(2_000);
-    let (now, leader) = (cluster.now + LEASE, cluster.leader.as_mut().expect("a leader"));
+    let (now, leader) = (cluster.now + LEADER_LEASE_NS, cluster.leader.as_mut().expect("a leader"));
     leader.take_work();
-    leader.set_lease(now, now + LEASE);
+    leader.set_lease(now, now + LEADER_LEASE_NS);
     let mut out = Vec::new();
     leader.handle(&cluster.state, now, Input::InstancesFailed, &mut out);
     let work = leader.take_work();
@@ -235,13 +248,13 @@
 }
 
 #[test]
-fn outcomes_that_come_twice_free_no_more_first_contacts() {
+fn duplicate_outcomes_free_no_further_first_contacts() {
     let cluster = busy_cluster();
-    let mut takeover = Takeover::begin(&cluster);
-    takeover.list(&cluster);
-    let (call, _) = takeover.called().first().cloned().expect("a call");
-    takeover.handle(Input::CallFinished { call, outcome: CallOutcome::NotSent });
-    takeover.handle(Input::CallFinished { call, outcome: CallOutcome::NoResponse });
-    takeover.tick_while_due(50 * MS);
-    assert!(takeover.most_calls() <= MAX_CALLS_PER_EVENT);
+    let mut new_leader = NewLeader::after_election(&cluster);
+    new_leader.deliver_list(&cluster);
+    let (call, _) = new_leader.sent_calls().first().cloned().expect("a call");
+    new_leader.handle(Input::CallFinished { call, outcome: CallOutcome::NotSent });
+    new_leader.handle(Input::CallFinished { call, outcome: CallOutcome::NoResponse });
+    new_leader.tick_while_due(50 * MS);
+    assert!(new_leader.max_calls_per_turn() <= MAX_CALLS_PER_EVENT);
 }
--- a/crates/scheduler/tests/leader_workers.rs
+++ b/crates/scheduler/tests/leader_workers.rs
@@ -1,4 +1,4 @@
-//! What a leader does about workers that stop responding, stall, or run only long-running tasks.
+//! Treatment of workers that stop responding, stall, or run only long-running tasks.
 
 mod cluster;
 
@@ -17,45 +17,46 @@
 }
 
 /// A cluster of two workers, one of which stops responding as soon as the job runs on it.
-fn with_unresponsive_worker(stage: Stage) -> Cluster {
+fn cluster_with_unresponsive_worker(stage: Stage) -> Cluster {
     let mut cluster = Cluster::new(2);
-    // Lease renewals of earlier leaders must not count.
+    // Waits until no worker lease of an earlier leader can be in force.
     cluster.run_for_ms(8_000);
     cluster.send_job("/a/", JOB, job(vec![stage]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() > 0));
     cluster.run_for_ms(100);
     let busy = cluster.workers.iter().find(|(_, worker)| !worker.running.is_empty());
-    let busy = busy.map(|(id, _)| id.clone()).expect("the job runs somewhere");
+    let busy = busy.map(|(id, _)| id.clone()).expect("the job runs on a worker");
     cluster.workers.get_mut(&busy).unwrap().is_unreachable = true;
     cluster
 }
 
 #[test]
-fn a_short_task_on_an_unresponsive_worker_runs_elsewhere_before_the_longest_lease_expires() {
-    let mut cluster = with_unresponsive_worker(stage(1, 1_000, 600));
-    assert!(cluster.run_until_state(JOB, "completed", 4_500), "the longest hold is 6 s");
+fn reruns_short_task_before_the_longest_lease_expires() {
+    let mut cluster = cluster_with_unresponsive_worker(stage(1, 1_000, 600));
+    assert!(cluster.run_until_state(JOB, "completed", 4_500), "the longest worker lease is 6 s");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_long_running_task_keeps_the_longest_lease() {
-    let mut cluster = with_unresponsive_worker(Stage { long_running: true, ..stage(1, 1_000, 600) });
+fn long_running_task_keeps_the_longest_lease() {
+    let mut cluster = cluster_with_unresponsive_worker(Stage { long_running: true, ..stage(1, 1_000, 600) });
     cluster.run_for_ms(4_500);
-    let timed_out = cluster.workers.values().find(|worker| worker.is_unreachable).expect("one is silent");
-    assert_eq!(timed_out.running.len(), 1, "it has not lapsed");
-    assert_eq!(cluster.running(), 1, "and was not started elsewhere");
+    let timed_out =
+        cluster.workers.values().find(|worker| worker.is_unreachable).expect("one worker is unreachable");
+    assert_eq!(timed_out.running.len(), 1, "its lease has not expired");
+    assert_eq!(cluster.running(), 1, "the task was not started on another worker");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_copy_starts_as_soon_as_a_response_is_overdue() {
-    let mut cluster = with_unresponsive_worker(Stage { speculative: true, ..stage(1, 1_000, 600) });
+fn starts_a_speculative_copy_when_a_response_is_overdue() {
+    let mut cluster = cluster_with_unresponsive_worker(Stage { speculative: true, ..stage(1, 1_000, 600) });
     assert!(cluster.run_until_state(JOB, "completed", 2_400));
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_stalled_attempt_is_moved_within_a_second_or_two() {
+fn moves_a_stalled_attempt_soon() {
     let mut cluster = Cluster::new(2);
     // Stalls are only detected once some attempt has reported progress.
     cluster.send_job("/a/", JOB, job(vec![stage(4, 2_000, 1_500)]));
@@ -66,7 +67,7 @@
     cluster.send_job("/a/", JOB + 1, job(vec![stage(1, 1_000, 800)]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() > 0));
     let stalled = cluster.workers.iter().find(|(_, worker)| !worker.running.is_empty());
-    let stalled = stalled.map(|(id, _)| id.clone()).expect("it runs somewhere");
+    let stalled = stalled.map(|(id, _)| id.clone()).expect("the job runs on a worker");
     for (id, worker) in &mut cluster.workers {
         worker.stalls_runs = *id == stalled;
     }
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn workers_with_only_long_running_tasks_are_asked_less_often() {
+fn queries_workers_with_only_long_running_tasks_less_often() {
     let calls_in_10_s = |long_running: bool| {
         let mut cluster = Cluster::new(1);
         cluster.send_job("/a/", JOB, job(vec![Stage { long_running, ..stage(1, 1_000, 60_000) }]));
@@ -84,17 +85,20 @@
         cluster.run_for_ms(10_000);
         cluster.calls - before
     };
-    let (lasting, running) = (calls_in_10_s(true), calls_in_10_s(false));
-    assert!(lasting <= 12 && lasting < running, "{lasting} and {running}");
+    let (long_running_calls, ordinary_calls) = (calls_in_10_s(true), calls_in_10_s(false));
+    assert!(
+        long_running_calls <= 12 && long_running_calls < ordinary_calls,
+        "{long_running_calls} and {ordinary_calls} calls"
+    );
 }
 
 #[test]
-fn a_new_incarnation_of_another_kind_at_the_same_address_gets_what_that_kind_may_run() {
+fn new_incarnation_at_the_same_address_gets_tasks_of_its_own_label() {
     let with_label = |label: &str| job(vec![Stage { constraint: label.to_owned(), ..stage(1, 1_000, 500) }]);
     let mut cluster = Cluster::new(1);
     cluster.send_job("/a/", JOB, with_label("b"));
     cluster.run_for_ms(2_000);
-    assert_eq!(cluster.running(), 0, "no worker is of kind b");
+    assert_eq!(cluster.running(), 0, "no worker has the label b");
     cluster.crash_worker("i-0");
     cluster.workers.remove("i-0");
     cluster.add_worker("i-9", 0, 4_000);
@@ -102,12 +106,12 @@
     assert!(cluster.run_until_state(JOB, "completed", 6_000));
     cluster.send_job("/a/", JOB + 1, with_label("a"));
     cluster.run_for_ms(3_000);
-    assert_eq!(cluster.job_state(JOB + 1), "pending", "no worker is of kind a any more");
+    assert_eq!(cluster.job_state(JOB + 1), "pending", "no worker has the label a any more");
     cluster.assert_no_violations();
 }
 
 #[test]
-fn a_leader_that_is_woken_early_asks_for_its_wake_up_again() {
+fn early_tick_requests_the_wake_up_again() {
     let mut cluster = Cluster::new(1);
     cluster.run_for_ms(3_000);
     let now = cluster.now;
--- a/crates/scheduler/tests/lease_rules.rs
+++ b/crates/scheduler/tests/lease_rules.rs
@@ -1,4 +1,4 @@
-//! Answers that tell of the newest state need the leader's lease; what is committed does not.
+//! Replies that depend on the newest state need the leader's lease. Replies about committed commands do not.
 
 use messages::peer::{ClientReply, Outcome};
 use scheduler::leader::{client_reply_under_lease, ConfigurationReply};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn rejections_and_states_for_clients_need_the_lease() {
+fn client_rejections_and_states_need_the_lease() {
     let state_replies = [
         Outcome::STATE,
         Outcome::COUNT,
@@ -26,25 +26,28 @@
 }
 
 #[test]
-fn what_is_committed_or_not_certain_needs_no_lease() {
-    let lasting = [Outcome::ACCEPTED, Outcome::CANCEL_DONE, Outcome::UNSURE, Outcome::NOT_LEADER];
-    for outcome in lasting {
+fn committed_and_uncertain_replies_need_no_lease() {
+    let independent_replies = [Outcome::ACCEPTED, Outcome::CANCEL_DONE, Outcome::UNSURE, Outcome::NOT_LEADER];
+    for outcome in independent_replies {
         assert_eq!(client_reply_under_lease(reply(outcome), false), reply(outcome));
     }
 }
 
 #[test]
-fn rejections_and_bodies_for_the_operator_need_the_lease() {
+fn operator_rejections_and_bodies_need_the_lease() {
     let text = || "text".to_owned();
     let state_replies = [
         ConfigurationReply::Conflict { text: text() },
-        // A version may be above the newest elsewhere.
+        // The version may be valid at another leader, whose newest version differs.
         ConfigurationReply::Invalid { text: text() },
         ConfigurationReply::Body { version: 1, body: Vec::new() },
     ];
     for reply in state_replies {
         let without = reply.clone().under_lease(false);
-        assert!(matches!(without, ConfigurationReply::Unavailable { .. }), "{reply:?} leaves as {without:?}");
+        assert!(
+            matches!(without, ConfigurationReply::Unavailable { .. }),
+            "{reply:?} is sent as {without:?}"
+        );
         assert_eq!(reply.clone().under_lease(true), reply);
     }
     assert_eq!(ConfigurationReply::Accepted.under_lease(false), ConfigurationReply::Accepted);
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -1,5 +1,5 @@
-//! Placement on its own: nothing past a capacity, a label or an anti-affinity, complete gangs, cheap
-//! preemption.
+//! Placement without a leader: respects capacities, labels and anti-affinity, places gangs completely, and
+//! preempts at the lowest cost.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use scheduler::ids::{AttemptKey, StepKey, TaskKey};
@@ -39,7 +39,7 @@
     }
 }
 
-/// Workers 0, 1, .. of one size, two to a rack.
+/// A fleet of workers with keys from 0 and equal capacity, two per rack.
 fn fleet(workers: u64, capacity: Resources) -> Fleet {
     let mut fleet = Fleet::new();
     for key in 0..workers {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn packed_tasks_go_where_most_of_them_fit_and_stay_there() {
+fn packs_tasks_of_a_step_on_one_worker() {
     let mut fleet = fleet(3, resources(8000, 8000, 0));
     fleet.reserve(0, OTHER_STEP, resources(5000, 1000, 0));
     fleet.reserve(1, OTHER_STEP, resources(1000, 1000, 0));
@@ -61,18 +61,22 @@
     assert_eq!(
         fleet.place(&demand(resources(2000, 100, 0))),
         Some(0),
-        "alone: where the least capacity is left"
+        "a single task goes to the worker with the least capacity left"
     );
-    assert_eq!(fleet.place(&task), Some(2), "all four fit");
+    assert_eq!(fleet.place(&task), Some(2), "all four tasks fit");
     fleet.reserve(2, STEP, resources(2000, 100, 0));
-    assert_eq!(fleet.place(&Demand { tasks_to_pack: 3, ..task }), Some(2), "one of the step is there");
+    assert_eq!(
+        fleet.place(&Demand { tasks_to_pack: 3, ..task }),
+        Some(2),
+        "the worker already runs a task of the step"
+    );
     assert_eq!(fleet.place(&Demand { tasks_to_pack: 1, step: OTHER_STEP, ..task }), Some(0));
     let apart = Demand { anti_affinity: Some(1), ..task };
-    assert_eq!(fleet.place(&apart), Some(0), "no worker may have more than one");
+    assert_eq!(fleet.place(&apart), Some(0), "a worker may run at most one task of the step");
 }
 
 #[test]
-fn the_fullest_worker_that_fits_is_taken_so_that_large_holes_stay() {
+fn prefers_the_fullest_worker_that_fits() {
     let mut fleet = fleet(3, resources(8000, 8000, 0));
     fleet.reserve(1, OTHER_STEP, resources(5000, 1000, 0));
     fleet.reserve(2, OTHER_STEP, resources(7000, 1000, 0));
@@ -83,7 +87,7 @@
 }
 
 #[test]
-fn a_task_without_gpus_leaves_them_free_where_there_is_a_choice() {
+fn task_without_gpu_avoids_gpu_workers() {
     let mut fleet = Fleet::new();
     fleet.upsert(0, worker(resources(8000, 8000, 4), "r0"));
     fleet.upsert(1, worker(resources(16000, 16000, 0), "r0"));
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn a_task_goes_to_the_rack_of_its_data_and_elsewhere_only_if_that_is_full() {
+fn prefers_the_rack_of_the_data() {
     let mut fleet = fleet(6, resources(4000, 4000, 0));
     let near = Demand { affinity: Some("r2"), ..demand(resources(3000, 1, 0)) };
     assert_eq!(fleet.place(&near), Some(4));
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn a_clearly_slower_or_less_trusted_worker_comes_last() {
+fn slow_and_failing_workers_are_chosen_last() {
     let mut fleet = Fleet::new();
     let slow = WorkerFacts { pace: 0.3, ..worker(resources(4000, 4000, 0), "r0") };
     let failing = WorkerFacts { success_rate: 0.1, ..worker(resources(4000, 4000, 0), "r0") };
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn a_worker_to_be_avoided_is_taken_only_where_no_other_suits() {
+fn avoided_worker_is_chosen_last() {
     let mut fleet = fleet(2, resources(4000, 4000, 0));
     let task = Demand { avoid: &[0], ..demand(resources(3000, 1, 0)) };
     assert_eq!(fleet.place(&task), Some(1));
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn labels_and_usability_bind() {
+fn places_only_on_usable_workers_with_the_label() {
     let mut fleet = fleet(2, resources(4000, 4000, 0));
     let task = Demand { constraint: Some("r1"), ..demand(resources(1, 1, 0)) };
     let impossible = Demand { constraint: Some("b"), ..task };
@@ -140,7 +144,7 @@
     assert!(!fleet.could_ever_fit(&task) && !fleet.could_ever_fit(&impossible));
     fleet.upsert(7, WorkerFacts { usable: false, ..worker(resources(4000, 4000, 0), "r1") });
     assert_eq!(fleet.place(&task), None);
-    assert!(fleet.could_ever_fit(&task), "it may become usable");
+    assert!(fleet.could_ever_fit(&task), "the worker may become usable");
     fleet.upsert(7, worker(resources(4000, 4000, 0), "r1"));
     assert_eq!(fleet.place(&task), Some(7));
     assert!(fleet.remove(7));
@@ -148,7 +152,7 @@
 }
 
 #[test]
-fn anti_affinity_counts_the_tasks_of_the_same_step_only() {
+fn anti_affinity_counts_tasks_of_the_same_step_only() {
     let mut fleet = fleet(1, resources(9000, 9000, 0));
     let task = Demand { anti_affinity: Some(2), ..demand(resources(1000, 1, 0)) };
     fleet.reserve(0, OTHER_STEP, task.need);
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn what_is_released_must_have_been_reserved() {
+fn rejects_releases_without_a_reservation() {
     let mut fleet = fleet(1, resources(9000, 9000, 0));
     assert!(!fleet.release(0, STEP, resources(1, 1, 0)));
     assert!(!fleet.release(5, STEP, resources(1, 1, 0)));
@@ -174,7 +178,7 @@
 }
 
 #[test]
-fn a_capacity_that_shrinks_below_what_is_reserved_leaves_nothing_free() {
+fn capacity_below_the_reservations_leaves_nothing_free() {
     let mut fleet = fleet(1, resources(9000, 9000, 0));
     fleet.reserve(0, STEP, resources(8000, 1000, 0));
     fleet.upsert(0, worker(resources(4000, 9000, 0), "r0"));
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn a_rack_local_gang_is_placed_in_one_rack_or_not_at_all() {
+fn places_a_rack_local_gang_in_one_rack() {
     let mut fleet = fleet(6, resources(4000, 4000, 0));
     let gang = Demand { rack_local: true, ..demand(resources(2000, 1, 0)) };
     assert_eq!(fleet.place_gang(&gang, 4), Some(vec![0, 0, 1, 1]));
@@ -195,13 +199,17 @@
     fleet.reserve(2, OTHER_STEP, resources(1000, 0, 0));
     assert_eq!(fleet.place_gang(&gang, 4), Some(vec![4, 4, 5, 5]));
     let tight = fleet.place_gang(&gang, 3);
-    assert_eq!(tight, Some(vec![0, 0, 1]), "a rack with just the capacity keeps the empty rack free");
+    assert_eq!(
+        tight,
+        Some(vec![0, 0, 1]),
+        "the rack with just enough capacity is preferred to the empty rack"
+    );
     let near = Demand { affinity: Some("r2"), ..gang };
     assert_eq!(fleet.place_gang(&near, 3), Some(vec![4, 4, 5]));
 }
 
 #[test]
-fn a_gang_spreads_over_few_racks_from_that_of_its_data() {
+fn gang_fills_the_rack_of_its_data_first() {
     let mut fleet = fleet(6, resources(4000, 4000, 0));
     fleet.reserve(0, OTHER_STEP, resources(4000, 0, 0));
     let gang = Demand { affinity: Some("r0"), ..demand(resources(2000, 1, 0)) };
@@ -213,7 +221,7 @@
 }
 
 #[test]
-fn an_ejected_worker_is_taken_only_as_the_last_resort() {
+fn ejected_worker_is_a_last_resort() {
     let mut fleet = fleet(2, resources(4000, 4000, 0));
     let ejected = WorkerFacts { usable: false, ejected: true, ..worker(resources(4000, 4000, 0), "r1") };
     fleet.upsert(7, WorkerFacts { labels: vec!["only".to_owned()], ..ejected });
@@ -231,11 +239,11 @@
     assert_eq!(fleet.place_gang_as_last_resort(&gang, 2), None);
     fleet.reserve(7, STEP, resources(3000, 1, 0));
     assert_eq!(fleet.place_as_last_resort(&labelled), None);
-    assert!(fleet.may_fit_ejected(&labelled), "once it has the capacity");
+    assert!(fleet.may_fit_ejected(&labelled), "the worker fits once capacity is released");
 }
 
 #[test]
-fn a_gang_heeds_anti_affinity_and_avoids_slow_members() {
+fn gang_respects_anti_affinity_and_avoids_slow_workers() {
     let mut fleet = fleet(4, resources(8000, 8000, 0));
     fleet.upsert(0, WorkerFacts { pace: 0.2, ..worker(resources(8000, 8000, 0), "r0") });
     let gang = Demand { anti_affinity: Some(1), ..demand(resources(1000, 1, 0)) };
@@ -246,7 +254,7 @@
 }
 
 #[test]
-fn the_cheapest_victims_on_one_worker_are_preempted() {
+fn preempts_the_cheapest_attempts_of_one_worker() {
     let mut fleet = fleet(2, resources(8000, 8000, 0));
     let victim = |worker, index, cpu, cost| {
         let need = resources(cpu, 100, 0);
@@ -263,7 +271,7 @@
     assert_eq!(
         fleet.preempt(&medium, &victims),
         Some(Preemption { worker: 1, attempts: vec![attempt(3)] }),
-        "the cheap one isn't needed"
+        "stopping the cheaper attempt is not necessary"
     );
     let entire = demand(resources(8000, 1, 0));
     assert_eq!(
@@ -285,7 +293,7 @@
     pace: f64,
 }
 
-/// A task, or a gang, of a random script.
+/// A task or gang with random requirements.
 #[derive(Clone, Debug)]
 struct RandomTask {
     need: Resources,
@@ -297,17 +305,17 @@
     count: usize,
 }
 
-fn below(g: &mut Gen, bound: u64) -> u64 {
+fn random_below(g: &mut Gen, bound: u64) -> u64 {
     u64::arbitrary(g) % bound
 }
 
 impl Arbitrary for RandomWorker {
     fn arbitrary(g: &mut Gen) -> Self {
         RandomWorker {
-            capacity: resources(below(g, 20), below(g, 20), below(g, 5)),
-            rack: (below(g, 5) > 0).then(|| below(g, 4) as u8),
-            label: below(g, 3) as u8,
-            usable: below(g, 8) > 0,
+            capacity: resources(random_below(g, 20), random_below(g, 20), random_below(g, 5)),
+            rack: (random_below(g, 5) > 0).then(|| random_below(g, 4) as u8),
+            label: random_below(g, 3) as u8,
+            usable: random_below(g, 8) > 0,
             pace: *g.choose(&[1.0, 0.9, 0.4, 0.0, f64::NAN, 3.0]).unwrap_or(&1.0),
         }
     }
@@ -316,25 +324,25 @@
 impl Arbitrary for RandomTask {
     fn arbitrary(g: &mut Gen) -> Self {
         RandomTask {
-            need: resources(below(g, 8), below(g, 8), below(g, 3)),
-            label: bool::arbitrary(g).then(|| below(g, 4) as u8),
-            rack: bool::arbitrary(g).then(|| below(g, 5) as u8),
-            anti_affinity: bool::arbitrary(g).then(|| below(g, 4) as u32),
-            step: below(g, 3) as u32,
+            need: resources(random_below(g, 8), random_below(g, 8), random_below(g, 3)),
+            label: bool::arbitrary(g).then(|| random_below(g, 4) as u8),
+            rack: bool::arbitrary(g).then(|| random_below(g, 5) as u8),
+            anti_affinity: bool::arbitrary(g).then(|| random_below(g, 4) as u32),
+            step: random_below(g, 3) as u32,
             rack_local: bool::arbitrary(g),
-            count: below(g, 7) as usize,
+            count: random_below(g, 7) as usize,
         }
     }
 }
 
-/// A random fleet with a plain account of what is reserved.
-struct Script {
+/// A fleet with random workers, and a simple model of its reservations.
+struct ModelledFleet {
     workers: Vec<RandomWorker>,
     fleet: Fleet,
     reserved: BTreeMap<WorkerKey, Vec<(StepKey, Resources)>>,
 }
 
-impl Script {
+impl ModelledFleet {
     fn new(workers: Vec<RandomWorker>) -> Self {
         let mut fleet = Fleet::new();
         for (key, random) in workers.iter().enumerate() {
@@ -350,7 +358,7 @@
             };
             fleet.upsert(key as WorkerKey, facts);
         }
-        Script { workers, fleet, reserved: BTreeMap::new() }
+        ModelledFleet { workers, fleet, reserved: BTreeMap::new() }
     }
 
     fn free(&self, key: WorkerKey) -> Resources {
@@ -358,14 +366,14 @@
         used.fold(self.workers[key as usize].capacity, |free, (_, need)| free.minus(*need))
     }
 
-    /// Whether the plain account lets a task of these terms onto the worker.
+    /// Whether the task may be placed on the worker according to the model.
     fn allows(&self, key: WorkerKey, task: &RandomTask) -> bool {
         let random = &self.workers[key as usize];
         let reserved = self.reserved.get(&key).into_iter().flatten();
-        let same = reserved.filter(|(step, _)| step.step == task.step).count();
+        let tasks_of_step = reserved.filter(|(step, _)| step.step == task.step).count();
         random.usable
             && task.label.is_none_or(|label| label == random.label)
-            && task.anti_affinity.is_none_or(|most| same < most as usize)
+            && task.anti_affinity.is_none_or(|most| tasks_of_step < most as usize)
             && task.need.fits_in(self.free(key))
     }
 
@@ -379,15 +387,15 @@
         0..self.workers.len() as WorkerKey
     }
 
-    fn sums_agree(&self) -> bool {
+    fn totals_match(&self) -> bool {
         let usable = || self.keys().filter(|key| self.workers[*key as usize].usable);
         let total = usable().fold(Resources::ZERO, |sum, key| sum.plus(self.workers[key as usize].capacity));
         let free = usable().fold(Resources::ZERO, |sum, key| sum.plus(self.free(key)));
         (self.fleet.total(), self.fleet.free()) == (total, free)
     }
 
-    /// Whether the workers chosen can take one member each, in turn; reserves them.
-    fn take_all(&mut self, keys: &[WorkerKey], task: &RandomTask) -> bool {
+    /// Reserves a task on each of these workers in turn. Returns whether all of them were allowed.
+    fn reserve_all(&mut self, keys: &[WorkerKey], task: &RandomTask) -> bool {
         keys.iter().all(|key| {
             let allowed = self.allows(*key, task);
             self.reserve(*key, task);
@@ -395,11 +403,11 @@
         })
     }
 
-    /// Whether a gang fits on these workers, by filling each of them.
+    /// Whether a gang fits on these workers, found by filling one worker after the other.
     fn gang_fits(&self, keys: &[WorkerKey], task: &RandomTask) -> bool {
-        // The account alone is used: the fleet stays empty.
+        // Only the model is used, the fleet stays empty.
         let (workers, reserved) = (self.workers.clone(), self.reserved.clone());
-        let mut trial = Script { workers, fleet: Fleet::new(), reserved };
+        let mut trial = ModelledFleet { workers, fleet: Fleet::new(), reserved };
         let mut placed = 0;
         for key in keys {
             while placed < task.count && trial.allows(*key, task) {
@@ -410,7 +418,7 @@
         placed == task.count
     }
 
-    /// The workers rack by rack; those of an unknown rack each alone.
+    /// The workers by rack. A worker without a rack forms a group of its own.
     fn racks(&self) -> Vec<Vec<WorkerKey>> {
         let mut racks: BTreeMap<(Option<u8>, WorkerKey), Vec<WorkerKey>> = BTreeMap::new();
         for key in self.keys() {
@@ -438,110 +446,115 @@
 }
 
 #[test]
-fn a_task_is_placed_where_it_may_be_and_whenever_it_may_be_somewhere() {
-    fn holds(workers: Vec<RandomWorker>, tasks: Vec<RandomTask>) -> bool {
-        let mut script = Script::new(workers);
+fn places_a_task_exactly_if_some_worker_is_allowed() {
+    fn property(workers: Vec<RandomWorker>, tasks: Vec<RandomTask>) -> bool {
+        let mut model = ModelledFleet::new(workers);
         tasks.iter().all(|task| {
-            let chosen = with_demand(task, |demand| script.fleet.place(demand));
-            let possible = script.keys().any(|key| script.allows(key, task));
-            let right = match chosen {
-                Some(key) => script.take_all(&[key], task),
+            let chosen = with_demand(task, |demand| model.fleet.place(demand));
+            let possible = model.keys().any(|key| model.allows(key, task));
+            let is_correct = match chosen {
+                Some(key) => model.reserve_all(&[key], task),
                 None => !possible,
             };
-            right && script.sums_agree()
+            is_correct && model.totals_match()
         })
     }
-    QuickCheck::new().tests(1000).quickcheck(holds as fn(Vec<RandomWorker>, Vec<RandomTask>) -> bool);
+    QuickCheck::new().tests(1000).quickcheck(property as fn(Vec<RandomWorker>, Vec<RandomTask>) -> bool);
 }
 
 #[test]
-fn a_gang_is_placed_completely_or_not_at_all() {
-    fn holds(workers: Vec<RandomWorker>, gangs: Vec<RandomTask>) -> bool {
-        let mut script = Script::new(workers);
+fn places_a_gang_completely_or_not_at_all() {
+    fn property(workers: Vec<RandomWorker>, gangs: Vec<RandomTask>) -> bool {
+        let mut model = ModelledFleet::new(workers);
         gangs.iter().all(|gang| {
-            let chosen = with_demand(gang, |demand| script.fleet.place_gang(demand, gang.count));
+            let chosen = with_demand(gang, |demand| model.fleet.place_gang(demand, gang.count));
             let Some(members) = chosen else {
-                let anywhere: Vec<WorkerKey> = script.keys().collect();
-                let groups = if gang.rack_local { script.racks() } else { vec![anywhere] };
-                let known = gang.label.is_none_or(|label| script.workers.iter().any(|w| w.label == label));
-                return !known || !groups.iter().any(|keys| script.gang_fits(keys, gang));
+                let anywhere: Vec<WorkerKey> = model.keys().collect();
+                let groups = if gang.rack_local { model.racks() } else { vec![anywhere] };
+                let known = gang.label.is_none_or(|label| model.workers.iter().any(|w| w.label == label));
+                return !known || !groups.iter().any(|keys| model.gang_fits(keys, gang));
             };
-            let racks = script.racks();
+            let racks = model.racks();
             let spread: BTreeSet<usize> =
                 members.iter().filter_map(|key| racks.iter().position(|rack| rack.contains(key))).collect();
             let together = !gang.rack_local || spread.len() <= 1;
-            members.len() == gang.count && together && script.take_all(&members, gang) && script.sums_agree()
+            members.len() == gang.count
+                && together
+                && model.reserve_all(&members, gang)
+                && model.totals_match()
         })
     }
-    QuickCheck::new().tests(1000).quickcheck(holds as fn(Vec<RandomWorker>, Vec<RandomTask>) -> bool);
+    QuickCheck::new().tests(1000).quickcheck(property as fn(Vec<RandomWorker>, Vec<RandomTask>) -> bool);
 }
 
 #[test]
-fn preemption_frees_enough_on_one_worker_and_stops_nothing_needlessly() {
-    fn holds(workers: Vec<RandomWorker>, running: Vec<RandomTask>, task: RandomTask) -> bool {
-        let mut script = Script::new(workers);
+fn preemption_frees_enough_and_stops_nothing_needlessly() {
+    fn property(workers: Vec<RandomWorker>, running: Vec<RandomTask>, task: RandomTask) -> bool {
+        let mut model = ModelledFleet::new(workers);
         let mut victims = Vec::new();
         for (index, random) in running.iter().enumerate() {
-            let Some(worker) = with_demand(random, |demand| script.fleet.place(demand)) else { continue };
-            script.reserve(worker, random);
+            let Some(worker) = with_demand(random, |demand| model.fleet.place(demand)) else { continue };
+            model.reserve(worker, random);
             let cost = (index * 7 % 5) as f64;
             victims.push(Victim { worker, attempt: attempt(index as u32), need: random.need, cost });
         }
         let Some(Preemption { worker, attempts: chosen }) =
-            with_demand(&task, |demand| script.fleet.preempt(demand, &victims))
+            with_demand(&task, |demand| model.fleet.preempt(demand, &victims))
         else {
             return true;
         };
         let fits = |spared: Option<AttemptKey>| {
             let stopped = victims.iter().filter(|victim| chosen.contains(&victim.attempt));
             let stopped = stopped.filter(|victim| Some(victim.attempt) != spared);
-            let freed = stopped.fold(script.free(worker), |free, victim| free.plus(victim.need));
+            let freed = stopped.fold(model.free(worker), |free, victim| free.plus(victim.need));
             task.need.fits_in(freed)
         };
-        let here = |attempt: &AttemptKey| {
+        let is_on_chosen_worker = |attempt: &AttemptKey| {
             victims.iter().any(|victim| victim.attempt == *attempt && victim.worker == worker)
         };
-        chosen.iter().all(here) && fits(None) && chosen.iter().all(|attempt| !fits(Some(*attempt)))
+        chosen.iter().all(is_on_chosen_worker)
+            && fits(None)
+            && chosen.iter().all(|attempt| !fits(Some(*attempt)))
     }
-    let holds = holds as fn(Vec<RandomWorker>, Vec<RandomTask>, RandomTask) -> bool;
-    QuickCheck::new().tests(1000).quickcheck(holds);
+    let property = property as fn(Vec<RandomWorker>, Vec<RandomTask>, RandomTask) -> bool;
+    QuickCheck::new().tests(1000).quickcheck(property);
 }
 
 #[test]
-fn a_task_that_could_ever_fit_is_placed_on_an_empty_usable_fleet() {
-    fn holds(workers: Vec<RandomWorker>, task: RandomTask) -> bool {
+fn task_that_could_ever_fit_is_placed_on_an_empty_fleet() {
+    fn property(workers: Vec<RandomWorker>, task: RandomTask) -> bool {
         let usable = workers.into_iter().map(|random| RandomWorker { usable: true, ..random }).collect();
-        let script = Script::new(usable);
-        let fits = with_demand(&task, |demand| script.fleet.could_ever_fit(demand));
-        let gang_fits = with_demand(&task, |demand| script.fleet.could_ever_fit_gang(demand, task.count));
-        let placed = with_demand(&task, |demand| script.fleet.place(demand)).is_some();
-        let gang = with_demand(&task, |demand| script.fleet.place_gang(demand, task.count)).is_some();
+        let model = ModelledFleet::new(usable);
+        let fits = with_demand(&task, |demand| model.fleet.could_ever_fit(demand));
+        let gang_fits = with_demand(&task, |demand| model.fleet.could_ever_fit_gang(demand, task.count));
+        let placed = with_demand(&task, |demand| model.fleet.place(demand)).is_some();
+        let gang = with_demand(&task, |demand| model.fleet.place_gang(demand, task.count)).is_some();
         (fits, gang_fits) == (placed, gang)
     }
-    QuickCheck::new().tests(1000).quickcheck(holds as fn(Vec<RandomWorker>, RandomTask) -> bool);
+    QuickCheck::new().tests(1000).quickcheck(property as fn(Vec<RandomWorker>, RandomTask) -> bool);
 }
 
 #[test]
-fn near_the_data_means_on_its_rack_or_anywhere_if_there_is_no_such_rack() {
+fn affinity_to_an_unknown_rack_allows_any_worker() {
     let mut fleet = fleet(4, resources(4000, 4000, 0));
     let near = Demand { affinity: Some("r1"), ..demand(resources(3000, 1, 0)) };
     assert_eq!(fleet.place_in_affinity_rack(&near), Some(2));
     fleet.reserve(2, OTHER_STEP, resources(2000, 1, 0));
     fleet.reserve(3, OTHER_STEP, resources(2000, 1, 0));
     assert_eq!(fleet.place_in_affinity_rack(&near), None);
-    assert!(fleet.may_fit_in_affinity_rack(&near), "both have the capacity once it is given back");
+    assert!(fleet.may_fit_in_affinity_rack(&near), "both workers fit once capacity is released");
     assert!(!fleet.may_fit_in_affinity_rack(&Demand { need: resources(4001, 1, 0), ..near }));
     for key in [2, 3] {
         fleet.upsert(key, WorkerFacts { usable: false, ..worker(resources(4000, 4000, 0), "r1") });
     }
-    assert!(!fleet.may_fit_in_affinity_rack(&near), "neither takes starts");
+    assert!(!fleet.may_fit_in_affinity_rack(&near), "neither worker is usable");
     let unknown = Demand { affinity: Some("r9"), ..near };
     assert_eq!(fleet.place_in_affinity_rack(&unknown), Some(0));
 }
 
 #[test]
-fn a_fleet_whose_capacities_changed_chooses_as_one_that_never_had_others() {
-    fn holds(changes: Vec<(u8, u8, u8, u8)>, needs: Vec<(u8, u8, u8)>) -> bool {
+fn capacity_changes_leave_no_trace_in_choices() {
+    fn property(changes: Vec<(u8, u8, u8, u8)>, needs: Vec<(u8, u8, u8)>) -> bool {
         let mut changed = Fleet::new();
         let mut last = BTreeMap::new();
         for (key, cpu, mem_mb, gpu) in changes {
@@ -556,6 +569,6 @@
             changed.place(&need) == fresh.place(&need)
         })
     }
-    let holds = holds as fn(Vec<(u8, u8, u8, u8)>, Vec<(u8, u8, u8)>) -> bool;
-    QuickCheck::new().tests(2000).quickcheck(holds);
+    let property = property as fn(Vec<(u8, u8, u8, u8)>, Vec<(u8, u8, u8)>) -> bool;
+    QuickCheck::new().tests(2000).quickcheck(property);
 }
--- a/crates/scheduler/tests/placement_search.rs
+++ b/crates/scheduler/tests/placement_search.rs
@@ -1,4 +1,5 @@
-//! Searches for workers skip those that cannot suit: they choose as a plain scan over all workers does.
+//! Searches for workers skip workers that cannot fit. They must choose the same worker as a scan over all
+//! workers.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use scheduler::ids::StepKey;
@@ -6,15 +7,15 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Several blocks of workers, of which the last one is incomplete.
-const MOST_WORKERS: u64 = 100;
+/// Enough workers for several blocks of the search, of which the last block is incomplete.
+const MAX_WORKERS: u64 = 100;
 
-fn below(g: &mut Gen, bound: u64) -> u64 {
+fn random_below(g: &mut Gen, bound: u64) -> u64 {
     u64::arbitrary(g) % bound
 }
 
 fn resources(g: &mut Gen, cpu: u64, mem_mb: u64, gpu: u64) -> Resources {
-    Resources { cpu: below(g, cpu), mem_mb: below(g, mem_mb), gpu: below(g, gpu) }
+    Resources { cpu: random_below(g, cpu), mem_mb: random_below(g, mem_mb), gpu: random_below(g, gpu) }
 }
 
 #[derive(Clone, Debug)]
@@ -32,12 +33,12 @@
     fn arbitrary(g: &mut Gen) -> Self {
         Task {
             need: resources(g, 9, 9, 2),
-            step: below(g, 3) as u32,
-            label: (below(g, 3) == 0).then(|| below(g, 4)),
-            rack: (below(g, 3) == 0).then(|| below(g, 6)),
-            anti_affinity: (below(g, 3) == 0).then(|| below(g, 3) as u32),
-            avoid: (0..below(g, 3)).map(|_| below(g, MOST_WORKERS)).collect(),
-            tasks_to_pack: below(g, 5),
+            step: random_below(g, 3) as u32,
+            label: (random_below(g, 3) == 0).then(|| random_below(g, 4)),
+            rack: (random_below(g, 3) == 0).then(|| random_below(g, 6)),
+            anti_affinity: (random_below(g, 3) == 0).then(|| random_below(g, 3) as u32),
+            avoid: (0..random_below(g, 3)).map(|_| random_below(g, MAX_WORKERS)).collect(),
+            tasks_to_pack: random_below(g, 5),
         }
     }
 }
@@ -53,25 +54,25 @@
 
 impl Arbitrary for Change {
     fn arbitrary(g: &mut Gen) -> Self {
-        let key = below(g, MOST_WORKERS);
-        match below(g, 16) {
+        let key = random_below(g, MAX_WORKERS);
+        match random_below(g, 16) {
             0..=6 => Change::Upsert {
                 key,
                 capacity: resources(g, 20, 20, 3),
-                label: below(g, 3),
-                rack: (below(g, 5) > 0).then(|| below(g, 5)),
-                standing: below(g, 6),
+                label: random_below(g, 3),
+                rack: (random_below(g, 5) > 0).then(|| random_below(g, 5)),
+                standing: random_below(g, 6),
                 pace: *g.choose(&[1.0, 1.0, 0.9, 0.75, 0.4, 0.0]).unwrap_or(&1.0),
             },
             7 => Change::Remove { key },
-            8..=11 => Change::Reserve { key, step: below(g, 3) as u32, need: resources(g, 9, 9, 2) },
-            12 => Change::Release { key, choice: below(g, 8) as usize },
+            8..=11 => Change::Reserve { key, step: random_below(g, 3) as u32, need: resources(g, 9, 9, 2) },
+            12 => Change::Release { key, choice: random_below(g, 8) as usize },
             _ => Change::Place(Task::arbitrary(g)),
         }
     }
 }
 
-/// A worker in the plain account.
+/// A worker of the model.
 #[derive(Clone, Debug, Default)]
 struct Worker {
     capacity: Resources,
@@ -93,19 +94,19 @@
     }
 }
 
-/// A fleet beside a plain account of it.
+/// A fleet and a simple model of it.
 #[derive(Default)]
-struct Script {
+struct ModelledFleet {
     fleet: Fleet,
     workers: BTreeMap<WorkerKey, Worker>,
-    /// Racks that any worker ever had: placement knows these.
+    /// All racks that workers have had so far. Placement knows these racks.
     racks: Vec<u64>,
 }
 
-/// What a plain scan compares: more of the step that fit, less capacity left, the lower key.
+/// Order of the workers in a full scan: more tasks of the step that fit, less capacity left, lower key.
 type Rank = (std::cmp::Reverse<u64>, f64, WorkerKey);
 
-impl Script {
+impl ModelledFleet {
     fn apply(&mut self, change: &Change) -> bool {
         match change {
             Change::Upsert { key, capacity, label, rack, standing, pace } => {
@@ -132,22 +133,22 @@
                 let (step, need) = worker.reserved.remove(*choice);
                 self.fleet.release(*key, step_key(step), need)
             }
-            Change::Place(task) => self.searches_agree(task),
+            Change::Place(task) => self.searches_match_full_scan(task),
         }
     }
 
-    fn near(&self, task: &Task, worker: &Worker) -> bool {
+    fn is_in_affinity_rack(&self, task: &Task, worker: &Worker) -> bool {
         task.rack.filter(|rack| self.racks.contains(rack)).is_none_or(|rack| worker.rack == Some(rack))
     }
 
-    fn suits(&self, task: &Task, worker: &Worker) -> bool {
+    fn fits(&self, task: &Task, worker: &Worker) -> bool {
         task.need.fits_in(worker.free())
             && task.label.is_none_or(|label| label == worker.label)
             && task.anti_affinity.is_none_or(|limit| worker.tasks_of(task.step) < limit)
     }
 
     fn quality(&self, task: &Task, key: WorkerKey, worker: &Worker) -> f64 {
-        let distance = if self.near(task, worker) { 1.0 } else { 0.5 };
+        let distance = if self.is_in_affinity_rack(task, worker) { 1.0 } else { 0.5 };
         worker.pace * distance * if task.avoid.contains(&key) { 1e-3 } else { 1.0 }
     }
 
@@ -164,15 +165,14 @@
         let left = worker.free().minus(task.need).shares_of(largest);
         let dominant =
             (1..RESOURCE_COUNT).fold(0, |most, next| if needed[next] > needed[most] { next } else { most });
-        let lesser = left.iter().sum::<f64>() - left[dominant];
+        let other_resources = left.iter().sum::<f64>() - left[dominant];
         let spared = if task.need.gpu == 0 && worker.free().gpu > 0 { 2.0 } else { 0.0 };
-        (std::cmp::Reverse(packed), left[dominant] + 0.25 * lesser + spared, key)
+        (std::cmp::Reverse(packed), left[dominant] + 0.25 * other_resources + spared, key)
     }
 
-    /// The worker that a plain scan over those that `allowed` admits chooses.
+    /// The worker that a scan over all workers accepted by `allowed` chooses.
     fn scan(&self, task: &Task, allowed: impl Fn(&Worker) -> bool) -> Option<WorkerKey> {
-        let suiting =
-            || self.workers.iter().filter(|(_, worker)| allowed(worker) && self.suits(task, worker));
+        let suiting = || self.workers.iter().filter(|(_, worker)| allowed(worker) && self.fits(task, worker));
         let best = suiting().map(|(key, worker)| self.quality(task, *key, worker)).reduce(f64::max)?;
         let alike = suiting().filter(|(key, worker)| self.quality(task, **key, worker) >= 0.8 * best);
         let ranks = alike.map(|(key, worker)| self.rank(task, *key, worker));
@@ -180,7 +180,7 @@
         ranks.min_by(by_rank).map(|(_, _, key)| key)
     }
 
-    fn searches_agree(&self, task: &Task) -> bool {
+    fn searches_match_full_scan(&self, task: &Task) -> bool {
         let label = task.label.map(|label| format!("l{label}"));
         let rack = task.rack.map(|rack| format!("r{rack}"));
         let demand = Demand {
@@ -195,17 +195,17 @@
         };
         let has_label = |worker: &Worker| task.label.is_none_or(|label| label == worker.label);
         let could = |worker: &Worker| has_label(worker) && task.need.fits_in(worker.capacity);
-        let any = |suits: &dyn Fn(&Worker) -> bool| self.workers.values().any(suits);
+        let any = |fits: &dyn Fn(&Worker) -> bool| self.workers.values().any(fits);
         let is_barred = task.anti_affinity == Some(0);
         let fleet = &self.fleet;
         fleet.place(&demand) == self.scan(task, |worker| worker.usable)
             && fleet.place_in_affinity_rack(&demand)
-                == self.scan(task, |worker| worker.usable && self.near(task, worker))
+                == self.scan(task, |worker| worker.usable && self.is_in_affinity_rack(task, worker))
             && fleet.place_as_last_resort(&demand)
                 == self.scan(task, |worker| worker.usable || worker.ejected)
             && fleet.may_fit(&demand) == (!is_barred && any(&|worker| worker.usable && could(worker)))
             && fleet.may_fit_in_affinity_rack(&demand)
-                == any(&|worker| worker.usable && could(worker) && self.near(task, worker))
+                == any(&|worker| worker.usable && could(worker) && self.is_in_affinity_rack(task, worker))
             && fleet.may_fit_ejected(&demand) == any(&|worker| worker.ejected && could(worker))
             && fleet.could_fit_not_ejected(&demand) == any(&|worker| !worker.ejected && could(worker))
             && fleet.could_ever_fit(&demand) == (!is_barred && any(&could))
@@ -241,17 +241,17 @@
 }
 
 #[test]
-fn searches_choose_as_a_scan_over_all_workers_does() {
-    fn holds(changes: Vec<Change>) -> bool {
-        let mut script = Script::default();
-        changes.iter().all(|change| script.apply(change))
+fn searches_choose_the_same_worker_as_a_full_scan() {
+    fn property(changes: Vec<Change>) -> bool {
+        let mut model = ModelledFleet::default();
+        changes.iter().all(|change| model.apply(change))
     }
     let mut quickcheck = QuickCheck::new().rng(Gen::new(600)).tests(400);
-    quickcheck.quickcheck(holds as fn(Vec<Change>) -> bool);
+    quickcheck.quickcheck(property as fn(Vec<Change>) -> bool);
 }
 
 #[test]
-fn a_search_on_a_full_fleet_examines_few_workers() {
+fn search_on_a_full_fleet_examines_few_workers() {
     const WORKERS: u64 = 1_100;
     let (capacity, taken) =
         (Resources { cpu: 8_000, mem_mb: 16_000, gpu: 0 }, Resources { cpu: 7_500, mem_mb: 9_000, gpu: 0 });
@@ -273,5 +273,5 @@
     };
     fleet.take_examined_count();
     assert_eq!(fleet.place(&demand), None);
-    assert!(fleet.examined_count() < WORKERS / 10, "{} were examined", fleet.examined_count());
+    assert!(fleet.examined_count() < WORKERS / 10, "{} workers were examined", fleet.examined_count());
 }
--- a/crates/scheduler/tests/state_commands.rs
+++ b/crates/scheduler/tests/state_commands.rs
@@ -1,4 +1,4 @@
-//! What each command does to the replicated state.
+//! Effects of each command on the replicated state.
 
 mod commands;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_job_runs_step_by_step_until_it_is_completed() {
+fn runs_a_job_step_by_step_until_completed() {
     let mut state = accepted(job(vec![stage(2), stage_after(1, &[0])]));
     assert_eq!(job_state(&state, JOB), Some("pending"));
     assert_eq!(state.pending_jobs(PREFIX), 1);
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn a_step_does_not_start_before_those_it_depends_on() {
+fn step_starts_only_after_its_dependencies() {
     let mut state = accepted(job(vec![stage(1), stage_after(1, &[0])]));
     let applied = apply(&mut state, start(&[task(JOB, 1, 0)], 1, "w"));
     assert!(matches!(applied[..], [StateChange::StartDropped { .. }]));
 }
 
 #[test]
-fn a_repeated_submission_is_known_also_after_the_end() {
+fn recognizes_repeated_submissions_after_the_job_ended() {
     let mut state = accepted(job(vec![stage(1)]));
     let again = submit(JOB, job(vec![stage(1)]));
     assert_eq!(apply(&mut state, again.clone()), vec![StateChange::JobAlreadyAccepted { job: JOB }]);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_job_that_cannot_be_run_is_rejected() {
+fn rejects_jobs_that_cannot_run() {
     let mut state = State::new();
     for stages in [vec![], vec![stage(0)], vec![stage_after(1, &[0])], vec![stage(1), stage_after(1, &[2])]] {
         let applied = apply(&mut state, submit(JOB, job(stages)));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn done_is_for_good_and_an_older_sequence_is_a_repeat() {
+fn done_tasks_stay_done_and_old_sequences_are_repeats() {
     let mut state = accepted(job(vec![stage(2)]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     apply(&mut state, end("w", 4, task(JOB, 0, 0), 1, EndKind::DONE));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_task_that_failed_too_often_fails_its_job_and_stops_the_rest() {
+fn task_that_failed_too_often_fails_its_job() {
     let mut state = accepted(job(vec![stage(2)]));
     apply(&mut state, start(&[task(JOB, 0, 0), task(JOB, 0, 1)], 1, "w"));
     let applied = apply(&mut state, end("w", 1, task(JOB, 0, 0), 1, EndKind::FAILED));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn ends_that_are_no_fault_and_ends_after_a_lapse_count_for_nothing() {
+fn other_ends_do_not_count_as_failures() {
     let mut state = accepted(job(vec![stage(1)]));
     let kinds = [EndKind::STOPPED, EndKind::LAPSED, EndKind::BROKEN, EndKind::ALONE];
     for (number, kind) in kinds.into_iter().enumerate() {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_next_start_resumes_from_the_checkpoint() {
+fn next_start_resumes_from_the_checkpoint() {
     let mut state = accepted(job(vec![Stage { checkpoints: true, ..stage(1) }]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     let mut stopped = worker_end(1, task(JOB, 0, 0), 1, EndKind::STOPPED);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn the_first_copy_that_is_done_counts_and_the_other_is_stopped() {
+fn first_done_copy_counts_and_the_other_is_stopped() {
     let mut state = accepted(job(vec![Stage { speculative: true, ..stage(1) }, stage_after(1, &[0])]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     apply(&mut state, start(&[task(JOB, 0, 0)], 2, "v"));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn only_a_speculative_task_has_two_attempts_at_once() {
+fn only_speculative_tasks_have_two_active_attempts() {
     let mut state = accepted(job(vec![stage(1)]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     let applied = apply(&mut state, start(&[task(JOB, 0, 0)], 2, "v"));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_gang_starts_completely_or_not_at_all() {
+fn starts_a_gang_completely_or_not_at_all() {
     let mut state = gang();
     let applied = apply(&mut state, start(&members()[..2], 1, "w"));
     assert!(applied.iter().all(|effect| matches!(effect, StateChange::StartDropped { .. })));
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn one_member_that_is_done_stands_for_all() {
+fn one_done_member_completes_the_gang() {
     let mut state = gang();
     apply(&mut state, start(&members(), 1, "w"));
     let applied = apply(&mut state, end("w", 1, task(JOB, 0, 1), 1, EndKind::DONE));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_gang_that_breaks_starts_again_once_all_members_are_over_and_fails_once_a_run() {
+fn broken_gang_restarts_and_counts_one_failure_per_run() {
     let mut state = gang();
     for attempt in 1..=2 {
         let applied = apply(&mut state, start(&members(), attempt, "w"));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_gang_resumes_from_one_checkpoint_whichever_member_saved_it() {
+fn gang_resumes_from_the_checkpoint_of_any_member() {
     let mut state = gang();
     apply(&mut state, start(&members(), 1, "w"));
     let mut broken = worker_end(1, task(JOB, 0, 2), 1, EndKind::STOPPED);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_long_running_task_starts_again_however_it_ends_until_its_job_is_cancelled() {
+fn long_running_task_restarts_until_cancelled() {
     let mut state = accepted(job(vec![Stage { long_running: true, ..stage(1) }]));
     let kinds = [EndKind::DONE, EndKind::FAILED, EndKind::FAILED, EndKind::FAILED, EndKind::STOPPED];
     for (number, kind) in kinds.into_iter().enumerate() {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn times_overlap_and_the_job_is_completed_with_the_last() {
+fn repeats_overlap_and_the_last_completes_the_job() {
     let times = JobSpec {
         repeat: 3,
         start_at_ms: 1_000,
@@ -269,26 +269,26 @@
 }
 
 #[test]
-fn a_job_that_repeats_often_keeps_nothing_for_future_times() {
+fn stores_nothing_for_future_repeats() {
     let often = JobSpec { repeat: 100_000, start_at_ms: 1, interval_ms: 1, ..job(vec![stage(10)]) };
     let state = accepted(often);
     assert!(state.snapshot().jobs[0].tasks.is_empty());
 }
 
 #[test]
-fn a_cancelled_job_that_is_not_there_is_said_so() {
+fn cancelling_an_unknown_job_is_reported() {
     let mut state = State::new();
     assert!(matches!(apply(&mut state, cancel(JOB))[..], [StateChange::NoSuchJob { .. }]));
 }
 
 #[test]
-fn an_ended_job_is_known_long_enough_and_forgotten_later() {
+fn forgets_ended_jobs_after_the_retention_time() {
     let mut state = accepted(job(vec![stage(1)]));
     apply(&mut state, clock(1_000));
     apply(&mut state, cancel(JOB));
     apply(&mut state, clock(1_000 + ENDED_JOB_RETENTION_MS));
     assert_eq!(job_state(&state, JOB), Some("cancelled"));
-    // A clock that steps back forgets nothing and keeps nothing longer.
+    // A clock that goes back neither removes jobs nor extends their retention.
     apply(&mut state, clock(5));
     let applied = apply(&mut state, clock(1_001 + ENDED_JOB_RETENTION_MS));
     assert_eq!(applied, vec![StateChange::JobForgotten { job: JOB }]);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn an_ended_job_is_not_forgotten_while_anything_of_it_may_run() {
+fn keeps_ended_jobs_while_attempts_are_active() {
     let mut state = accepted(job(vec![stage(1)]));
     apply(&mut state, start(&[task(JOB, 0, 0)], 1, "w"));
     apply(&mut state, cancel(JOB));
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_configuration_is_accepted_on_top_of_the_current_one_and_its_repeat_is_never_rejected() {
+fn accepts_changes_to_the_current_version_and_their_repeats() {
     let mut state = State::new();
     assert!(matches!(
         apply(&mut state, store_configuration("a", 3, 0))[..],
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn an_end_that_is_listed_again_counts_once() {
+fn counts_a_repeated_end_once() {
     let mut state = accepted(job(vec![stage(1)]));
     let key = task(JOB, 0, 0);
     apply(&mut state, start(&[key], 1, "w"));
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn failures_of_copies_after_the_first_one_was_done_count_for_nothing() {
+fn failures_of_copies_of_a_done_task_do_not_count() {
     let mut state = accepted(job(vec![Stage { speculative: true, ..stage(1) }, stage_after(1, &[0])]));
     let key = task(JOB, 0, 0);
     for attempt in 1..=3 {
@@ -372,7 +372,7 @@
             "{applied:?}"
         );
     }
-    assert_eq!(job_state(&state, JOB), Some("running"), "its second step is to come");
+    assert_eq!(job_state(&state, JOB), Some("running"), "the second step has not run yet");
     let again = apply(&mut state, start(&[key], 4, "w1"));
     assert!(matches!(again[..], [StateChange::StartDropped { .. }]));
 }
--- a/crates/scheduler/tests/state_scripts.rs
+++ b/crates/scheduler/tests/state_scripts.rs
@@ -1,4 +1,5 @@
-//! Random commands: invariants of the state, and a twin that is restored from snapshots all the time.
+//! Applies random commands to the replicated state and checks its invariants. A second state, restored from a
+//! snapshot after every third command, must report the same changes.
 
 mod commands;
 
@@ -16,11 +17,11 @@
 const KINDS: [EndKind; 6] =
     [EndKind::DONE, EndKind::FAILED, EndKind::STOPPED, EndKind::LAPSED, EndKind::BROKEN, EndKind::ALONE];
 
-/// One command, drawn by four numbers.
+/// Four random numbers that determine one command.
 type Draw = (u8, u8, u8, u8);
 
-/// The shape of each job: plain with dependencies, gang, speculative and long-running, scheduled.
-fn shape(id: u64) -> JobSpec {
+/// Jobs by ID: steps with dependencies, a gang, speculative and long-running tasks, and a scheduled job.
+fn job_spec(id: u64) -> JobSpec {
     match id {
         0 => job(vec![stage(2), stage_after(2, &[0]), stage_after(1, &[0, 1])]),
         1 => job(vec![Stage { gang: true, ..stage(3) }, stage_after(1, &[0])]),
@@ -33,7 +34,7 @@
     }
 }
 
-fn drawn_task(draw: Draw) -> TaskKey {
+fn task_of_draw(draw: Draw) -> TaskKey {
     TaskKey {
         job: u64::from(draw.1) % JOBS,
         time: u32::from(draw.2 >> 4) % 4,
@@ -42,28 +43,28 @@
     }
 }
 
-/// What the script knows of attempts and ends.
+/// Generates commands. Keeps the end sequence of each worker and the clock.
 #[derive(Default)]
-struct Author {
+struct CommandGenerator {
     sequences: BTreeMap<&'static str, u64>,
     clock_ms: u64,
 }
 
-impl Author {
+impl CommandGenerator {
     fn command(&mut self, state: &State, draw: Draw) -> OneOfkind {
         let id = u64::from(draw.1) % JOBS;
-        let task = drawn_task(draw);
+        let task = task_of_draw(draw);
         let instance = INSTANCES[usize::from(draw.3 >> 4) % INSTANCES.len()];
         let attempt = state.open_work(id).map_or(1, |work| work.last_attempt(task) + 1);
         match draw.0 % 16 {
-            0 | 1 => submit(id, shape(id)),
+            0 | 1 => submit(id, job_spec(id)),
             2 => cancel(id),
             3 => {
                 self.clock_ms += u64::from(draw.2) * 5_000;
                 clock(self.clock_ms)
             }
             4..=8 => {
-                let gang = shape(id)
+                let gang = job_spec(id)
                     .stages
                     .get(task.step as usize)
                     .filter(|stage| stage.gang)
@@ -93,27 +94,27 @@
     }
 }
 
-/// Invariants over all changes so far.
+/// Checks invariants over all changes so far.
 #[derive(Default)]
-struct Watch {
+struct InvariantChecker {
     last_attempts: BTreeMap<TaskKey, u32>,
     active: BTreeSet<AttemptKey>,
     done: BTreeSet<TaskKey>,
     ended: BTreeSet<u64>,
 }
 
-impl Watch {
+impl InvariantChecker {
     fn observe(&mut self, change: &StateChange) -> Result<(), String> {
         match change {
             StateChange::AttemptStarted { key, .. } => self.started(*key),
             StateChange::AttemptFinished { key, .. } if !self.active.remove(key) => {
-                Err(format!("{key:?} was over before"))
+                Err(format!("{key:?} finished twice"))
             }
             StateChange::TaskDone { task } if !self.done.insert(*task) => {
-                Err(format!("{task} was done before"))
+                Err(format!("{task} was done twice"))
             }
             StateChange::JobEnded { job, .. } if !self.ended.insert(*job) => {
-                Err(format!("{job} had ended before"))
+                Err(format!("{job} ended twice"))
             }
             StateChange::JobForgotten { job } => {
                 self.ended.remove(job);
@@ -126,29 +127,31 @@
     }
 
     fn started(&mut self, key: AttemptKey) -> Result<(), String> {
-        let shape = shape(key.task.job);
-        let speculative = shape.stages[key.task.step as usize].speculative;
-        let last = self.last_attempts.insert(key.task, key.attempt).unwrap_or(0);
-        if key.attempt <= last {
-            return Err(format!("{key:?} is not above {last}"));
+        let job_spec = job_spec(key.task.job);
+        let speculative = job_spec.stages[key.task.step as usize].speculative;
+        let last_attempt = self.last_attempts.insert(key.task, key.attempt).unwrap_or(0);
+        if key.attempt <= last_attempt {
+            return Err(format!("the attempt of {key:?} is not above {last_attempt}"));
         }
         if self.done.contains(&key.task) || self.ended.contains(&key.task.job) {
-            return Err(format!("{key:?} starts though it is done or its job has ended"));
+            return Err(format!("{key:?} started although the task is done or the job has ended"));
         }
         if !speculative && self.active.iter().any(|active| active.task == key.task) {
-            return Err(format!("{key:?} is the second at one time"));
+            return Err(format!("{key:?} started while another attempt of the task is active"));
         }
         self.active.insert(key);
         Ok(())
     }
 
-    /// The state's own counts agree.
-    fn agrees(&self, state: &State) -> Result<(), String> {
+    /// Compares the active attempts and the counts of the state with the changes observed so far.
+    fn check_counts(&self, state: &State) -> Result<(), String> {
         let mut active = BTreeSet::new();
         for (_, job) in state.jobs() {
             let Some(work) = job.work() else { continue };
-            active
-                .extend(work.active_attempts().map(|(task, one)| AttemptKey { task, attempt: one.attempt }));
+            active.extend(
+                work.active_attempts()
+                    .map(|(task, active_attempt)| AttemptKey { task, attempt: active_attempt.attempt }),
+            );
         }
         if active != self.active {
             return Err(format!("active {active:?} but {:?} were reported", self.active));
@@ -162,7 +165,7 @@
     }
 }
 
-fn round_trip(state: &State) -> Result<State, String> {
+fn restore_from_snapshot(state: &State) -> Result<State, String> {
     let snapshot = state.snapshot();
     let decoded: SchedulerSnapshot =
         messages::decode(&messages::encode(&snapshot)).map_err(|error| error.to_string())?;
@@ -173,41 +176,43 @@
     Ok(restored)
 }
 
-fn play(script: Vec<Draw>) -> Result<(), String> {
-    let (mut state, mut twin) = (State::new(), State::new());
-    let (mut author, mut watch) = (Author::default(), Watch::default());
+fn run_script(script: Vec<Draw>) -> Result<(), String> {
+    let (mut state, mut restored) = (State::new(), State::new());
+    let (mut generator, mut checker) = (CommandGenerator::default(), InvariantChecker::default());
     for (number, draw) in script.into_iter().enumerate() {
-        let command = author.command(&state, draw);
+        let command = generator.command(&state, draw);
         let applied = apply(&mut state, command.clone());
-        let of_twin = apply(&mut twin, command.clone());
-        if applied != of_twin {
-            return Err(format!("after {command:?}: {applied:?}, but of the twin {of_twin:?}"));
+        let applied_to_restored = apply(&mut restored, command.clone());
+        if applied != applied_to_restored {
+            return Err(format!(
+                "after {command:?}: {applied:?}, but {applied_to_restored:?} in the restored state"
+            ));
         }
         for change in &applied {
-            watch.observe(change)?;
+            checker.observe(change)?;
         }
-        watch.agrees(&state)?;
+        checker.check_counts(&state)?;
         if number % 3 == 0 {
-            twin = round_trip(&state)?;
+            restored = restore_from_snapshot(&state)?;
         }
     }
     Ok(())
 }
 
 quickcheck! {
-    fn random_commands_keep_the_invariants(script: Vec<Draw>) -> Result<bool, String> {
-        play(script).map(|()| true)
+    fn random_commands_keep_invariants(script: Vec<Draw>) -> Result<bool, String> {
+        run_script(script).map(|()| true)
     }
 }
 
-/// Longer scripts than quickcheck draws by itself, from fixed seeds.
+/// Runs longer command sequences than quickcheck generates, from fixed seeds.
 #[test]
-fn long_scripts_keep_the_invariants() {
+fn long_command_sequences_keep_invariants() {
     for seed in 0..60 {
         let mut random = fastrand::Rng::with_seed(seed);
         let script =
             (0..1_500).map(|_| (random.u8(..), random.u8(..), random.u8(..), random.u8(..))).collect();
-        if let Err(error) = play(script) {
+        if let Err(error) = run_script(script) {
             panic!("seed {seed}: {error}");
         }
     }
--- a/crates/scheduler/tests/worker_lateness.rs
+++ b/crates/scheduler/tests/worker_lateness.rs
@@ -1,4 +1,5 @@
-//! A session judges missing answers by what its caller was able to read, and leases by the steady clock.
+//! Lateness of the caller's process: a session decides on missing answers by the time up to which its caller
+//! has read input, and on lease expiry by the monotonic clock.
 
 mod support;
 
@@ -8,11 +9,12 @@
 use support::driver::{calls, lease_renewals, resolutions, starts, Driver};
 use support::{key, order, MS};
 
-/// How long a session waits for the answer to a start at most, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 2_000;
+/// Longest time that a session waits for the answer to a start, in milliseconds.
+const MAX_START_TIMEOUT_MS: u64 = 2_000;
 
-/// A driver whose session has one start in flight, and the start's call. All that arrived up to now was read.
-fn with_start_in_flight() -> (Driver, u64) {
+/// Returns a driver whose session has one start in flight, and the number of that call. All input up to now
+/// has been read.
+fn driver_with_start_in_flight() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.answer_first_query(&[], &[]);
@@ -25,8 +27,8 @@
     clock
 }
 
-/// Whether an output says that an answer of the worker is missing.
-fn misses_an_answer(out: &[SessionOutput]) -> bool {
+/// Whether an output shows that the session regards an answer of the worker as missing.
+fn reports_missing_answer(out: &[SessionOutput]) -> bool {
     out.iter().any(|output| {
         matches!(
             output,
@@ -38,11 +40,11 @@
 }
 
 #[test]
-fn an_answer_that_may_have_arrived_unread_is_not_missing() {
-    let (mut driver, start) = with_start_in_flight();
+fn answer_that_may_be_unread_is_not_missing() {
+    let (mut driver, start) = driver_with_start_in_flight();
     driver.session.set_response_clock(read_until(driver.now));
-    let out = driver.poll_for_ms(LONGEST_WAIT_MS);
-    assert!(!misses_an_answer(&out), "{out:?}");
+    let out = driver.poll_for_ms(MAX_START_TIMEOUT_MS);
+    assert!(!reports_missing_answer(&out), "{out:?}");
     assert!(driver.session.awaits_input());
     let out = driver.answer_ok(start);
     assert!(out.contains(&SessionOutput::Started { key: key(0, 1) }), "{out:?}");
@@ -50,36 +52,36 @@
 }
 
 #[test]
-fn an_answer_is_missing_as_soon_as_all_that_arrived_in_time_was_read() {
-    let (mut driver, _) = with_start_in_flight();
+fn answer_is_missing_once_all_timely_input_was_read() {
+    let (mut driver, _) = driver_with_start_in_flight();
     driver.session.set_response_clock(read_until(driver.now));
-    driver.poll_for_ms(LONGEST_WAIT_MS);
+    driver.poll_for_ms(MAX_START_TIMEOUT_MS);
     driver.session.set_response_clock(read_until(driver.now));
     let out = driver.poll();
-    assert!(misses_an_answer(&out), "{out:?}");
+    assert!(reports_missing_answer(&out), "{out:?}");
     assert!(!driver.session.awaits_input());
 }
 
 #[test]
-fn a_session_that_awaits_input_sets_no_timer_for_what_it_cannot_judge() {
-    let (mut driver, _) = with_start_in_flight();
+fn session_that_awaits_input_sets_no_timer() {
+    let (mut driver, _) = driver_with_start_in_flight();
     driver.session.set_response_clock(read_until(driver.now));
-    driver.poll_for_ms(LONGEST_WAIT_MS);
+    driver.poll_for_ms(MAX_START_TIMEOUT_MS);
     assert!(driver.session.next_timer() > driver.now, "it would be polled again and again");
 }
 
 #[test]
-fn no_second_lease_renewal_is_sent_for_one_whose_answer_may_have_arrived() {
-    let (mut driver, start) = with_start_in_flight();
+fn sends_no_second_lease_renewal_while_input_is_unread() {
+    let (mut driver, start) = driver_with_start_in_flight();
     driver.answer_ok(start);
     driver.session.set_response_clock(read_until(driver.now));
-    let out = driver.poll_for_ms(LONGEST_WAIT_MS);
+    let out = driver.poll_for_ms(MAX_START_TIMEOUT_MS);
     assert!(lease_renewals(&out).is_empty(), "{out:?}");
 }
 
 #[test]
-fn time_in_which_the_process_was_absent_does_not_count_for_calls_in_flight() {
-    let (mut driver, _) = with_start_in_flight();
+fn process_pauses_do_not_count_for_calls_in_flight() {
+    let (mut driver, _) = driver_with_start_in_flight();
     let mut expected = Driver::new();
     expected.session.start(order(key(0, 1), "text"));
     expected.answer_first_query(&[], &[]);
@@ -94,15 +96,15 @@
 fn ms_until_suspected(driver: &mut Driver) -> u64 {
     let began = driver.now;
     while !driver.poll().contains(&SessionOutput::SuspicionChanged { suspected: true }) {
-        assert!(driver.now < began + LONGEST_WAIT_MS * MS, "no answer is ever missing");
+        assert!(driver.now < began + MAX_START_TIMEOUT_MS * MS, "no answer is ever missing");
         driver.advance_ms(1);
     }
     (driver.now - began) / MS
 }
 
 #[test]
-fn the_expiry_of_the_worker_lease_waits_for_no_input() {
-    let (mut driver, _) = with_start_in_flight();
+fn worker_lease_expires_without_input() {
+    let (mut driver, _) = driver_with_start_in_flight();
     let mut clock = read_until(driver.now);
     clock.add_absence(60_000 * MS);
     driver.session.set_response_clock(clock);
@@ -112,8 +114,8 @@
 }
 
 #[test]
-fn calls_that_the_leader_withholds_without_its_lease_do_not_make_a_worker_unreachable() {
-    let (mut driver, start) = with_start_in_flight();
+fn withheld_calls_do_not_make_a_worker_unreachable() {
+    let (mut driver, start) = driver_with_start_in_flight();
     driver.advance_ms(5);
     let mut out = driver.answer(start, CallOutcome::Withheld);
     for _ in 0..20 {
@@ -121,22 +123,22 @@
         for (call, _) in calls(&out) {
             out.extend(driver.answer(call, CallOutcome::Withheld));
         }
-        assert!(!misses_an_answer(&out), "{out:?}");
+        assert!(!reports_missing_answer(&out), "{out:?}");
         assert_eq!(resolutions(&out), [], "a start that was withheld is not given up");
     }
 }
 
 #[test]
-fn a_start_that_was_withheld_is_sent_again() {
-    let (mut driver, start) = with_start_in_flight();
+fn resends_a_withheld_start() {
+    let (mut driver, start) = driver_with_start_in_flight();
     driver.answer(start, CallOutcome::Withheld);
     let out = driver.poll_for_ms(200);
     assert_eq!(starts(&out).len(), 1, "{out:?}");
 }
 
 #[test]
-fn a_start_that_was_withheld_and_is_no_longer_wanted_never_ran() {
-    let (mut driver, start) = with_start_in_flight();
+fn stopped_withheld_start_never_ran() {
+    let (mut driver, start) = driver_with_start_in_flight();
     driver.session.stop(key(0, 1));
     let out = driver.answer(start, CallOutcome::Withheld);
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::NEVER_RAN)]);
--- a/crates/scheduler/tests/worker_lists.rs
+++ b/crates/scheduler/tests/worker_lists.rs
@@ -1,4 +1,4 @@
-//! Ends, lease renewals, lease expiries and incarnations of a session.
+//! Ends, lease renewals, lease expiry and incarnation changes of a session.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use support::world::World;
 use support::{incarnation, key, options, order, MAX_WORKER_LEASE_MS, MS};
 
-/// A driver whose session knows of one running attempt, and the number of the lease renewal in flight.
-fn with_run() -> (Driver, u64) {
+/// Returns a driver whose session has one running attempt, and the number of the lease renewal in flight.
+fn driver_with_running_attempt() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 1));
     let out = driver.answer_first_query(&[key(0, 1)], &[]);
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn an_end_is_reported_once_and_the_worker_forgets_it_once_it_is_acknowledged() {
-    let (mut driver, lease_renewal) = with_run();
+fn reports_an_end_once_and_acknowledges_it() {
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     let listed = [end(1, key(0, 1), EndKind::DONE)];
     driver.advance_ms(500);
     let out = driver.answer_with_lists(lease_renewal, &[], &listed);
@@ -53,7 +53,7 @@
 
 #[test]
 fn unacknowledged_ends_cause_no_busy_loop() {
-    let (mut driver, lease_renewal) = with_run();
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     let listed = [end(1, key(0, 1), EndKind::DONE)];
     let mut out = driver.answer_with_lists(lease_renewal, &[], &listed);
     let mut queries = 0;
@@ -70,7 +70,7 @@
 
 #[test]
 fn acknowledgements_never_exceed_reported_ends() {
-    let (mut driver, lease_renewal) = with_run();
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     driver.session.acknowledge_ends(99);
     driver.advance_ms(1_000);
     let mut out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_new_leader_sends_the_acknowledged_end_to_the_worker() {
+fn new_leader_sends_the_last_acknowledgement() {
     let now = SESSION_START_MS * MS;
     let mut session = WorkerSession::new(incarnation(1), 57, options(7, now), now);
     session.set_leader_lease(u64::MAX);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_end_before_a_lease_expiry_does_not_count() {
+fn end_before_a_lease_expiry_does_not_count() {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 1));
     driver.session.adopt(key(1, 1));
@@ -107,10 +107,10 @@
 }
 
 #[test]
-fn the_lease_of_a_worker_that_was_never_reached_expires_by_time_alone() {
+fn lease_of_a_never_reached_worker_expires() {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 1));
-    // Its clock may be 2% slow.
+    // The worker's clock may be 2% slow.
     let early = driver.poll_for_ms(MAX_WORKER_LEASE_MS * 100 / 98);
     assert!(resolutions(&early).is_empty());
     let out = driver.poll_for_ms(MAX_WORKER_LEASE_MS / 40 + 200 - MAX_WORKER_LEASE_MS / 50);
@@ -118,10 +118,10 @@
 }
 
 #[test]
-fn the_lease_of_a_partitioned_worker_expires_once_its_clock_has_certainly_passed_the_last_deadline() {
-    let (mut driver, _) = with_run();
+fn lease_of_a_partitioned_worker_expires_after_the_last_deadline() {
+    let (mut driver, _) = driver_with_running_attempt();
     let partitioned_at = driver.now_ms();
-    // Earlier leaders may have sent the longest worker lease until this session began.
+    // Earlier leaders may have granted the longest worker lease until this session began.
     let mut deadline = (partitioned_at + 5_000).max(SESSION_START_MS + MAX_WORKER_LEASE_MS);
     let mut out = driver.poll();
     while resolutions(&out).is_empty() {
@@ -140,8 +140,8 @@
 }
 
 #[test]
-fn an_end_listed_after_its_attempt_was_resolved_as_expired_does_not_count() {
-    let (mut driver, _) = with_run();
+fn end_of_an_attempt_resolved_as_expired_does_not_count() {
+    let (mut driver, _) = driver_with_running_attempt();
     let mut out = driver.poll_for_ms(60_000);
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::LEASE_EXPIRED)]);
     out.clear();
@@ -154,8 +154,8 @@
 }
 
 #[test]
-fn the_newest_checkpoint_is_reported_with_the_resolution() {
-    let (mut driver, lease_renewal) = with_run();
+fn resolution_reports_the_newest_checkpoint() {
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     let entry = scheduler::worker::RunningEntry { key: key(0, 1), checkpoint: "c1".to_owned(), percent: 41 };
     let now_ms = driver.now_ms();
     let out = driver
@@ -169,8 +169,8 @@
 }
 
 #[test]
-fn another_incarnation_at_the_address_ends_all() {
-    let (mut driver, lease_renewal) = with_run();
+fn another_incarnation_resolves_all_attempts() {
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     driver.session.start(order(key(1, 1), "text"));
     let out = driver
         .answer(lease_renewal, CallOutcome::Refused { now_ms: None, reason: Refusal::WrongIncarnation });
@@ -183,8 +183,8 @@
 }
 
 #[test]
-fn a_newer_leader_fences_the_session() {
-    let (mut driver, lease_renewal) = with_run();
+fn newer_leader_fences_the_session() {
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     let out = driver.refuse(lease_renewal, Refusal::StaleFencingToken);
     assert!(out.contains(&SessionOutput::Fenced));
     assert!(resolutions(&out).is_empty());
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_worker_without_answers_is_unreachable_and_its_queued_starts_are_rejected() {
+fn unanswered_worker_is_unreachable_and_queued_starts_are_rejected() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.poll_for_ms(1_200);
@@ -212,16 +212,16 @@
 }
 
 #[test]
-fn a_lost_lease_renewal_is_replaced_long_before_the_lease_expires() {
-    let (mut driver, _) = with_run();
+fn replaces_a_lost_lease_renewal_before_the_lease_expires() {
+    let (mut driver, _) = driver_with_running_attempt();
     let out = driver.poll_for_ms(1_500);
     assert!((1..=2).contains(&lease_renewals(&out).len()), "replaced, three in flight at most");
     assert!(stops(&out).is_empty());
 }
 
 #[test]
-fn a_list_as_long_as_a_page_shows_no_absence() {
-    let (mut driver, lease_renewal) = with_run();
+fn full_page_does_not_prove_absence() {
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     driver.advance_ms(1_000);
     let page: Vec<_> = (1..=500).map(|n| end(n, key(n as u32 + 10, 1), EndKind::DONE)).collect();
     let mut out = driver.answer_with_lists(lease_renewal, &[], &page);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn idle_sessions_make_no_calls_and_busy_ones_few() {
+fn idle_sessions_make_no_calls_and_busy_sessions_few() {
     let mut world = World::new(3);
     world.run_ms(60_000);
     assert_eq!(world.calls, 1, "one query, so that the worker is known to answer");
@@ -245,13 +245,13 @@
         world.run_ms(200);
     }
     let queries = world.calls - calls_before - (world.worker.starts - starts_before);
-    // An end and its acknowledgement ask for a query each, and no more: five ends a second.
+    // Five ends a second, and two queries for each end: one that lists the end, one that acknowledges it.
     assert!(queries <= 50 * 5, "{queries} queries in 50 s with several ends a second");
     assert_eq!(world.ended.len(), 250);
 }
 
 #[test]
-fn ends_are_reported_soon_after_they_happen() {
+fn reports_ends_soon_after_they_happen() {
     let mut world = World::new(5);
     world.start(0, "3000");
     world.run_ms(3_400);
@@ -259,8 +259,8 @@
 }
 
 #[test]
-fn status_queries_do_not_put_off_ordinary_lease_renewals() {
-    let (mut driver, lease_renewal) = with_run();
+fn status_queries_do_not_delay_lease_renewals() {
+    let (mut driver, lease_renewal) = driver_with_running_attempt();
     let mut running = vec![key(0, 1)];
     let mut out = driver.answer_with_lists(lease_renewal, &running, &[]);
     for index in 1..=60 {
--- a/crates/scheduler/tests/worker_orders.rs
+++ b/crates/scheduler/tests/worker_orders.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and uncertain attempts of a session.
+//! Starts, stops and attempts of unknown state in a session.
 
 mod support;
 
@@ -11,8 +11,8 @@
 };
 use support::{key, order, MAX_WORKER_LEASE_MS, MS};
 
-/// A driver whose session has sent one start; gives the numbers of the start and of the lease renewal.
-fn with_start() -> (Driver, u64, u64) {
+/// Returns a driver whose session has sent one start, and the numbers of the start and of the lease renewal.
+fn driver_with_start() -> (Driver, u64, u64) {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.answer_first_query(&[], &[]);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_first_call_asks_for_the_clock_and_the_next_ones_carry_deadlines() {
+fn first_call_reads_the_clock_and_later_calls_carry_deadlines() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let first = calls(&driver.poll());
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn an_accepted_start_is_reported_once() {
-    let (mut driver, start, lease_renewal) = with_start();
+fn reports_an_accepted_start_once() {
+    let (mut driver, start, lease_renewal) = driver_with_start();
     assert!(has_started(&driver.answer_ok(start), key(0, 1)));
     driver.advance_ms(1_000);
     assert!(!has_started(&driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]), key(0, 1)));
 }
 
-/// A session that has been answered this many starts after `answer_ms` each, and now gets no answer to one
-/// more; gives the time from that start to the cancelling of its call, in milliseconds.
+/// Answers `starts_answered` starts after `answer_ms` each and leaves the next start without an answer.
+/// Returns the time from that start until its call is cancelled, in milliseconds.
 fn start_timeout_after(starts_answered: u32, answer_ms: u64) -> u64 {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn a_start_is_uncertain_sooner_at_a_worker_that_has_long_answered_quickly() {
+fn start_timeout_follows_recent_answer_times() {
     assert_eq!(start_timeout_after(16, 3), 120);
-    assert_eq!(start_timeout_after(12, 3), 300, "too few answers are known");
-    assert_eq!(start_timeout_after(40, 80), 160, "twice the longest of the last answers");
+    assert_eq!(start_timeout_after(12, 3), 300, "too few answers are known for a shorter timeout");
+    assert_eq!(start_timeout_after(40, 80), 160, "twice the longest of the recent answer times");
 }
 
 #[test]
-fn clear_refusals_resolve_a_start_at_once() {
+fn definite_refusals_resolve_a_start_at_once() {
     let cases = [
         (Refusal::NoCapacity, Resolution::REJECTED_NO_CAPACITY),
         (Refusal::DeadlinePassed, Resolution::REJECTED),
@@ -89,7 +89,7 @@
         (Refusal::Unhealthy, Resolution::REJECTED),
     ];
     for (reason, resolution) in cases {
-        let (mut driver, start, _) = with_start();
+        let (mut driver, start, _) = driver_with_start();
         let out = driver.refuse(start, reason);
         assert_eq!(resolutions(&out), [(key(0, 1), resolution)], "{reason:?}");
         let reports_unhealthy = out.contains(&SessionOutput::HealthChanged { unhealthy: true });
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn an_unhealthy_worker_counts_as_healthy_after_two_seconds() {
-    let (mut driver, start, _) = with_start();
+fn unhealthy_worker_counts_as_healthy_after_two_seconds() {
+    let (mut driver, start, _) = driver_with_start();
     driver.refuse(start, Refusal::Unhealthy);
     let early = driver.poll_for_ms(1_900);
     assert!(!early.contains(&SessionOutput::HealthChanged { unhealthy: false }));
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn an_unanswered_start_is_not_sent_again_and_a_list_that_shows_it_settles_it() {
-    let (mut driver, _, lease_renewal) = with_start();
+fn unanswered_start_is_confirmed_by_a_list() {
+    let (mut driver, _, lease_renewal) = driver_with_start();
     let out = driver.poll_for_ms(1_000);
     assert!(starts(&out).is_empty());
     let out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn an_unanswered_start_that_no_list_shows_is_stopped_and_needs_a_list_sent_after_the_answer() {
-    let (mut driver, start, lease_renewal) = with_start();
+fn unlisted_start_is_stopped_and_resolved_by_a_later_list() {
+    let (mut driver, start, lease_renewal) = driver_with_start();
     let early_lease_renewal = only_lease_renewal(&driver.answer_with_lists(lease_renewal, &[], &[]));
     let out = driver.answer(start, CallOutcome::NoResponse);
     let mut queries = lease_renewals(&out);
@@ -131,7 +131,7 @@
     assert!(resolutions(&out).is_empty());
     let mut later = lease_renewals(&out);
     let out = driver.answer_with_lists(early_lease_renewal, &[], &[]);
-    assert!(resolutions(&out).is_empty(), "this list may have been made before the stop");
+    assert!(resolutions(&out).is_empty(), "this list may have been created before the stop");
     later.extend(lease_renewals(&out));
     later.extend(lease_renewals(&driver.poll_for_ms(200)));
     let out = driver.answer_with_lists(later[0], &[], &[]);
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn an_attempt_refused_as_old_is_settled_by_the_lists() {
-    let (mut driver, start, _) = with_start();
+fn superseded_attempt_is_resolved_by_lists() {
+    let (mut driver, start, _) = driver_with_start();
     let mut out = driver.refuse(start, Refusal::SupersededAttempt);
     assert!(resolutions(&out).is_empty());
     out.extend(driver.poll_for_ms(100));
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn a_start_that_was_never_sent_is_tried_three_times() {
-    let (mut driver, start, lease_renewal) = with_start();
+fn tries_an_unsent_start_three_times() {
+    let (mut driver, start, lease_renewal) = driver_with_start();
     driver.answer_with_lists(lease_renewal, &[], &[]);
     let mut start = Some(start);
     let mut sends = 0;
@@ -172,8 +172,8 @@
 }
 
 #[test]
-fn a_run_that_disappears_is_stopped_and_resolved() {
-    let (mut driver, start, lease_renewal) = with_start();
+fn stops_and_resolves_a_run_missing_from_lists() {
+    let (mut driver, start, lease_renewal) = driver_with_start();
     driver.answer_ok(start);
     driver.advance_ms(1_000);
     let mut out = driver.answer_with_lists(lease_renewal, &[], &[]);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn orders_in_flight_are_bounded_and_leave_in_order() {
+fn orders_in_flight_are_bounded_and_sent_in_order() {
     let mut driver = Driver::new();
     for index in 0..20 {
         driver.session.start(order(key(index, 1), "text"));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn adopted_attempts_are_found_by_the_first_list() {
+fn first_list_confirms_adopted_attempts() {
     let mut driver = Driver::new();
     for index in 0..3 {
         driver.session.adopt(key(index, 1));
@@ -222,8 +222,8 @@
 }
 
 #[test]
-fn an_unanswered_stop_is_repeated_and_done_when_the_end_is_listed() {
-    let (mut driver, start, lease_renewal) = with_start();
+fn repeats_an_unanswered_stop_until_the_end_is_listed() {
+    let (mut driver, start, lease_renewal) = driver_with_start();
     driver.answer_ok(start);
     driver.session.stop(key(0, 1));
     let (first, _) = stops(&driver.poll())[0];
@@ -236,19 +236,19 @@
 }
 
 #[test]
-fn a_stop_of_a_start_that_was_never_sent_needs_no_call() {
+fn stopping_an_unsent_start_needs_no_call() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     driver.session.stop(key(0, 1));
     let out = driver.poll();
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::NEVER_RAN)]);
-    // The first query at a worker is all that may leave.
+    // Only the first query to a worker may be sent.
     assert_eq!(calls(&out).len(), lease_renewals(&out).len());
     assert!(driver.session.is_idle());
 }
 
 #[test]
-fn an_orphaned_attempt_is_stopped() {
+fn stops_an_orphaned_attempt() {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 2));
     let out = driver.answer_first_query(&[key(0, 2), key(4, 1)], &[]);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn without_the_leaders_lease_no_start_and_no_deadline_is_sent() {
+fn sends_no_start_and_no_deadline_without_the_leader_lease() {
     let mut driver = Driver::new();
     driver.session.set_leader_lease(driver.now);
     driver.session.start(order(key(0, 1), "text"));
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn deadlines_rise_and_stay_within_the_longest_worker_lease() {
+fn deadlines_increase_within_the_longest_worker_lease() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "100"));
     let mut out = driver.answer_first_query(&[], &[]);
@@ -291,8 +291,8 @@
 }
 
 #[test]
-fn deadlines_allow_for_a_slow_clock_of_the_worker() {
-    let (mut driver, start, lease_renewal) = with_start();
+fn deadlines_allow_for_a_slow_worker_clock() {
+    let (mut driver, start, lease_renewal) = driver_with_start();
     driver.refuse(start, Refusal::NoCapacity);
     driver.answer_with_lists(lease_renewal, &[], &[]);
     assert!(driver.session.is_idle());
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_held_start_leaves_only_once_it_is_released_and_then_ahead_of_others() {
+fn held_start_is_sent_first_after_its_release() {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
     driver.session.hold_start(order(key(0, 1), "held"));
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn other_starts_leave_slots_for_held_ones() {
+fn other_starts_keep_slots_free_for_held_starts() {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
     assert!(driver.session.can_send_starts(20, driver.now), "no order is in flight");
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_held_start_that_is_stopped_never_leaves() {
+fn stopped_held_start_is_never_sent() {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
     driver.session.hold_start(order(key(0, 1), "held"));
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_held_start_is_given_up_once_its_worker_is_unreachable() {
+fn held_start_is_rejected_when_its_worker_is_unreachable() {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
     driver.session.start(order(key(1, 1), "text"));
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn starts_that_have_not_left_are_withdrawn_from_a_worker_that_drains() {
+fn unsent_starts_are_withdrawn_from_a_draining_worker() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     driver.session.withdraw_starts();
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_start_that_waits_past_the_age_of_its_listing_does_not_leave() {
+fn start_is_not_sent_after_its_listing_expired() {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
     driver.session.withdraw_starts();
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn a_start_that_was_held_back_at_the_age_of_its_listing_is_placed_elsewhere() {
+fn withheld_start_with_an_expired_listing_is_placed_elsewhere() {
     let mut driver = Driver::new();
     driver.answer_first_query(&[], &[]);
     driver.session.withdraw_starts();
--- a/crates/scheduler/tests/worker_pace.rs
+++ b/crates/scheduler/tests/worker_pace.rs
@@ -1,4 +1,5 @@
-//! The pace of lease renewals beside one that gets no answer.
+//! Rate of lease renewals while an earlier lease renewal gets no answer. A session must not retry them in a
+//! busy loop.
 
 mod support;
 
@@ -7,12 +8,12 @@
 use support::driver::{has_started, lease_renewals, only_lease_renewal, starts, stops, Driver};
 use support::{key, order, MS};
 
-/// Lease renewals of half a second at the ordinary pace: one every 100 ms, and two ahead of it.
-const ORDINARY_PACE: usize = 8;
+/// Lease renewals in half a second at the ordinary rate: one every 100 ms, and two at the beginning.
+const MAX_LEASE_RENEWALS_IN_500_MS: usize = 8;
 
-/// A driver with one running attempt whose lease renewal in flight is overdue, and the one that was sent
-/// beside it.
-fn with_overdue_lease_renewal() -> (Driver, u64) {
+/// Returns a driver with one running attempt and an overdue lease renewal, and the number of the second lease
+/// renewal that was sent meanwhile.
+fn driver_with_overdue_lease_renewal() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.adopt(key(0, 1));
     let out = driver.answer_first_query(&[key(0, 1)], &[]);
@@ -23,12 +24,13 @@
         driver.advance_ms(10);
         out = driver.poll();
     }
-    let beside = only_lease_renewal(&out);
-    (driver, beside)
+    let second = only_lease_renewal(&out);
+    (driver, second)
 }
 
-/// Lets each lease renewal that is sent meet `outcome` at once; gives how many were sent within the span.
-fn lease_renewals_within_ms(driver: &mut Driver, span_ms: u64, first: u64, outcome: &CallOutcome) -> usize {
+/// Completes each lease renewal at once with `outcome`. Returns the number of lease renewals sent within the
+/// span.
+fn count_lease_renewals(driver: &mut Driver, span_ms: u64, first: u64, outcome: &CallOutcome) -> usize {
     let until = driver.now + span_ms * MS;
     let mut waiting = vec![first];
     let mut sent = 1;
@@ -47,30 +49,30 @@
 }
 
 #[test]
-fn a_lease_renewal_that_is_not_sent_beside_an_overdue_one_is_not_retried_at_once() {
-    let (mut driver, beside) = with_overdue_lease_renewal();
-    let sent = lease_renewals_within_ms(&mut driver, 500, beside, &CallOutcome::NotSent);
+fn unsent_lease_renewal_beside_an_overdue_one_is_retried_later() {
+    let (mut driver, second) = driver_with_overdue_lease_renewal();
+    let sent = count_lease_renewals(&mut driver, 500, second, &CallOutcome::NotSent);
     assert!(sent <= 3, "{sent} lease renewals in half a second");
 }
 
 #[test]
-fn without_the_leaders_lease_a_lease_renewal_that_is_not_sent_is_not_retried_at_once() {
-    let (mut driver, beside) = with_overdue_lease_renewal();
+fn unsent_lease_renewal_is_retried_later_without_the_leader_lease() {
+    let (mut driver, second) = driver_with_overdue_lease_renewal();
     driver.session.set_leader_lease(0);
-    let sent = lease_renewals_within_ms(&mut driver, 500, beside, &CallOutcome::NotSent);
+    let sent = count_lease_renewals(&mut driver, 500, second, &CallOutcome::NotSent);
     assert!(sent <= 3, "{sent} lease renewals in half a second");
 }
 
 #[test]
-fn lease_renewals_that_are_answered_beside_an_overdue_one_keep_their_pace() {
-    let (mut driver, beside) = with_overdue_lease_renewal();
+fn answered_lease_renewals_keep_their_rate_beside_an_overdue_one() {
+    let (mut driver, second) = driver_with_overdue_lease_renewal();
     let running = vec![RunningEntry { key: key(0, 1), checkpoint: String::new(), percent: 1 }];
     let lists = CallOutcome::Lists { now_ms: driver.now_ms(), running, finished: Vec::new() };
-    let sent = lease_renewals_within_ms(&mut driver, 500, beside, &lists);
-    assert!(sent <= ORDINARY_PACE, "{sent} lease renewals in half a second");
+    let sent = count_lease_renewals(&mut driver, 500, second, &lists);
+    assert!(sent <= MAX_LEASE_RENEWALS_IN_500_MS, "{sent} lease renewals in half a second");
 }
 
-/// Milliseconds from a stop's answer to the status query that settles the attempt, with the given spacing.
+/// Returns the milliseconds from the answer to a stop until the status query that resolves the attempt.
 fn status_query_after_ms(spacing_ms: u64) -> u64 {
     let mut driver = Driver::new();
     driver.session.set_status_query_spacing(spacing_ms * MS);
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn status_queries_follow_each_other_as_slowly_as_the_leader_can_bear() {
+fn status_queries_keep_the_configured_spacing() {
     let (ordinary, slow) = (status_query_after_ms(0), status_query_after_ms(1_000));
     assert!(ordinary <= 50, "{ordinary} ms");
     assert!(slow >= 900, "{slow} ms");
--- a/crates/scheduler/tests/worker_suspicion.rs
+++ b/crates/scheduler/tests/worker_suspicion.rs
@@ -1,4 +1,4 @@
-//! What a session does while an answer of its worker is missing, and when the worker's lease expires.
+//! Suspicion of a worker whose answer is missing, and expiry of the worker's lease.
 
 mod support;
 
@@ -7,9 +7,9 @@
 use support::driver::{calls, lease_renewals, resolutions, starts, Driver, SESSION_START_MS};
 use support::{key, order, MS};
 
-/// A driver whose session has sent one start that got no answer; the worker has answered before. Gives the
-/// query that follows, too.
-fn with_unanswered_start() -> (Driver, u64) {
+/// Returns a driver whose worker answered before but not the one start sent, and the number of the query that
+/// follows.
+fn driver_with_unanswered_start() -> (Driver, u64) {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.answer_first_query(&[], &[]);
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn a_suspected_worker_gets_no_start_and_no_longer_lease_until_it_answers() {
-    let (mut driver, query) = with_unanswered_start();
+fn suspected_worker_gets_no_start_and_no_lease_extension() {
+    let (mut driver, query) = driver_with_unanswered_start();
     driver.session.start(order(key(1, 1), "text"));
     let out = driver.poll_for_ms(200);
     assert!(starts(&out).is_empty(), "{out:?}");
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn starts_that_wait_for_a_suspected_worker_are_rejected_once_it_is_unreachable() {
-    let (mut driver, _) = with_unanswered_start();
+fn starts_for_an_unreachable_worker_are_rejected() {
+    let (mut driver, _) = driver_with_unanswered_start();
     driver.session.start(order(key(1, 1), "text"));
     let out = driver.poll_for_ms(1_500);
     assert!(out.contains(&SessionOutput::ReachabilityChanged { reachable: false }), "{out:?}");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_call_that_was_never_sent_raises_no_suspicion() {
+fn unsent_call_raises_no_suspicion() {
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.answer_first_query(&[], &[]);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_worker_lease_is_as_long_as_the_caller_says_from_the_next_call_on() {
+fn new_worker_lease_applies_from_the_next_call() {
     let mut driver = Driver::new();
     driver.session.set_worker_lease(2_500);
     driver.session.start(order(key(0, 1), "text"));
@@ -71,40 +71,40 @@
     assert_eq!(deadlines(&out), [SESSION_START_MS + 2_500, SESSION_START_MS + 2_500]);
 }
 
-/// When the session takes the worker's lease as expired, in milliseconds after the last call that it could
-/// answer.
-fn expiry_after(first_ms: u64, then_ms: u64) -> u64 {
+/// Returns the time from the worker's last answer until the session regards its lease as expired, in
+/// milliseconds. The worker lease is `first_ms` at first and `second_ms` later.
+fn lease_expiry_ms(first_ms: u64, second_ms: u64) -> u64 {
     let mut driver = Driver::new();
     driver.session.set_worker_lease(first_ms);
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.answer_first_query(&[], &[]);
     driver.answer_ok(starts(&out)[0]);
-    driver.session.set_worker_lease(then_ms);
+    driver.session.set_worker_lease(second_ms);
     let lease_renewal = lease_renewals(&out)[0];
     driver.advance_ms(100);
     driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
-    let begin = driver.now;
+    let last_answer_at = driver.now;
     loop {
         let out = driver.poll_for_ms(10);
         if !resolutions(&out).is_empty() {
-            return (driver.now - begin) / MS;
+            return (driver.now - last_answer_at) / MS;
         }
-        assert!(driver.now - begin < 20_000 * MS, "the worker's lease never expires");
+        assert!(driver.now - last_answer_at < 20_000 * MS, "the worker's lease never expires");
     }
 }
 
 #[test]
-fn lease_expiry_is_computed_from_the_greatest_deadline_that_was_sent() {
-    // Earlier leaders may have set leases of the longest length (6 s) until this one began.
-    let earlier = expiry_after(1_000, 1_000);
+fn lease_expiry_follows_the_greatest_deadline_sent() {
+    // Earlier leaders may have granted leases of the longest length (6 s) until this session began.
+    let earlier = lease_expiry_ms(1_000, 1_000);
     assert!((5_900..6_400).contains(&earlier), "{earlier}");
-    assert!(expiry_after(5_000, 1_000) >= earlier);
+    assert!(lease_expiry_ms(5_000, 1_000) >= earlier);
     let mut driver = Driver::new();
     driver.session.start(order(key(0, 1), "text"));
     let out = driver.answer_first_query(&[], &[]);
     driver.answer_ok(starts(&out)[0]);
-    // Long after the election only own deadlines count: the first one, 5 s ahead, is in force when a shorter
-    // one follows.
+    // Long after the election only the deadlines of this session count. The first deadline, 5 s ahead, is
+    // still in force when a shorter one follows.
     let mut lease_renewal = lease_renewals(&out)[0];
     for _ in 0..10 {
         driver.advance_ms(900);
