--- a/crates/scheduler/tests/commands/mod.rs
+++ b/crates/scheduler/tests/commands/mod.rs
@@ -47,7 +47,7 @@
     OneOfkind::cancel_job(CancelJob { id, prefix_key: PREFIX.to_owned() })
 }
 
-pub fn clock(now_ms: u64) -> OneOfkind {
+pub fn set_clock(now_ms: u64) -> OneOfkind {
     OneOfkind::advance_clock(AdvanceClock { now_ms })
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// Starts the tasks on one worker, all with the same attempt number.
-pub fn start(tasks: &[TaskKey], attempt: u32, instance: &str) -> OneOfkind {
+pub fn start_on_worker(tasks: &[TaskKey], attempt: u32, instance: &str) -> OneOfkind {
     let start =
         |task: &TaskKey| AttemptStart { task: Some((*task).into()), attempt, instance: instance.to_owned() };
     OneOfkind::start_attempts(StartAttempts {
@@ -77,16 +77,22 @@
     WorkerEnd { sequence, task: Some(task.into()), attempt, kind, checkpoint: String::new(), counted: true }
 }
 
-pub fn ends(instance: &str, ends: Vec<WorkerEnd>) -> OneOfkind {
+pub fn record_worker_ends(instance: &str, ends: Vec<WorkerEnd>) -> OneOfkind {
     OneOfkind::record_ends(RecordEnds { instance: instance.to_owned(), ends })
 }
 
-pub fn end(instance: &str, sequence: u64, task: TaskKey, attempt: u32, kind: EndKind) -> OneOfkind {
-    ends(instance, vec![worker_end(sequence, task, attempt, kind)])
+pub fn record_worker_end(
+    instance: &str,
+    sequence: u64,
+    task: TaskKey,
+    attempt: u32,
+    kind: EndKind,
+) -> OneOfkind {
+    record_worker_ends(instance, vec![worker_end(sequence, task, attempt, kind)])
 }
 
 /// Resolves an attempt because the lease of its worker expired.
-pub fn resolve(instance: &str, task: TaskKey, attempt: u32, checkpoint: &str) -> OneOfkind {
+pub fn resolve_expired_lease(instance: &str, task: TaskKey, attempt: u32, checkpoint: &str) -> OneOfkind {
     OneOfkind::resolve_attempts(ResolveAttempts {
         resolved: vec![AttemptResolved {
             task: Some(task.into()),
--- a/crates/scheduler/tests/configuration_changes.rs
+++ b/crates/scheduler/tests/configuration_changes.rs
@@ -28,6 +28,8 @@
     hash.to_le_bytes().to_vec()
 }
 
+/// The rejected change must stay rejected when both changes are repeated and the state is restored from
+/// snapshots.
 #[test]
 fn accepts_only_one_of_two_changes_with_the_same_version() {
     let mut state = State::new();
@@ -136,7 +138,7 @@
     apply(&mut state, store_configuration("a", 3, 0));
     apply(&mut state, store_configuration("b", 5, 3));
     apply(&mut state, submit(JOB, job(vec![stage(1)])));
-    apply(&mut state, commands::start(&[commands::task(JOB, 0, 0)], 1, "w"));
+    apply(&mut state, commands::start_on_worker(&[commands::task(JOB, 0, 0)], 1, "w"));
     let complete = state.snapshot();
     assert!(State::restore(&complete).is_ok());
 
--- a/crates/scheduler/tests/leader_answers.rs
+++ b/crates/scheduler/tests/leader_answers.rs
@@ -14,6 +14,7 @@
     JobSpec { spec: "text".to_owned(), stages: vec![stage], ..JobSpec::default() }
 }
 
+/// No reply is sent before the commit. A repeat that arrives meanwhile waits for the same commit.
 #[test]
 fn accepts_a_submission_and_its_repeat_after_the_commit() {
     let mut cluster = Cluster::new(1);
--- a/crates/scheduler/tests/leader_gangs.rs
+++ b/crates/scheduler/tests/leader_gangs.rs
@@ -49,6 +49,7 @@
     cluster.assert_no_violations();
 }
 
+/// The members have waited since before the election.
 #[test]
 fn new_leader_stops_members_that_wait_for_others() {
     let mut cluster = cluster_with_responsive_workers();
@@ -59,6 +60,8 @@
     assert_completes_without_gang_timeouts(&mut cluster);
 }
 
+/// Waiting members that resumed from a checkpoint already report progress. The leader must still recognize
+/// that they wait.
 #[test]
 fn stops_waiting_members_that_resumed_from_a_checkpoint() {
     let mut cluster = cluster_with_responsive_workers();
@@ -88,6 +91,7 @@
     assert_completes_without_gang_timeouts(&mut cluster);
 }
 
+/// The members start, but the leader gets no answers, neither to starts nor to lease renewals.
 #[test]
 fn stops_waiting_members_whose_answers_are_lost() {
     let mut cluster = cluster_with_responsive_workers();
@@ -101,6 +105,7 @@
     assert_completes_without_gang_timeouts(&mut cluster);
 }
 
+/// A member that starts while the order of another member waits for a slot would wait for that member.
 #[test]
 fn starts_no_member_while_another_order_is_queued() {
     let mut cluster = cluster_with_responsive_workers();
@@ -201,6 +206,7 @@
     cluster.assert_no_violations();
 }
 
+/// The new leader gets no answers for 2 s. It must not stop a complete gang as if members were missing.
 #[test]
 fn complete_gang_continues_under_a_new_leader() {
     let mut cluster = cluster_with_responsive_workers();
@@ -235,6 +241,7 @@
     cluster.gang_timeouts
 }
 
+/// Late input shortens the time that is left to stop waiting members.
 #[test]
 fn no_member_times_out_under_late_leaders() {
     for period_ms in [0, 60, 150, 300, 450, 700] {
--- a/crates/scheduler/tests/leader_jobs.rs
+++ b/crates/scheduler/tests/leader_jobs.rs
@@ -70,6 +70,8 @@
     cluster.assert_no_violations();
 }
 
+/// A rack-local gang waits for capacity in one rack only as long as it would lose by running in several
+/// racks.
 #[test]
 fn gang_waits_for_one_rack_as_long_as_spreading_would_cost() {
     let mut cluster = Cluster::new(4);
@@ -96,11 +98,11 @@
     for number in 0..60 {
         cluster.send_job("/a/", JOB + number, job(vec![stage(2, 1_000, 500)]));
     }
-    let ejection_times = |cluster: &Cluster| {
+    let is_ejected = |cluster: &Cluster| {
         let workers = cluster.leader.as_ref().unwrap().workers_report(cluster.now).workers;
         workers.iter().any(|worker| worker.instance == "i-2" && !worker.obstacles.is_empty())
     };
-    assert!(cluster.run_until(20_000, ejection_times));
+    assert!(cluster.run_until(20_000, is_ejected));
     cluster.workers.get_mut("i-2").unwrap().fails_all_runs = false;
     let sent = cluster.now;
     let labelled = Stage { constraint: label.to_owned(), ..stage(1, 500, 300) };
@@ -126,9 +128,9 @@
     let mut cluster = Cluster::new(4);
     cluster.submit("/a/", JOB, job(vec![Stage { gang: true, ..stage(5, 2_000, 2_000) }]));
     assert!(cluster.run_until(3_000, |cluster| cluster.running() == 5));
-    let victim = cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap();
-    let victim = victim.instance.id.clone();
-    cluster.crash_worker(&victim);
+    let crashed = cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap();
+    let crashed = crashed.instance.id.clone();
+    cluster.crash_worker(&crashed);
     assert!(cluster.run_until_state(JOB, "completed", 25_000), "{}", cluster.job_state(JOB));
     cluster.assert_no_violations();
 }
@@ -204,12 +206,12 @@
 #[test]
 fn restarts_long_running_tasks_until_cancelled() {
     let mut cluster = Cluster::new(2);
-    let lasting = Stage { long_running: true, ..stage(2, 1_000, 500) };
-    cluster.submit("/a/", JOB, job(vec![lasting]));
+    let long_running_stage = Stage { long_running: true, ..stage(2, 1_000, 500) };
+    cluster.submit("/a/", JOB, job(vec![long_running_stage]));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
-    let hit = cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap();
-    let hit = hit.instance.id.clone();
-    cluster.crash_worker(&hit);
+    let crashed = cluster.workers.values().find(|worker| !worker.running.is_empty()).unwrap();
+    let crashed = crashed.instance.id.clone();
+    cluster.crash_worker(&crashed);
     assert!(cluster.run_until(20_000, |cluster| cluster.running() == 2));
     cluster.cancel("/a/", JOB);
     assert!(cluster.run_until(500, |cluster| cluster.running() == 0));
@@ -220,8 +222,9 @@
 fn repeats_start_when_due_and_may_overlap() {
     let mut cluster = Cluster::new(2);
     let start_at_ms = DAY_START_MS + cluster.now / MS + 2_000;
-    let times = JobSpec { repeat: 4, start_at_ms, interval_ms: 300, ..job(vec![stage(1, 500, 1_000)]) };
-    cluster.submit("/a/", JOB, times);
+    let scheduled_job =
+        JobSpec { repeat: 4, start_at_ms, interval_ms: 300, ..job(vec![stage(1, 500, 1_000)]) };
+    cluster.submit("/a/", JOB, scheduled_job);
     cluster.run_for_ms(1_800);
     assert_eq!(cluster.running(), 0);
     assert_eq!(cluster.job_state(JOB), "pending");
@@ -394,7 +397,7 @@
 }
 
 /// A job that occupies rack `r1-0`, two workers of four cores, for `ms` milliseconds.
-fn fills_first_rack(ms: u64) -> JobSpec {
+fn job_on_first_rack(ms: u64) -> JobSpec {
     job(vec![Stage { constraint: "r1-0".to_owned(), ..stage(2, 4_000, ms) }])
 }
 
@@ -404,10 +407,11 @@
     cluster.workers.values().find(runs_there).map(|worker| worker.instance.id.as_str())
 }
 
+/// The task waits because the rack has capacity again sooner than the longer run in another rack would cost.
 #[test]
 fn task_waits_for_capacity_in_the_rack_of_its_data() {
     let mut cluster = Cluster::new(4);
-    cluster.submit("/a/", JOB, fills_first_rack(600));
+    cluster.submit("/a/", JOB, job_on_first_rack(600));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
     let near = Stage { affinity: "r1-0".to_owned(), ..stage(1, 1_000, 2_000) };
     cluster.submit("/a/", JOB + 1, job(vec![near]));
@@ -421,7 +425,7 @@
 #[test]
 fn task_leaves_the_rack_of_its_data_after_a_bounded_wait() {
     let mut cluster = Cluster::new(4);
-    cluster.submit("/a/", JOB, fills_first_rack(5_000));
+    cluster.submit("/a/", JOB, job_on_first_rack(5_000));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
     let near = Stage { affinity: "r1-0".to_owned(), ..stage(1, 1_000, 800) };
     let sent = cluster.now;
@@ -435,10 +439,11 @@
     cluster.assert_no_violations();
 }
 
+/// A job may run nothing for 2 s at most, even if a task of it would lose more time in another rack.
 #[test]
 fn long_task_waits_for_the_rack_of_its_data_two_seconds() {
     let mut cluster = Cluster::new(4);
-    cluster.submit("/a/", JOB, fills_first_rack(20_000));
+    cluster.submit("/a/", JOB, job_on_first_rack(20_000));
     assert!(cluster.run_until(2_000, |cluster| cluster.running() == 2));
     // In another rack the task would take 10 s more.
     let near = Stage { affinity: "r1-0".to_owned(), ..stage(1, 1_000, 20_000) };
@@ -454,8 +459,8 @@
     let mut cluster = Cluster::new(4);
     cluster.run_for_ms(1_500);
     let sent = cluster.now;
-    let elsewhere = Stage { affinity: "r9-9".to_owned(), ..stage(1, 1_000, 2_000) };
-    cluster.submit("/a/", JOB, job(vec![elsewhere]));
+    let in_unknown_rack = Stage { affinity: "r9-9".to_owned(), ..stage(1, 1_000, 2_000) };
+    cluster.submit("/a/", JOB, job(vec![in_unknown_rack]));
     assert!(cluster.run_until(2_000, |cluster| host_of(cluster, JOB).is_some()));
     assert!(cluster.now - sent < 100 * MS, "{} ms", (cluster.now - sent) / MS);
 }
@@ -475,6 +480,7 @@
     cluster.assert_no_violations();
 }
 
+/// A page that has not changed since the last read is still new to a leader that never received it.
 #[test]
 fn unchanged_list_page_is_new_to_a_new_leader() {
     let state = State::new();
--- a/crates/scheduler/tests/load_shedding.rs
+++ b/crates/scheduler/tests/load_shedding.rs
@@ -110,6 +110,8 @@
     assert_eq!(reply.outcome, Outcome::ACCEPTED);
 }
 
+/// Starts wait for a late leader although workers are free. The leader must accept only as many jobs as it
+/// can start in time.
 #[test]
 fn late_leader_sheds_load_despite_free_workers() {
     let mut cluster = cluster_with_late_leader();
@@ -140,6 +142,7 @@
     );
 }
 
+/// A client that repeats the submission must not get past the load shedding of a late leader.
 #[test]
 fn repeated_submissions_of_a_rejected_job_stay_rejected() {
     let mut cluster = cluster_with_late_leader();
--- a/crates/scheduler/tests/placement.rs
+++ b/crates/scheduler/tests/placement.rs
@@ -423,8 +423,8 @@
         let mut racks: BTreeMap<(Option<u8>, WorkerKey), Vec<WorkerKey>> = BTreeMap::new();
         for key in self.keys() {
             let rack = self.workers[key as usize].rack;
-            let alone = if rack.is_none() { key } else { 0 };
-            racks.entry((rack, alone)).or_default().push(key);
+            let group = if rack.is_none() { key } else { 0 };
+            racks.entry((rack, group)).or_default().push(key);
         }
         racks.into_values().collect()
     }
--- a/crates/scheduler/tests/state_scripts.rs
+++ b/crates/scheduler/tests/state_scripts.rs
@@ -61,7 +61,7 @@
             2 => cancel(id),
             3 => {
                 self.clock_ms += u64::from(draw.2) * 5_000;
-                clock(self.clock_ms)
+                set_clock(self.clock_ms)
             }
             4..=8 => {
                 let gang = job_spec(id)
@@ -73,9 +73,9 @@
                     Some(count) => (0..count).map(|index| TaskKey { index, ..task }).collect(),
                     None => vec![task],
                 };
-                start(&tasks, attempt, instance)
+                start_on_worker(&tasks, attempt, instance)
             }
-            9 => resolve(instance, task, attempt.saturating_sub(1), "r"),
+            9 => resolve_expired_lease(instance, task, attempt.saturating_sub(1), "r"),
             10 => store_configuration(
                 &format!("{}", draw.2 % 4),
                 u64::from(draw.2),
@@ -88,7 +88,7 @@
                 let mut end = worker_end(*sequence, task, attempt.saturating_sub(1), kind);
                 end.counted = draw.2 % 5 != 0;
                 end.checkpoint = format!("c{sequence}");
-                ends(instance, vec![end])
+                record_worker_ends(instance, vec![end])
             }
         }
     }
--- a/crates/scheduler/tests/support/world.rs
+++ b/crates/scheduler/tests/support/world.rs
@@ -226,7 +226,7 @@
             SessionOutput::CancelCall { .. } => self.cancelled += 1,
             SessionOutput::Started { key } => {
                 assert!(self.started.insert(*key), "reported as started twice: {key}");
-                assert!(self.active.contains(key), "started, but not active: {key}");
+                assert!(self.active.contains(key), "reported as started, but not active: {key}");
             }
             SessionOutput::Ended { end } => self.handle_end(end),
             SessionOutput::Resolved { key, resolution, .. } => {
--- a/crates/scheduler/tests/worker_lateness.rs
+++ b/crates/scheduler/tests/worker_lateness.rs
@@ -67,7 +67,7 @@
     let (mut driver, _) = driver_with_start_in_flight();
     driver.session.set_response_clock(read_until(driver.now));
     driver.poll_for_ms(MAX_START_TIMEOUT_MS);
-    assert!(driver.session.next_timer() > driver.now, "it would be polled again and again");
+    assert!(driver.session.next_timer() > driver.now, "the session would be polled in a busy loop");
 }
 
 #[test]
@@ -94,12 +94,15 @@
 }
 
 fn ms_until_suspected(driver: &mut Driver) -> u64 {
-    let began = driver.now;
+    let started_at = driver.now;
     while !driver.poll().contains(&SessionOutput::SuspicionChanged { suspected: true }) {
-        assert!(driver.now < began + MAX_START_TIMEOUT_MS * MS, "no answer is ever missing");
+        assert!(
+            driver.now < started_at + MAX_START_TIMEOUT_MS * MS,
+            "the session never regards the answer as missing"
+        );
         driver.advance_ms(1);
     }
-    (driver.now - began) / MS
+    (driver.now - started_at) / MS
 }
 
 #[test]
@@ -124,7 +127,7 @@
             out.extend(driver.answer(call, CallOutcome::Withheld));
         }
         assert!(!reports_missing_answer(&out), "{out:?}");
-        assert_eq!(resolutions(&out), [], "a start that was withheld is not given up");
+        assert_eq!(resolutions(&out), [], "a withheld start must not be resolved");
     }
 }
 
--- a/crates/scheduler/tests/worker_lists.rs
+++ b/crates/scheduler/tests/worker_lists.rs
@@ -37,7 +37,10 @@
     driver.advance_ms(500);
     let out = driver.answer_with_lists(lease_renewal, &[], &listed);
     assert_eq!(ends(&out), [(1, true)]);
-    assert!(lease_renewals(&out).is_empty(), "it would be answered at once");
+    assert!(
+        lease_renewals(&out).is_empty(),
+        "a lease renewal would be answered at once and cause a busy loop"
+    );
     let out = driver.poll_for_ms(150);
     assert_eq!(last_seen(&out), [0]);
     let out = driver.answer_with_lists(only_lease_renewal(&out), &[], &listed);
@@ -84,7 +87,7 @@
     let mut session = WorkerSession::new(incarnation(1), 57, options(7, now), now);
     session.set_leader_lease(u64::MAX);
     session.extend_start_limit(u64::MAX);
-    assert!(!session.is_idle(), "nobody knows whether the worker has read it");
+    assert!(!session.is_idle(), "it is unknown whether the worker has got the acknowledgement");
     let mut driver = Driver { session, now };
     let out = driver.poll();
     assert_eq!(last_seen(&out), [57]);
@@ -136,7 +139,7 @@
     assert_eq!(resolutions(&out), [(key(0, 1), Resolution::LEASE_EXPIRED)]);
     let slow_clock = partitioned_at + (driver.now_ms() - partitioned_at) * 98 / 100;
     assert!(slow_clock >= deadline, "the worker's clock may be at {slow_clock}, before {deadline}");
-    assert!(slow_clock <= deadline + 200, "known as expired too late: {slow_clock}, deadline {deadline}");
+    assert!(slow_clock <= deadline + 200, "expiry is detected too late: {slow_clock}, deadline {deadline}");
 }
 
 #[test]
@@ -174,12 +177,12 @@
     driver.session.start(order(key(1, 1), "text"));
     let out = driver
         .answer(lease_renewal, CallOutcome::Refused { now_ms: None, reason: Refusal::WrongIncarnation });
-    let over = Resolution::INCARNATION_ENDED;
-    assert_eq!(resolutions(&out), [(key(0, 1), over), (key(1, 1), over)]);
+    let incarnation_over = Resolution::INCARNATION_ENDED;
+    assert_eq!(resolutions(&out), [(key(0, 1), incarnation_over), (key(1, 1), incarnation_over)]);
     assert_eq!(out.last(), Some(&SessionOutput::IncarnationEnded));
     assert!(driver.poll_for_ms(60_000).is_empty());
     driver.session.start(order(key(2, 1), "text"));
-    assert_eq!(resolutions(&driver.poll()), [(key(2, 1), over)]);
+    assert_eq!(resolutions(&driver.poll()), [(key(2, 1), incarnation_over)]);
 }
 
 #[test]
@@ -215,10 +218,14 @@
 fn replaces_a_lost_lease_renewal_before_the_lease_expires() {
     let (mut driver, _) = driver_with_running_attempt();
     let out = driver.poll_for_ms(1_500);
-    assert!((1..=2).contains(&lease_renewals(&out).len()), "replaced, three in flight at most");
+    assert!(
+        (1..=2).contains(&lease_renewals(&out).len()),
+        "the lost lease renewal is replaced, with at most three in flight"
+    );
     assert!(stops(&out).is_empty());
 }
 
+/// A list as long as a page may be truncated, so that a missing attempt may still run.
 #[test]
 fn full_page_does_not_prove_absence() {
     let (mut driver, lease_renewal) = driver_with_running_attempt();
@@ -235,7 +242,7 @@
 fn idle_sessions_make_no_calls_and_busy_sessions_few() {
     let mut world = World::new(3);
     world.run_ms(60_000);
-    assert_eq!(world.calls, 1, "one query, so that the worker is known to answer");
+    assert_eq!(world.calls, 1, "one query, to learn whether the worker answers");
     world.start(0, "60000");
     world.run_ms(50_000);
     assert!((40..=60).contains(&(world.calls - 1)), "{} calls in 50 s with one run", world.calls - 1);
@@ -245,7 +252,8 @@
         world.run_ms(200);
     }
     let queries = world.calls - calls_before - (world.worker.starts - starts_before);
-    // Five ends a second, and two queries for each end: one that lists the end, one that acknowledges it.
+    // Each end and each acknowledgement requests a query, and nothing else does. There are five ends a
+    // second.
     assert!(queries <= 50 * 5, "{queries} queries in 50 s with several ends a second");
     assert_eq!(world.ended.len(), 250);
 }
@@ -274,10 +282,10 @@
             .collect();
     }
     out.extend(driver.poll_for_ms(250));
-    let until_settled: Vec<_> = lease_renewals(&out)
+    let resulting: Vec<_> = lease_renewals(&out)
         .into_iter()
         .flat_map(|lease_renewal| driver.answer_with_lists(lease_renewal, &running, &[]))
         .collect();
-    let after = [until_settled, driver.poll_for_ms(150)].concat();
+    let after = [resulting, driver.poll_for_ms(150)].concat();
     assert!(!lease_renewals(&after).is_empty(), "no lease renewal within 150 ms of the last answer");
 }
--- a/crates/scheduler/tests/worker_orders.rs
+++ b/crates/scheduler/tests/worker_orders.rs
@@ -117,6 +117,8 @@
     assert!(stops(&driver.poll_for_ms(100)).is_empty());
 }
 
+/// A list sent before the answer to the stop may be older than the stop. Only a later list shows that the
+/// attempt never ran.
 #[test]
 fn unlisted_start_is_stopped_and_resolved_by_a_later_list() {
     let (mut driver, start, lease_renewal) = driver_with_start();
@@ -228,7 +230,7 @@
     driver.session.stop(key(0, 1));
     let (first, _) = stops(&driver.poll())[0];
     let out = driver.answer(first, CallOutcome::NoResponse);
-    assert!(stops(&out).is_empty(), "not at once");
+    assert!(stops(&out).is_empty(), "the stop is not repeated at once");
     let (second, _) = stops(&driver.poll_for_ms(100))[0];
     assert!(resolutions(&driver.answer_ok(second)).is_empty());
     let out = driver.answer_with_lists(lease_renewal, &[], &[end(1, key(0, 1), EndKind::STOPPED)]);
@@ -376,7 +378,7 @@
     driver.answer_first_query(&[], &[]);
     driver.session.withdraw_starts();
     driver.session.start(order(key(0, 1), "text"));
-    assert!(starts(&driver.poll_for_ms(200)).is_empty(), "nothing is known of the worker");
+    assert!(starts(&driver.poll_for_ms(200)).is_empty(), "there is no listing of the worker");
     let limit = driver.now + 10 * MS;
     assert!(driver.session.extend_start_limit(limit), "a start waits for the limit");
     let out = driver.poll();
@@ -387,7 +389,7 @@
     assert_eq!(expires, Some(limit));
     driver.advance_ms(10);
     driver.session.start(order(key(1, 1), "text"));
-    assert!(starts(&driver.poll_for_ms(200)).is_empty(), "the limit has passed");
+    assert!(starts(&driver.poll_for_ms(200)).is_empty(), "the start limit has passed");
 }
 
 #[test]
--- a/crates/scheduler/tests/worker_pace.rs
+++ b/crates/scheduler/tests/worker_pace.rs
@@ -48,6 +48,7 @@
     sent
 }
 
+/// A lease renewal that cannot be sent must not be retried in a busy loop.
 #[test]
 fn unsent_lease_renewal_beside_an_overdue_one_is_retried_later() {
     let (mut driver, second) = driver_with_overdue_lease_renewal();
@@ -85,12 +86,12 @@
         let lists = *lease_renewals(&out).first().unwrap_or(&0);
         out = if lists > 0 { driver.answer_with_lists(lists, &[], &[]) } else { driver.poll_for_ms(1) };
     }
-    let began = driver.now;
+    let stop_answered_at = driver.now;
     let mut out = driver.answer_ok(stops(&out)[0].0);
     while lease_renewals(&out).is_empty() {
         out = driver.poll_for_ms(1);
     }
-    (driver.now - began) / MS
+    (driver.now - stop_answered_at) / MS
 }
 
 #[test]
--- a/crates/scheduler/tests/worker_scripts.rs
+++ b/crates/scheduler/tests/worker_scripts.rs
@@ -73,8 +73,8 @@
     }
 }
 
-fn apply_action(world: &mut World, apply_action: Action) {
-    match apply_action {
+fn apply_action(world: &mut World, action: Action) {
+    match action {
         Action::Start { index, length_ms, fails } => {
             let end = if fails { "f" } else { "" };
             world.start(index, &format!("{length_ms}{end}"));
@@ -104,7 +104,7 @@
     world.no_lease_until = 0;
     world.worker.unhealthy = false;
     world.run_ms(30_000);
-    assert!(world.active.is_empty(), "neither ended nor resolved: {:?}", world.active);
+    assert!(world.active.is_empty(), "attempts are neither ended nor resolved: {:?}", world.active);
     assert!(world.session.is_idle(), "the session does not become idle");
     if world.session_matches_worker() {
         assert_eq!(world.worker.running(), 0, "the worker runs attempts that the session does not know");
@@ -115,7 +115,7 @@
 fn partition_until_lease_expires(world: &mut World) {
     world.partitioned_until = u64::MAX;
     world.run_ms(30_000);
-    assert!(world.active.is_empty(), "neither ended nor resolved: {:?}", world.active);
+    assert!(world.active.is_empty(), "attempts are neither ended nor resolved: {:?}", world.active);
 }
 
 quickcheck! {
--- a/crates/scheduler/tests/worker_suspicion.rs
+++ b/crates/scheduler/tests/worker_suspicion.rs
@@ -40,7 +40,7 @@
     assert!(deadlines(&out).is_empty(), "{out:?}");
     let out = driver.answer_with_lists(query, &[key(0, 1)], &[]);
     assert!(out.contains(&SessionOutput::SuspicionChanged { suspected: false }), "{out:?}");
-    assert_eq!(starts(&out).len(), 1, "what waited leaves: {out:?}");
+    assert_eq!(starts(&out).len(), 1, "the queued start is sent: {out:?}");
     assert!(!deadlines(&out).is_empty(), "{out:?}");
 }
 
@@ -115,7 +115,10 @@
     driver.session.set_worker_lease(1_000);
     driver.advance_ms(500);
     let out = driver.answer_with_lists(lease_renewal, &[key(0, 1)], &[]);
-    assert!(deadlines(&out).iter().all(|deadline| *deadline >= longest_sent), "never shortened: {out:?}");
+    assert!(
+        deadlines(&out).iter().all(|deadline| *deadline >= longest_sent),
+        "a deadline was shortened: {out:?}"
+    );
     while driver.now_ms() < longest_sent {
         assert_eq!(resolutions(&driver.poll_for_ms(10)), []);
     }
