--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -297,7 +297,7 @@
                 self.lease_renewals.retain(|lease_renewal| lease_renewal.call != call);
             }
             Output::ReadInstances => {
-                self.schedule(now + self.list_delay, Event::InstanceList { term, requested_at: now })
+                self.schedule(now + self.list_delay, Event::InstanceList { term, requested_at: now });
             }
             Output::WakeAt { at } => self.schedule(at.max(now), Event::Tick),
         }
@@ -364,7 +364,7 @@
                 self.handle(Input::Instances { instances, as_of: requested_at, has_changed, is_last: true });
             }
             Event::RequestArrival { term, call, instance, request } => {
-                self.deliver_request(term, call, instance, request)
+                self.deliver_request(term, call, instance, request);
             }
             Event::LongPollTimeout { term, call, instance } => {
                 if self
