--- a/crates/scheduler/tests/cluster/mod.rs
+++ b/crates/scheduler/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
 //! Simulated cluster: a leader, a replicated log with a commit delay, and modelled workers. Checks each start
-//! against the guarantees of the scheduler (see `rules`).
+//! against the guarantees of the scheduler (see `rules`). Times are in nanoseconds unless a name ends in `_ms`.
 
 #![allow(dead_code)]
 
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Model of a worker that follows the protocol, and of the network between the worker and a session, in
-//! simulated time.
+//! simulated time. Times are in nanoseconds unless a name ends in `_ms`.
 
 #![allow(dead_code)]
 
