--- a/crates/configuration/src/worker_calls.rs
+++ b/crates/configuration/src/worker_calls.rs
@@ -288,9 +288,9 @@
     /// The worker has seen a higher fencing token.
     StaleFencingToken,
     /// The attempt is not above one that was stopped or ended there.
-    Old,
+    SupersededAttempt,
     /// The deadline had passed.
-    Late,
+    DeadlinePassed,
     /// The worker lacks the capacity for the task.
     NoCapacity,
     /// A reason that is not known.
@@ -332,8 +332,8 @@
 fn reject_reason(name: &str) -> RejectReason {
     match name {
         "fence" => RejectReason::StaleFencingToken,
-        "old" => RejectReason::Old,
-        "late" => RejectReason::Late,
+        "old" => RejectReason::SupersededAttempt,
+        "late" => RejectReason::DeadlinePassed,
         "room" => RejectReason::NoCapacity,
         _ => RejectReason::Other,
     }
--- a/crates/configuration/tests/worker_calls.rs
+++ b/crates/configuration/tests/worker_calls.rs
@@ -137,8 +137,8 @@
     assert_eq!(OrderAnswer::read(b"{}"), Ok(OrderAnswer::default()));
     for (name, reason) in [
         ("fence", RejectReason::StaleFencingToken),
-        ("old", RejectReason::Old),
-        ("late", RejectReason::Late),
+        ("old", RejectReason::SupersededAttempt),
+        ("late", RejectReason::DeadlinePassed),
         ("room", RejectReason::NoCapacity),
         ("mood", RejectReason::Other),
     ] {
--- a/crates/control/src/worker_calls.rs
+++ b/crates/control/src/worker_calls.rs
@@ -118,8 +118,8 @@
     let answer = OrderAnswer::read(body).unwrap_or_default();
     let named = match answer.reason {
         Some(RejectReason::StaleFencingToken) => Refusal::StaleFencingToken,
-        Some(RejectReason::Old) => Refusal::SupersededAttempt,
-        Some(RejectReason::Late) => Refusal::DeadlinePassed,
+        Some(RejectReason::SupersededAttempt) => Refusal::SupersededAttempt,
+        Some(RejectReason::DeadlinePassed) => Refusal::DeadlinePassed,
         Some(RejectReason::NoCapacity) => Refusal::NoCapacity,
         Some(RejectReason::Other) | None => Refusal::Unknown,
     };
