--- a/crates/data-plane/src/answers.rs
+++ b/crates/data-plane/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! HTTP answers to clients.
 
 use crate::calls::CallError;
 use bytes::Bytes;
@@ -13,10 +13,10 @@
 const ALLOWED_METHODS: HeaderValue = HeaderValue::from_static("GET, POST, DELETE");
 const MS_PER_S: u32 = 1_000;
 
-/// An answer in the form of the HTTP library.
+/// An HTTP response whose body is held in memory.
 pub type Answer = Response<Full<Bytes>>;
 
-/// The answer to a client for a reply of the core.
+/// Converts a reply of the core into the answer to the client.
 pub fn of_reply(reply: &ClientReply) -> Answer {
     match reply.outcome {
         Outcome::ACCEPTED | Outcome::CANCEL_DONE => with_body(StatusCode::OK, Bytes::from_static(b"{}")),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The answer to a request that is not forwarded.
+/// Builds the answer to a request that is rejected here and not forwarded.
 pub fn of_error(call_error: &CallError) -> Answer {
     let text = call_error.to_string();
     match call_error {
@@ -56,7 +56,7 @@
     }
 }
 
-/// An answer whose body holds an error text that names the remedy.
+/// Builds an answer whose JSON body holds `text`, which says what is wrong and how to correct it.
 pub fn error(status: StatusCode, text: &str) -> Answer {
     with_body(status, json_object("Error", text))
 }
@@ -67,14 +67,14 @@
     answer
 }
 
-/// An answer without a body.
+/// Builds an answer without a body.
 pub fn empty(status: StatusCode) -> Answer {
     let mut answer = Response::new(Full::new(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
-/// Tells the client that its connection is closed after this answer.
+/// Adds `Connection: close`, which tells the client that the connection ends after this answer.
 pub fn close(mut answer: Answer) -> Answer {
     answer.headers_mut().insert(CONNECTION, CLOSE);
     answer
--- a/crates/data-plane/src/calls.rs
+++ b/crates/data-plane/src/calls.rs
@@ -1,4 +1,4 @@
-//! What a client asks for, read from the head and the body of its request.
+//! Parses the head and the body of a client's HTTP request into a request to forward.
 
 use crate::upstream::ForwardRequest;
 use bytes::Bytes;
@@ -11,52 +11,52 @@
 use quick_error::quick_error;
 use std::time::Instant;
 
-/// How long the client waits, in milliseconds.
-const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// How long a client waits that sets no time-out, in milliseconds.
-const DEFAULT_PATIENCE_MS: u32 = 3_000;
-/// The longest time-out of a client that is respected, in milliseconds.
-const MAX_PATIENCE_MS: u32 = 60_000;
-/// Size limit of a body, in bytes.
+/// Header that holds the client's timeout in milliseconds.
+const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// Timeout of a request without the timeout header, in milliseconds.
+const DEFAULT_CLIENT_TIMEOUT_MS: u32 = 3_000;
+/// Upper limit of a client's timeout, in milliseconds; a longer one is reduced to this.
+const MAX_CLIENT_TIMEOUT_MS: u32 = 60_000;
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 262_144;
-/// Memory that a request takes beside its body, in bytes.
+/// Estimated memory that a request takes besides its path and body, in bytes.
 const REQUEST_OVERHEAD_BYTES: usize = 1_024;
-/// Memory that a job takes for each byte of its body, at most.
+/// Upper bound of the memory that a job takes for each byte of its body, in bytes.
 const JOB_BYTES_PER_BODY_BYTE: usize = 4;
 
 quick_error! {
     /// Why a request is not forwarded.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum CallError {
-        /// No job and no queue can stand at the path.
+        /// The path names neither a job nor a queue.
         NoJobPath {
             display("no job can stand here: the path must be a queue's prefix, followed by 16 hex digits in lower case")
         }
-        /// The method is not served.
+        /// The method is not supported.
         Method {
             display("the method is not served: use GET, POST or DELETE")
         }
-        /// The body describes no job.
+        /// The body is not a valid job.
         Job(error: JobError) {
             from()
             display("{error}")
         }
-        /// The body is over `MAX_BODY_BYTES`.
+        /// The body is longer than `MAX_BODY_BYTES`.
         BodyTooLong {
             display("the body is over {MAX_BODY_BYTES} bytes: split the job into several")
         }
-        /// The body was not complete in time.
+        /// The body was not received completely within its timeout.
         BodyLate {
             display("the body did not come in time: send the request again")
         }
-        /// The connection broke within the body.
+        /// The connection failed while the body was being received.
         BodyBroken(reason: String) {
             display("the body cannot be read ({reason}): send the request again")
         }
     }
 }
 
-/// What a request's head asks for.
+/// The call that a request's method and path select.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     /// Submit the job that the body describes.
@@ -65,16 +65,16 @@
     Read(u64),
     /// Cancel the job.
     Cancel(u64),
-    /// Count the jobs of a queue.
+    /// Count the pending jobs of a queue.
     Count,
 }
 
-/// The head of a request that is forwarded.
+/// The parsed head of a request to forward.
 #[derive(Debug)]
 pub struct RequestHead {
-    /// What is asked for.
+    /// The call that the method and the path select.
     pub call: Call,
-    /// How long the client waits from `arrived`, in milliseconds.
+    /// The client's timeout in milliseconds, counted from `arrived`.
     timeout_ms: u32,
     arrived: Instant,
     host: String,
@@ -82,7 +82,11 @@
 }
 
 impl RequestHead {
-    /// Reads a head.
+    /// Parses a head.
+    ///
+    /// # Errors
+    ///
+    /// The path names neither a job nor a queue, or the method is not supported.
     pub fn read(head: &Parts) -> Result<Self, CallError> {
         let path = head.uri.path();
         Ok(RequestHead {
@@ -94,7 +98,11 @@
         })
     }
 
-    /// The request to forward. `body` is read only where a job is submitted.
+    /// Builds the request to forward. `body` is parsed only for a submit.
+    ///
+    /// # Errors
+    ///
+    /// The body of a submit is not a valid job.
     pub fn into_request(self, body: &Bytes) -> Result<ForwardRequest, CallError> {
         let call = match self.call {
             Call::Submit(id) => {
@@ -126,13 +134,13 @@
 }
 
 fn timeout_ms(head: &Parts) -> u32 {
-    let text = head.headers.get(DEADLINE).and_then(|value| value.to_str().ok());
-    let client_timeout = text.and_then(|text| text.trim().parse::<u64>().ok());
-    let client_timeout = client_timeout.unwrap_or(u64::from(DEFAULT_PATIENCE_MS));
-    u32::try_from(client_timeout).unwrap_or(MAX_PATIENCE_MS).clamp(1, MAX_PATIENCE_MS)
+    let text = head.headers.get(TIMEOUT_HEADER).and_then(|value| value.to_str().ok());
+    let client_timeout_ms = text.and_then(|text| text.trim().parse::<u64>().ok());
+    let client_timeout_ms = client_timeout_ms.unwrap_or(u64::from(DEFAULT_CLIENT_TIMEOUT_MS));
+    u32::try_from(client_timeout_ms).unwrap_or(MAX_CLIENT_TIMEOUT_MS).clamp(1, MAX_CLIENT_TIMEOUT_MS)
 }
 
-/// The host that the request names, without a port.
+/// Returns the host of the request URI or of the `Host` header, without the port.
 fn host(head: &Parts) -> &str {
     if let Some(host) = head.uri.host() {
         return host;
--- a/crates/data-plane/src/client_server.rs
+++ b/crates/data-plane/src/client_server.rs
@@ -1,4 +1,5 @@
-//! The HTTP/1.1 server for clients: accepts connections, reads each request, forwards it, writes its answer.
+//! The HTTP/1.1 server for clients: accepts connections, reads and forwards each request, and writes the
+//! answer.
 
 use crate::answers::{self, Answer};
 use crate::calls::{Call, CallError, RequestHead, MAX_BODY_BYTES};
@@ -23,9 +24,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Size limit of a request's head, and of the read buffer of one connection.
+/// Maximum size of a request head, and of the read buffer of one connection, in bytes.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// How often connections are checked for being idle too long.
+/// Interval of the check for connections that exceed their idle or header timeout.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves clients over HTTP/1.1.
@@ -37,7 +38,8 @@
 }
 
 impl ClientServer {
-    /// Serves requests through `forwarder`; a body must be complete within `body_timeout` after its head.
+    /// Creates a server that answers requests through `forwarder`. A body must be complete within
+    /// `body_timeout` after its head.
     pub fn new(
         forwarder: Rc<Forwarder>,
         clients: Rc<ClientRegistry>,
@@ -47,7 +49,7 @@
         Rc::new(ClientServer { forwarder, clients, draining, body_timeout })
     }
 
-    /// Accepts clients; never returns.
+    /// Accepts connections of clients; never returns.
     pub async fn accept_clients(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = accept(&listener).await;
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Closes connections that are idle, or make no progress, for too long; never returns.
+    /// Periodically closes connections that exceed their idle or header timeout; never returns.
     pub async fn sweep_clients(self: Rc<Self>) {
         loop {
             self.clients.any_open().await;
@@ -102,13 +104,13 @@
     }
 }
 
-/// One connection of a client, until it ends.
+/// Serves one connection of a client until the connection ends.
 async fn serve_client(client_server: Rc<ClientServer>, stream: TcpStream, connection: Rc<ClientConnection>) {
-    // An error only delays answers.
+    // A failure is ignored: without TCP_NODELAY answers are only delayed.
     let _ = stream.set_nodelay(true);
     let stream = TokioIo::new(ObservedStream::new(stream, connection.clone()));
     let service = service_fn(|request| {
-        connection.request_began();
+        connection.request_started();
         let (client_server, connection) = (client_server.clone(), connection.clone());
         async move {
             let answer = client_server.handle(request).await;
@@ -123,11 +125,11 @@
             biased;
             ended = serving.as_mut() => {
                 if let Err(error) = ended {
-                    log::debug!("connection of a client: {error}");
+                    log::debug!("client connection failed: {error}");
                 }
                 return;
             }
-            () = connection.closing() => {
+            () = connection.close_requested() => {
                 if connection.may_close() {
                     return;
                 }
--- a/crates/data-plane/src/clients.rs
+++ b/crates/data-plane/src/clients.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients: how many there are, which are idle, and which are to be closed.
+//! Registry of the open client connections: counts them, tracks which are idle, and requests that they close.
 
 use crate::options::ClientLimits;
 use std::cell::{Cell, RefCell};
@@ -7,91 +7,92 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a connection of a client is doing.
+/// The current activity of a client connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Activity {
-    /// Nothing was received since the last answer.
+    /// Nothing has been received since the last answer.
     Idle,
-    /// Bytes of a request were received; its head is incomplete.
+    /// Part of a request has been received; the head is incomplete.
     Reading,
-    /// A request is being served.
+    /// The head of a request is complete, and its answer is not ready.
     Serving,
     /// An answer is being written.
     Answering,
 }
 
-/// A connection of a client.
+/// A client connection and its current activity.
 #[derive(Debug)]
 pub struct ClientConnection {
     number: u64,
     activity: Cell<Activity>,
-    since: Cell<Instant>,
-    /// Whether any byte of the answer is written.
-    wrote: Cell<bool>,
-    /// Asks the connection's task to end it.
-    closing: Notify,
+    /// When `activity` was set.
+    activity_since: Cell<Instant>,
+    /// Whether any byte of the current answer has been written.
+    answer_started: Cell<bool>,
+    /// Asks the connection's task to close the connection.
+    close_request: Notify,
     registry: Rc<ClientRegistry>,
 }
 
 impl ClientConnection {
-    /// Bytes were received.
+    /// Reports that bytes have been received.
     pub fn bytes_received(&self) {
         if self.activity.get() == Activity::Idle {
-            self.become_active(Activity::Reading);
+            self.set_activity(Activity::Reading);
         }
     }
 
-    /// The head of a request is complete.
-    pub fn request_began(&self) {
-        self.become_active(Activity::Serving);
+    /// Reports that the head of a request is complete.
+    pub fn request_started(&self) {
+        self.set_activity(Activity::Serving);
     }
 
-    /// The answer to a request is ready to be written.
+    /// Reports that the answer to a request is ready to be written.
     pub fn answer_ready(&self) {
-        self.wrote.set(false);
-        self.become_active(Activity::Answering);
+        self.answer_started.set(false);
+        self.set_activity(Activity::Answering);
     }
 
-    /// Bytes were written.
+    /// Reports that bytes have been written.
     pub fn bytes_written(&self) {
-        self.wrote.set(true);
+        self.answer_started.set(true);
     }
 
-    /// Everything that was to be written has been written.
+    /// Reports that all pending bytes have been written. The connection becomes idle if they ended an answer.
     pub fn flushed(&self) {
-        if self.activity.get() == Activity::Answering && self.wrote.get() {
-            self.become_active(Activity::Idle);
+        if self.activity.get() == Activity::Answering && self.answer_started.get() {
+            self.set_activity(Activity::Idle);
         }
     }
 
-    /// Whether the connection, asked to close, still may: a request may have arrived since.
+    /// Whether the connection may be closed now. A request may have arrived after the close request.
     pub fn may_close(&self) -> bool {
         self.is_idle() || self.is_overdue(Instant::now())
     }
 
-    /// Returns when the connection is to be closed.
-    pub async fn closing(&self) {
-        self.closing.notified().await;
+    /// Waits until the registry requests that the connection closes.
+    pub async fn close_requested(&self) {
+        self.close_request.notified().await;
     }
 
-    fn become_active(&self, activity: Activity) {
+    fn set_activity(&self, activity: Activity) {
         self.activity.set(activity);
-        self.since.set(Instant::now());
+        self.activity_since.set(Instant::now());
     }
 
     fn is_idle(&self) -> bool {
         self.activity.get() == Activity::Idle
     }
 
-    /// Whether the current activity has lasted longer than its limit.
+    /// Whether the current activity has exceeded its timeout. Serving a request has none.
     fn is_overdue(&self, now: Instant) -> bool {
         let limits = &self.registry.limits;
-        let longest = match self.activity.get() {
+        let timeout = match self.activity.get() {
             Activity::Idle | Activity::Answering => limits.idle_timeout,
             Activity::Reading => limits.header_timeout,
             Activity::Serving => return false,
         };
-        now.saturating_duration_since(self.since.get()) >= longest
+        now.saturating_duration_since(self.activity_since.get()) >= timeout
     }
 }
 
@@ -101,27 +102,27 @@
     }
 }
 
-/// All open connections of clients.
+/// All open client connections.
 #[derive(Debug)]
 pub struct ClientRegistry {
     limits: ClientLimits,
     connections: RefCell<BTreeMap<u64, Weak<ClientConnection>>>,
     next_number: Cell<u64>,
-    /// A connection has ended.
-    left: Notify,
-    /// A connection has been accepted.
-    arrived: Notify,
+    /// Notified when a connection is removed.
+    removed: Notify,
+    /// Notified when a connection is added.
+    added: Notify,
 }
 
 impl ClientRegistry {
-    /// No connections yet.
+    /// Creates a registry without connections.
     pub fn new(limits: ClientLimits) -> Rc<Self> {
         Rc::new(ClientRegistry {
             limits,
             connections: RefCell::default(),
             next_number: Cell::new(0),
-            left: Notify::new(),
-            arrived: Notify::new(),
+            removed: Notify::new(),
+            added: Notify::new(),
         })
     }
 
@@ -135,57 +136,58 @@
         self.len() == 0
     }
 
-    /// Takes in a new connection.
+    /// Registers a new connection, which is idle. Dropping the returned value removes the connection.
     pub fn add(self: &Rc<Self>) -> Rc<ClientConnection> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let connection = Rc::new(ClientConnection {
             number,
             activity: Cell::new(Activity::Idle),
-            since: Cell::new(Instant::now()),
-            wrote: Cell::new(false),
-            closing: Notify::new(),
+            activity_since: Cell::new(Instant::now()),
+            answer_started: Cell::new(false),
+            close_request: Notify::new(),
             registry: self.clone(),
         });
         self.connections.borrow_mut().insert(number, Rc::downgrade(&connection));
-        self.arrived.notify_one();
+        self.added.notify_one();
         connection
     }
 
-    /// Returns when another connection may be accepted; if need be, the longest idle one is asked to close.
+    /// Waits until another connection may be accepted. At the limit, requests that the connection that has
+    /// been idle for the longest time closes.
     pub async fn capacity_available(&self) {
         while self.len() >= self.limits.max_connections {
-            let oldest = self.all().into_iter().filter(|connection| connection.is_idle());
-            if let Some(oldest) = oldest.min_by_key(|connection| connection.since.get()) {
-                oldest.closing.notify_one();
+            let idle = self.all().into_iter().filter(|connection| connection.is_idle());
+            if let Some(oldest) = idle.min_by_key(|connection| connection.activity_since.get()) {
+                oldest.close_request.notify_one();
             }
-            self.left.notified().await;
+            self.removed.notified().await;
         }
     }
 
-    /// Closes connections that are idle, or whose request heads are incomplete, for too long.
+    /// Requests that connections whose current activity exceeds its timeout close.
     pub fn sweep(&self) {
         let now = Instant::now();
         for connection in self.all() {
             if connection.is_overdue(now) {
-                connection.closing.notify_one();
+                connection.close_request.notify_one();
             }
         }
     }
 
-    /// Closes all idle connections.
+    /// Requests that all idle connections close.
     pub fn close_idle(&self) {
         for connection in self.all() {
             if connection.is_idle() {
-                connection.closing.notify_one();
+                connection.close_request.notify_one();
             }
         }
     }
 
-    /// Returns when a connection is open.
+    /// Waits until at least one connection is open.
     pub async fn any_open(&self) {
         while self.is_empty() {
-            self.arrived.notified().await;
+            self.added.notified().await;
         }
     }
 
@@ -195,6 +197,6 @@
 
     fn remove(&self, number: u64) {
         self.connections.borrow_mut().remove(&number);
-        self.left.notify_one();
+        self.removed.notify_one();
     }
 }
--- a/crates/data-plane/src/drain.rs
+++ b/crates/data-plane/src/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown after SIGTERM: no new clients, no request lost.
+//! Graceful shutdown after SIGTERM: stops accepting clients and answers every pending request.
 
 use crate::clients::ClientRegistry;
 use crate::options::DrainTimes;
@@ -9,12 +9,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, Instant};
 
-/// How often the shutdown checks its progress.
+/// Interval at which the shutdown checks whether connections are open.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time limit for writing the final answers.
+/// Timeout for writing the final answers.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Whether the process drains.
+/// Records whether and since when the process drains.
 #[derive(Debug, Default)]
 pub struct Draining {
     since: Cell<Option<Instant>>,
@@ -26,25 +26,28 @@
         self.since.get().is_some()
     }
 
-    /// The process drains from now on.
+    /// Records that the process starts to drain.
     pub fn begin(&self) {
         self.since.set(Some(Instant::now()));
     }
 }
 
-/// Goes on serving until the platform sends no new clients, then until all requests are answered; when the time is up,
-/// answers the rest.
+/// Drains the process in three steps.
+///
+/// Accepts connections for `min_duration`, until the platform sends no new clients. Then closes idle
+/// connections until none is open. If some are open after `max_duration`, gives their requests the final
+/// answers.
 pub async fn drain(
     draining: &Draining,
     times: &DrainTimes,
-    accepting: &AbortHandle,
+    accept_task: &AbortHandle,
     clients: &ClientRegistry,
     forwarder: &Rc<Forwarder>,
 ) {
     let started = Instant::now();
     draining.begin();
     sleep(times.min_duration).await;
-    accepting.abort();
+    accept_task.abort();
     while started.elapsed() < times.max_duration {
         clients.close_idle();
         if clients.is_empty() {
@@ -55,15 +58,15 @@
     finish(clients, forwarder).await;
 }
 
-/// Answers all pending requests and waits until the answers are written.
+/// Gives all pending requests their final answers and waits until the answers are written.
 async fn finish(clients: &ClientRegistry, forwarder: &Rc<Forwarder>) {
-    let until = Instant::now() + FINAL_WRITE_TIMEOUT;
-    while !clients.is_empty() && Instant::now() < until {
+    let deadline = Instant::now() + FINAL_WRITE_TIMEOUT;
+    while !clients.is_empty() && Instant::now() < deadline {
         forwarder.finish_all();
         clients.close_idle();
         sleep(DRAIN_POLL_INTERVAL).await;
     }
     if !clients.is_empty() {
-        log::warn!("{} connections of clients are open at the end", clients.len());
+        log::warn!("{} client connections are still open at the end of the shutdown", clients.len());
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,7 +1,9 @@
-//! The data plane role: serves clients over HTTP, answers readiness checks, forwards requests to the leader.
+//! The data plane role: serves clients over HTTP, answers readiness checks, and forwards requests to the
+//! leader.
 //!
-//! A process of this role is stateless: it keeps no queue and no configuration. It reads and validates what clients send,
-//! forwards it to the leader of the core over one persistent connection, and gives each request one final answer.
+//! A process of this role is stateless: it keeps no queue and no configuration. It parses and validates the
+//! requests of clients, forwards them to the leader of the core over one persistent connection, and gives
+//! each request exactly one final answer.
 
 #![warn(missing_docs)]
 
@@ -27,8 +29,8 @@
 use process_signals::ProcessRuntime;
 use std::path::PathBuf;
 
-/// Runs the role until SIGTERM and the graceful shutdown after it. `settings_path` is read again on SIGHUP, and when no
-/// member of the core can be reached.
+/// Runs the role until SIGTERM and the end of the graceful shutdown. The settings file at `settings_path` is
+/// read again on SIGHUP, and when no member of the core is reachable.
 ///
 /// # Errors
 ///
--- a/crates/data-plane/src/listener.rs
+++ b/crates/data-plane/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets.
+//! Opens listening sockets and accepts connections.
 
 use crate::error::DataPlaneError;
 use std::io;
@@ -7,12 +7,14 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::sleep;
 
-/// Connections that may wait to be accepted: one that finds the queue full is retried by its sender after seconds.
+/// Length of the queue of connections that wait to be accepted. If the queue is full, the client's operating
+/// system retries the connection only after seconds.
 const BACKLOG: u32 = 1_024;
-/// The wait after a failed accept, as when descriptors run out.
+/// Wait after a failed accept, for example if the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens on `address`, also while connections of an earlier process linger there.
+/// Listens on `address`. `SO_REUSEADDR` allows this while connections of an earlier process are in
+/// `TIME_WAIT`.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, DataPlaneError> {
     try_listen(address).map_err(|error| DataPlaneError::Listen(address, error))
 }
@@ -24,13 +26,13 @@
     socket.listen(BACKLOG)
 }
 
-/// The next connection; retries after a failure.
+/// Waits for the next connection; retries after a failure.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                log::debug!("cannot accept a connection ({error}), trying again");
+                log::debug!("cannot accept a connection ({error}), retrying");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/data-plane/src/observed_stream.rs
+++ b/crates/data-plane/src/observed_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that reports to its connection when bytes are received and when answers are written.
+//! A wrapper around a client's socket that reports reads, writes and flushes to a [`ClientConnection`].
 
 use crate::clients::ClientConnection;
 use std::io::{self, IoSlice};
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A client's socket, with reports of what passes through it.
+/// A client's socket that reports its reads, writes and flushes to `connection`.
 #[derive(Debug)]
 pub struct ObservedStream {
     stream: TcpStream,
@@ -16,7 +16,7 @@
 }
 
 impl ObservedStream {
-    /// Observes `stream` for `connection`.
+    /// Wraps `stream` and reports its activity to `connection`.
     pub fn new(stream: TcpStream, connection: Rc<ClientConnection>) -> Self {
         ObservedStream { stream, connection }
     }
--- a/crates/data-plane/src/options.rs
+++ b/crates/data-plane/src/options.rs
@@ -1,4 +1,4 @@
-//! Options of the role, taken from the settings of the process.
+//! Options of the data plane role, derived from the settings of the process.
 
 use crate::error::DataPlaneError;
 use crate::upstream::UpstreamOptions;
@@ -6,72 +6,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Descriptors that the platform keeps for files.
+/// File descriptors that the platform reserves for files.
 const FILE_DESCRIPTORS: usize = 200;
-/// Descriptors kept for listening, the members of the core, the platform's checks and the runtime.
+/// File descriptors reserved for listening sockets, connections to the core, readiness checks and the
+/// runtime.
 const RESERVED_DESCRIPTORS: usize = 64;
-/// Client connections at least, and where the settings give no limit.
+/// Lower bound of the limit of client connections.
 const MIN_CONNECTIONS: usize = 64;
+/// Limit of client connections if the settings give no limit of file descriptors.
 const DEFAULT_CONNECTIONS: usize = 4_000;
-/// Limit of pending requests.
+/// Maximum number of pending requests.
 const MAX_REQUESTS: usize = 2_000;
-/// Limit of the bytes of pending requests.
+/// Maximum total size of pending requests, in bytes.
 const MAX_REQUEST_BYTES: usize = 24 * 1024 * 1024;
-/// An idle client connection is closed after this long.
+/// Time after which an idle client connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A request's head must be complete this long after its first byte, and its body this long after its head.
+/// Timeout of a request's head, counted from its first byte, and of its body, counted from the end of the
+/// head.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(3);
-/// After SIGTERM new clients still arrive for this long: the platform checks every second, and two failures count.
+/// How long new clients are accepted after SIGTERM. The platform checks readiness every second and stops
+/// sending clients after two failed checks.
 const MIN_DRAIN: Duration = Duration::from_millis(2_500);
-/// The process has to end this long before the platform kills it.
+/// Time between the end of the drain and the platform's SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
 /// Options of the data plane role.
 #[derive(Debug, Clone)]
 pub struct DataPlaneOptions {
-    /// Where clients are served.
+    /// Listening address for clients.
     pub client_address: SocketAddr,
-    /// Where the platform checks readiness.
-    pub readiness: SocketAddr,
-    /// Addresses for peers of the seeds.
+    /// Listening address for the platform's readiness checks.
+    pub readiness_address: SocketAddr,
+    /// Peer addresses of the seed nodes.
     pub seeds: Vec<SocketAddr>,
-    /// Limits of the connection to the leader.
+    /// Name of this process and limits of pending requests.
     pub upstream: UpstreamOptions,
     /// Limits of client connections.
     pub clients: ClientLimits,
-    /// Times of the graceful shutdown.
+    /// Durations of the graceful shutdown.
     pub drain: DrainTimes,
 }
 
 /// Limits of client connections.
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
-    /// Most connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// An idle connection is closed after this long.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// A head, and after it a body, must be complete within this time.
+    /// Timeout of a request's head, and again of its body.
     pub header_timeout: Duration,
 }
 
-/// Times of the graceful shutdown, counted from SIGTERM.
+/// Durations of the graceful shutdown, counted from SIGTERM.
 #[derive(Debug, Clone)]
 pub struct DrainTimes {
-    /// New connections are accepted for this long.
+    /// How long new connections are accepted.
     pub min_duration: Duration,
-    /// After this long, all pending requests get their final answers.
+    /// When all requests that are still pending get their final answers.
     pub max_duration: Duration,
 }
 
 impl DataPlaneOptions {
-    /// Reads the options from the settings.
+    /// Derives the options from the settings.
     ///
     /// # Errors
     ///
     /// The settings lack a listening address.
     pub fn from_settings(settings: &ProcessSettings) -> Result<Self, DataPlaneError> {
         let client_address = settings.listen.front.ok_or(DataPlaneError::NoListenAddress("Front"))?;
-        let readiness = settings.listen.readiness.ok_or(DataPlaneError::NoListenAddress("Readiness"))?;
+        let readiness_address =
+            settings.listen.readiness.ok_or(DataPlaneError::NoListenAddress("Readiness"))?;
         let upstream = UpstreamOptions {
             node_name: settings.node_id.clone(),
             max_requests: MAX_REQUESTS,
@@ -86,7 +91,7 @@
         let max_duration = grace.saturating_sub(EXIT_MARGIN);
         Ok(DataPlaneOptions {
             client_address: client_address.into(),
-            readiness: readiness.into(),
+            readiness_address: readiness_address.into(),
             seeds: peer_addresses(settings),
             upstream,
             clients,
@@ -95,7 +100,7 @@
     }
 }
 
-/// Where the seeds listen for peers: their machines' addresses with the first of the shared ports.
+/// Returns the peer addresses of the seed nodes: their IP addresses with the first port of the port range.
 pub fn peer_addresses(settings: &ProcessSettings) -> Vec<SocketAddr> {
     let port = *settings.port_range.start();
     settings.seed_nodes.iter().map(|seed| SocketAddr::new((*seed.ip()).into(), port)).collect()
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness checks: the platform asks every second whether new clients may be sent here.
+//! Answers the platform's readiness checks. The platform asks every second whether it may send new clients to
+//! this process.
 
 use crate::answers::{self, Answer};
 use crate::calls::CallError;
@@ -17,26 +18,26 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::task::spawn_local;
 
-/// Path of the check.
+/// Path of the readiness check.
 const READY_PATH: &str = "/v1/readyz";
-/// Most connections of the platform at one time.
+/// Maximum number of open connections of the platform.
 const MAX_CONNECTIONS: usize = 32;
-/// A connection on which no complete head is received within this time is closed.
+/// Time after which a connection without a complete request head is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Answers checks of readiness.
+/// The server for readiness checks.
 pub struct Readiness {
     forwarder: Rc<Forwarder>,
     draining: Rc<Draining>,
 }
 
 impl Readiness {
-    /// Ready while `forwarder` reaches a leader and the process does not shut down.
+    /// Creates a server that reports ready while `forwarder` is ready and the process does not drain.
     pub fn new(forwarder: Rc<Forwarder>, draining: Rc<Draining>) -> Rc<Self> {
         Rc::new(Readiness { forwarder, draining })
     }
 
-    /// Accepts checks; never returns.
+    /// Accepts connections for readiness checks; never returns.
     pub async fn accept_checks(self: Rc<Self>, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         while let Ok(permit) = permits.clone().acquire_owned().await {
@@ -71,6 +72,6 @@
         .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = serving.await {
-        log::debug!("check of readiness: {error}");
+        log::debug!("readiness check connection failed: {error}");
     }
 }
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server.rs
@@ -1,4 +1,4 @@
-//! The running role: starts its servers and the forwarder, and handles signals.
+//! Starts the servers and the forwarder of the data plane role, and handles signals.
 
 use crate::client_server::ClientServer;
 use crate::clients::ClientRegistry;
@@ -17,15 +17,15 @@
 use tokio::task::{spawn_local, AbortHandle};
 
 /// Capacity of the channel for signals.
-const SIGNAL_CAPACITY: usize = 4;
+const SIGNAL_CHANNEL_CAPACITY: usize = 4;
 
-/// The running role. Lives on one thread, within a `LocalSet`.
+/// The running data plane role. Must be used on one thread, within a `LocalSet`.
 pub struct DataPlane {
     forwarder: Rc<Forwarder>,
     clients: Rc<ClientRegistry>,
     draining: Rc<Draining>,
     drain_times: DrainTimes,
-    accepting: AbortHandle,
+    accept_task: AbortHandle,
     client_address: SocketAddr,
     readiness_address: SocketAddr,
 }
@@ -38,7 +38,7 @@
     /// An address cannot be listened on.
     pub fn start(options: DataPlaneOptions) -> Result<Self, DataPlaneError> {
         let client_listener = listen(options.client_address)?;
-        let readiness_listener = listen(options.readiness)?;
+        let readiness_listener = listen(options.readiness_address)?;
         let client_address = client_listener.local_addr()?;
         let readiness_address = readiness_listener.local_addr()?;
         log::info!("data plane {} serves at {client_address}", options.upstream.node_name);
@@ -49,7 +49,7 @@
         let client_server =
             ClientServer::new(forwarder.clone(), clients.clone(), draining.clone(), body_timeout);
         let readiness = Readiness::new(forwarder.clone(), draining.clone());
-        let accepting = spawn_local(client_server.clone().accept_clients(client_listener)).abort_handle();
+        let accept_task = spawn_local(client_server.clone().accept_clients(client_listener)).abort_handle();
         spawn_local(client_server.sweep_clients());
         spawn_local(readiness.accept_checks(readiness_listener));
         Ok(DataPlane {
@@ -57,23 +57,23 @@
             clients,
             draining,
             drain_times: options.drain,
-            accepting,
+            accept_task,
             client_address,
             readiness_address,
         })
     }
 
-    /// Where clients are served.
+    /// The listening address for clients.
     pub fn client_address(&self) -> SocketAddr {
         self.client_address
     }
 
-    /// Where readiness checks are answered.
+    /// The listening address for readiness checks.
     pub fn readiness_address(&self) -> SocketAddr {
         self.readiness_address
     }
 
-    /// Serves until a signal asks to stop, and through the graceful shutdown after it.
+    /// Serves until a stop signal is received, then shuts down gracefully.
     pub async fn run(&self, settings_path: PathBuf, mut signals: mpsc::Receiver<Signal>) {
         loop {
             tokio::select! {
@@ -81,17 +81,17 @@
                     Some(Signal::Reload) => self.reload(&settings_path),
                     Some(Signal::Stop) | None => break,
                 },
-                () = self.forwarder.seeds_wanted() => self.reload(&settings_path),
+                () = self.forwarder.seed_refresh_needed() => self.reload(&settings_path),
             }
         }
-        drain(&self.draining, &self.drain_times, &self.accepting, &self.clients, &self.forwarder).await;
+        drain(&self.draining, &self.drain_times, &self.accept_task, &self.clients, &self.forwarder).await;
     }
 
-    /// Reads the settings again; on an error the previous ones stay in force.
+    /// Reads the seed nodes from the settings file again; after an error the previous seeds stay in use.
     fn reload(&self, settings_path: &Path) {
         match read_seeds(settings_path) {
             Ok(seeds) => self.forwarder.set_seeds(seeds),
-            Err(reason) => log::warn!("settings stay as they were: {reason}"),
+            Err(reason) => log::warn!("cannot reload the settings, the previous ones stay in use: {reason}"),
         }
     }
 }
@@ -103,9 +103,9 @@
     Ok(peer_addresses(&settings))
 }
 
-/// Passes the process's signals on, as the role receives them.
+/// Forwards the signals of the process to a channel, as [`DataPlane::run`] expects them.
 pub fn forward_signals(mut signals: ProcessSignals) -> mpsc::Receiver<Signal> {
-    let (sender, receiver) = mpsc::channel(SIGNAL_CAPACITY);
+    let (sender, receiver) = mpsc::channel(SIGNAL_CHANNEL_CAPACITY);
     spawn_local(async move {
         while let Some(signal) = signals.recv().await {
             if sender.send(signal).await.is_err() {
--- a/crates/data-plane/src/upstream/connection.rs
+++ b/crates/data-plane/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! The socket of one connection to a member of the core.
+//! Opens, reads and writes the socket of a connection to a member of the core.
 
 use messages::peer::PeerFrame;
 use messages::{decode, FrameReader};
@@ -13,27 +13,28 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// How long bytes may stay without an acknowledgement before the connection is considered broken.
+/// How long sent bytes may stay unacknowledged before the connection is considered broken
+/// (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// An idle connection is probed after this long ..
+/// Idle time after which TCP sends the first keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
-/// .. and then this often ..
+/// Interval between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// .. and it is considered broken after so many probes without an answer.
+/// Number of unanswered keepalive probes after which the connection is considered broken.
 const KEEPALIVE_PROBES: u32 = 3;
-/// Capacity that is reserved for bytes to read.
+/// Buffer capacity that is reserved before each read, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 quick_error! {
     /// Why a connection to a member of the core ended.
     #[derive(Debug)]
     pub enum ConnectionError {
-        /// A system call failed, or the other side closed.
+        /// A system call failed, or the other side closed the connection.
         Io(error: io::Error) {
             from()
-            display("the connection broke ({error}): it is opened again after a wait")
+            display("the connection broke ({error}), reconnecting after a backoff")
         }
-        /// The other side does not speak the protocol.
+        /// The other side sent bytes that are not a valid frame.
         Frame(error: messages::FrameError) {
             from()
             display("{error}")
@@ -41,7 +42,7 @@
     }
 }
 
-/// Bytes to be written to a connection.
+/// Buffer of bytes that wait to be written to a connection.
 #[derive(Debug, Default)]
 pub struct Outgoing {
     bytes: RefCell<Vec<u8>>,
@@ -49,7 +50,7 @@
 }
 
 impl Outgoing {
-    /// Appends complete frames; they are written when the connection's task runs next.
+    /// Appends complete frames, which the connection's task writes when it runs next.
     pub fn push(&self, frames: Vec<u8>) {
         let mut bytes = self.bytes.borrow_mut();
         if bytes.is_empty() {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Opens a connection to `address`.
+/// Opens a connection to `address` and sets its TCP options.
 pub async fn open(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     let socket = SockRef::from(&stream);
@@ -79,7 +80,8 @@
     Ok(stream)
 }
 
-/// Reads and writes until the connection ends; `received` takes each frame.
+/// Reads and writes until the connection ends; calls `received` for each frame. Returns why the connection
+/// ended.
 pub async fn serve(
     mut stream: TcpStream,
     outgoing: &Outgoing,
--- a/crates/data-plane/src/upstream/forwarder.rs
+++ b/crates/data-plane/src/upstream/forwarder.rs
@@ -1,4 +1,4 @@
-//! Input and output around [`Upstream`]: sockets, the timer, and the clients that wait for replies.
+//! Runs an [`Upstream`]: owns its sockets, its timer, and the channels to the clients that wait for replies.
 
 use super::connection::{open, serve, Outgoing};
 use super::interface::{UpstreamOptions, UpstreamOutput};
@@ -18,16 +18,18 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep_until, Instant};
 
-/// The longest sleep of the timer, within what the clock can represent.
+/// Longest sleep of the timer. Keeps the end of the sleep within the range of the clock.
 const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// Forwards clients' requests to the leader. Lives on one thread, within a `LocalSet`.
+/// Forwards clients' requests to the leader. Must be used on one thread, within a `LocalSet`.
 pub struct Forwarder {
     state: RefCell<State>,
     started: Instant,
-    armed_for: Cell<u64>,
-    timer_moved: Notify,
-    seeds_wanted: Notify,
+    /// When the timer fires next, in nanoseconds since `started`.
+    timer_due_ns: Cell<u64>,
+    /// Notified when the timer has to fire earlier than `timer_due_ns`.
+    timer_due_earlier: Notify,
+    seed_refresh_needed: Notify,
 }
 
 struct State {
@@ -43,22 +45,22 @@
 }
 
 impl Forwarder {
-    /// Starts to connect to the members of the core at `seeds` (addresses for peers).
+    /// Creates a forwarder that connects to the members of the core at `seeds` (peer addresses).
     pub fn start(options: UpstreamOptions, seeds: Vec<SocketAddr>) -> Rc<Self> {
         let upstream = Upstream::new(options, seeds, 0, fastrand::u64(..));
         let state = State { upstream, replies: HashMap::new(), connections: HashMap::new(), next_token: 1 };
         let forwarder = Rc::new(Forwarder {
             state: RefCell::new(state),
             started: Instant::now(),
-            armed_for: Cell::new(0),
-            timer_moved: Notify::new(),
-            seeds_wanted: Notify::new(),
+            timer_due_ns: Cell::new(0),
+            timer_due_earlier: Notify::new(),
+            seed_refresh_needed: Notify::new(),
         });
         spawn_local(run_timer(forwarder.clone()));
         forwarder
     }
 
-    /// Passes a request on. Dropping the future drops the request.
+    /// Forwards a request. Dropping the returned future abandons the request.
     pub fn forward(self: &Rc<Self>, request: ForwardRequest) -> PendingReply {
         let (sender, receiver) = oneshot::channel();
         let token = {
@@ -68,41 +70,42 @@
             state.replies.insert(token, sender);
             token
         };
-        self.drive(|upstream, now, out| upstream.request(now, token, request, out));
+        self.apply(|upstream, now, out| upstream.request(now, token, request, out));
         PendingReply { forwarder: self.clone(), token, receiver }
     }
 
-    /// Whether requests can be expected to be served.
+    /// Whether a leader is reachable, or was until a moment ago.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().upstream.is_ready(self.now())
     }
 
-    /// Number of requests that have no answer yet.
+    /// Number of requests without a final answer.
     pub fn pending_requests(&self) -> usize {
         self.state.borrow().upstream.pending_requests()
     }
 
-    /// The settings name other seeds (addresses for peers).
+    /// Replaces the seeds (peer addresses), for example after a change of the settings.
     pub fn set_seeds(self: &Rc<Self>, seeds: Vec<SocketAddr>) {
-        self.drive(|upstream, now, out| upstream.set_seeds(now, seeds, out));
+        self.apply(|upstream, now, out| upstream.set_seeds(now, seeds, out));
     }
 
-    /// Returns when no member can be reached and the list of seeds is to be read again.
-    pub async fn seeds_wanted(&self) {
-        self.seeds_wanted.notified().await;
+    /// Waits until no member is reachable and the caller has to read the list of seeds again.
+    pub async fn seed_refresh_needed(&self) {
+        self.seed_refresh_needed.notified().await;
     }
 
     /// Gives every pending request its final answer now.
     pub fn finish_all(self: &Rc<Self>) {
-        self.drive(|upstream, _, out| upstream.finish_all(out));
+        self.apply(|upstream, _, out| upstream.finish_all(out));
     }
 
+    /// Nanoseconds since the forwarder started: the clock of the state machine.
     fn now(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_nanos()).unwrap_or(u64::MAX)
     }
 
-    /// Hands an event to the state machine, and carries out its outputs.
-    fn drive(self: &Rc<Self>, event: impl FnOnce(&mut Upstream, u64, &mut Vec<UpstreamOutput>)) {
+    /// Applies an event to the state machine and executes its outputs.
+    fn apply(self: &Rc<Self>, event: impl FnOnce(&mut Upstream, u64, &mut Vec<UpstreamOutput>)) {
         let now = self.now();
         let mut outputs = Vec::new();
         let next_timer = {
@@ -111,14 +114,14 @@
             upstream.next_timer(now)
         };
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
-        if next_timer < self.armed_for.get() {
-            self.timer_moved.notify_one();
+        if next_timer < self.timer_due_ns.get() {
+            self.timer_due_earlier.notify_one();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, output: UpstreamOutput) {
+    fn execute(self: &Rc<Self>, output: UpstreamOutput) {
         match output {
             UpstreamOutput::Connect { connection, address } => self.connect(connection, address),
             UpstreamOutput::Close { connection } => self.close(connection),
@@ -128,13 +131,13 @@
                 }
             }
             UpstreamOutput::Answer { token, reply } => {
-                let waiting = self.state.borrow_mut().replies.remove(&token);
-                if let Some(sender) = waiting {
-                    // The client may have disconnected since.
+                let sender = self.state.borrow_mut().replies.remove(&token);
+                if let Some(sender) = sender {
+                    // Fails if the client has disconnected in the meantime.
                     let _ = sender.send(reply);
                 }
             }
-            UpstreamOutput::ReadSeeds => self.seeds_wanted.notify_one(),
+            UpstreamOutput::ReadSeeds => self.seed_refresh_needed.notify_one(),
         }
     }
 
@@ -153,11 +156,11 @@
     }
 
     fn received(self: &Rc<Self>, connection: u64, frame: PeerFrame) {
-        self.drive(|upstream, now, out| upstream.received(now, connection, frame, out));
+        self.apply(|upstream, now, out| upstream.received(now, connection, frame, out));
     }
 }
 
-/// One connection, from its opening until it ends.
+/// Opens a connection and serves it until the connection ends.
 async fn run_connection(
     forwarder: Rc<Forwarder>,
     connection: u64,
@@ -167,33 +170,33 @@
     match open(address).await {
         Ok(stream) => {
             debug!("connected to the core at {address}");
-            forwarder.drive(|upstream, now, out| upstream.connected(now, connection, out));
+            forwarder.apply(|upstream, now, out| upstream.connected(now, connection, out));
             let error = serve(stream, &outgoing, |frame| forwarder.received(connection, frame)).await;
-            info!("core at {address}: {error}");
+            info!("connection to the core at {address} ended: {error}");
         }
-        Err(error) => debug!("core at {address}: cannot connect ({error}), trying again after a wait"),
+        Err(error) => debug!("cannot connect to the core at {address} ({error}), retrying after a backoff"),
     }
     forwarder.state.borrow_mut().connections.remove(&connection);
-    forwarder.drive(|upstream, now, out| upstream.disconnected(now, connection, out));
+    forwarder.apply(|upstream, now, out| upstream.disconnected(now, connection, out));
 }
 
-/// Polls the state machine when something is due; never returns.
+/// Polls the state machine whenever its timer is due; never returns.
 async fn run_timer(forwarder: Rc<Forwarder>) {
     loop {
-        forwarder.armed_for.set(0);
-        forwarder.drive(Upstream::poll);
+        forwarder.timer_due_ns.set(0);
+        forwarder.apply(Upstream::poll);
         let now = forwarder.now();
         let due = forwarder.state.borrow().upstream.next_timer(now);
-        forwarder.armed_for.set(due);
+        forwarder.timer_due_ns.set(due);
         let sleep = Duration::from_nanos(due.saturating_sub(now)).min(MAX_SLEEP);
         tokio::select! {
             () = sleep_until(Instant::now() + sleep) => {}
-            () = forwarder.timer_moved.notified() => {}
+            () = forwarder.timer_due_earlier.notified() => {}
         }
     }
 }
 
-/// The reply to a request that was forwarded. Dropping it abandons the request.
+/// Future of the reply to a forwarded request. Dropping the future abandons the request.
 pub struct PendingReply {
     forwarder: Rc<Forwarder>,
     token: u64,
@@ -211,8 +214,8 @@
 
 impl Drop for PendingReply {
     fn drop(&mut self) {
-        let waiting = self.forwarder.state.borrow_mut().replies.remove(&self.token);
-        if waiting.is_some() {
+        let sender = self.forwarder.state.borrow_mut().replies.remove(&self.token);
+        if sender.is_some() {
             self.forwarder.state.borrow_mut().upstream.abandon(self.token);
         }
     }
--- a/crates/data-plane/src/upstream/interface.rs
+++ b/crates/data-plane/src/upstream/interface.rs
@@ -6,43 +6,44 @@
 /// Options of an [`Upstream`](super::Upstream).
 #[derive(Debug, Clone)]
 pub struct UpstreamOptions {
-    /// Name by which this process introduces itself.
+    /// Name that this process sends to the members of the core when a connection opens.
     pub node_name: String,
-    /// Limit of pending requests.
+    /// Maximum number of pending requests.
     pub max_requests: usize,
-    /// Limit of the bytes of pending requests.
+    /// Maximum total size of pending requests, in bytes.
     pub max_bytes: usize,
 }
 
-/// What the caller is to do.
+/// An action that the caller of [`Upstream`](super::Upstream) has to execute.
 #[derive(Debug)]
 pub enum UpstreamOutput {
-    /// Open a connection; `connected` or `disconnected` tells how it went.
+    /// Open a connection, then report the result with `connected` or `disconnected`.
     Connect {
-        /// Its number, never used again.
+        /// Number of the connection, never reused.
         connection: u64,
-        /// Where to.
+        /// Address to connect to.
         address: SocketAddr,
     },
-    /// Close a connection, or stop opening it; no event of it is expected any more.
+    /// Close a connection, or cancel the attempt to open it. The caller reports no further event of this
+    /// connection.
     Close {
-        /// Its number.
+        /// Number of the connection.
         connection: u64,
     },
     /// Write bytes to an open connection.
     Send {
-        /// Its number.
+        /// Number of the connection.
         connection: u64,
-        /// Complete frames.
+        /// One or more complete frames.
         bytes: Vec<u8>,
     },
-    /// A request has its final answer.
+    /// Give a request its final answer.
     Answer {
-        /// The request.
+        /// Token of the request.
         token: u64,
-        /// The answer.
+        /// The final answer.
         reply: ClientReply,
     },
-    /// No member can be reached: read the seeds again (`set_seeds`).
+    /// Read the seeds again and pass them to `set_seeds`: no member is reachable.
     ReadSeeds,
 }
--- a/crates/data-plane/src/upstream/leader.rs
+++ b/crates/data-plane/src/upstream/leader.rs
@@ -1,35 +1,36 @@
-//! What this process knows of the leader of the core.
+//! The leader of the core as known from the notices of the members.
 
 use messages::peer::LeaderNotice;
 use std::net::SocketAddr;
 
-/// The newest leader that any member of the core has named.
+/// The leader with the highest term that any member of the core has announced.
 #[derive(Debug, Default)]
-pub struct LeaderBelief {
+pub struct KnownLeader {
     term: u64,
     address: Option<SocketAddr>,
     backoff_until: u64,
 }
 
-impl LeaderBelief {
+impl KnownLeader {
     /// Address of the leader, if one is known.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// No request is sent to the leader before this time: it said that it does not lead.
+    /// Time before which no request is sent to the leader, because it replied that it does not lead. 0 if
+    /// there is no backoff.
     pub fn backoff_until(&self) -> u64 {
         self.backoff_until
     }
 
-    /// Sends no request until `until`, after the leader answered that it does not lead.
+    /// Starts a backoff after the leader replied that it does not lead: no request is sent before `until`.
     pub fn back_off_until(&mut self, until: u64) {
         self.backoff_until = until;
     }
 
-    /// Records what the member at `from` says of the leader; returns whether the leader's address changed.
+    /// Records a notice of the member at `from`; returns whether the leader's address changed.
     ///
-    /// A member that knows no leader is believed only if it was thought to be the leader itself: a partitioned member may
+    /// A notice without a leader is ignored unless it comes from the known leader: a partitioned member may
     /// increase its term without end.
     pub fn observe(&mut self, from: SocketAddr, notice: &LeaderNotice) -> bool {
         if notice.leader_id == 0 {
@@ -38,9 +39,10 @@
         let Ok(address) = notice.leader_address.parse::<SocketAddr>() else {
             return false;
         };
-        let by_itself = from == address && self.address == Some(address) && notice.term == self.term;
-        if by_itself {
-            // Others may have named it before it was ready to lead.
+        let confirmed_by_leader =
+            from == address && self.address == Some(address) && notice.term == self.term;
+        if confirmed_by_leader {
+            // Other members may have announced the leader before it was ready to lead.
             self.backoff_until = 0;
         }
         let newer = notice.term > self.term || (notice.term == self.term && self.address.is_none());
@@ -52,6 +54,7 @@
         self.address.replace(address) != Some(address)
     }
 
+    /// Forgets the leader if the notice without a leader comes from the leader itself.
     fn stepped_down(&mut self, from: SocketAddr, term: u64) -> bool {
         if self.address != Some(from) || term < self.term {
             return false;
--- a/crates/data-plane/src/upstream/leader_tracking.rs
+++ b/crates/data-plane/src/upstream/leader_tracking.rs
@@ -1,4 +1,4 @@
-//! Which process leads, who the members are, and whether the leader is reachable.
+//! Tracks which process leads, which processes are members, and whether the leader is reachable.
 
 use super::interface::UpstreamOutput;
 use super::peers::Peer;
@@ -22,6 +22,7 @@
         self.poll(now, out);
     }
 
+    /// Connects to the new leader and requeues the requests that were sent to another process.
     pub(super) fn leader_changed(&mut self, now: u64) {
         let Some(address) = self.leader.address() else {
             return;
@@ -40,7 +41,8 @@
         self.requests.requeue_except(now, kept);
     }
 
-    /// Connects to the members that the leader, or a member that knows a newer leader, names, and to no others.
+    /// Replaces the peers by the members that a notice lists. The notice counts only if it comes from the
+    /// leader or has a higher term than the last membership.
     pub(super) fn update_membership(
         &mut self,
         now: u64,
@@ -51,8 +53,8 @@
         let Some(membership) = &notice.membership else {
             return;
         };
-        let by_leader = self.leader.address() == Some(from);
-        let newer = self.membership_term.is_none_or(|term| notice.term > term || by_leader);
+        let from_leader = self.leader.address() == Some(from);
+        let newer = self.membership_term.is_none_or(|term| notice.term > term || from_leader);
         let members: Vec<SocketAddr> =
             membership.members.iter().filter_map(|member| member.address.parse().ok()).collect();
         if members.is_empty() || !newer {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Drops the peers that are neither members nor the leader nor the one that sent the membership.
+    /// Drops all peers except the members, the leader, and the sender of the membership.
     pub(super) fn drop_other_peers(
         &mut self,
         now: u64,
@@ -86,20 +88,20 @@
         }
     }
 
-    /// Requeues the requests that were sent to a leader that has become unresponsive: if this process is partitioned, their
-    /// clients are told in time to turn to another one.
+    /// Requeues the requests that were sent to a leader that has become unresponsive. If this process is
+    /// partitioned, their clients get an answer early enough to retry at another process.
     pub(super) fn requeue_from_unresponsive_leader(&mut self, now: u64) {
         let Some(open) = self.leader_link().filter(|open| open.is_unresponsive(now) && open.awaits_replies())
         else {
             return;
         };
-        // A ping was sent before and keeps it unresponsive until something is received.
+        // A ping was sent before. The link stays unresponsive until something is received.
         open.forget_outstanding();
         let connection = open.connection;
         self.requests.requeue_from_unresponsive(now, connection);
     }
 
-    /// Records since when requests cannot be forwarded.
+    /// Records whether the leader is reachable, and if not, since when.
     pub(super) fn update_reachability(&mut self, now: u64) {
         let reachable = self.leader_link().is_some_and(|open| !open.is_unresponsive(now));
         if reachable {
--- a/crates/data-plane/src/upstream/links.rs
+++ b/crates/data-plane/src/upstream/links.rs
@@ -1,18 +1,20 @@
-//! Connections to the members of the core: opened, checked by pings, given up.
+//! Opens, pings and closes the connections to the members of the core.
 
 use super::interface::UpstreamOutput;
 use super::peers::{Link, Monitoring, Peer};
-use super::state::{send, Upstream, SEED_REFRESH_INTERVAL};
+use super::state::{send, Upstream, SEED_REFRESH_INTERVAL_NS};
 use messages::peer::mod_PeerFrame::OneOfbody;
 use messages::peer::Ping;
 use std::net::SocketAddr;
 
 impl Upstream {
+    /// Adds the seeds as peers and asks for the current seeds if no connection was open for
+    /// `SEED_REFRESH_INTERVAL_NS`.
     pub(super) fn refresh_seeds(&mut self, now: u64, out: &mut Vec<UpstreamOutput>) {
         if self.any_open() {
-            self.seed_refresh_at = now.saturating_add(SEED_REFRESH_INTERVAL);
+            self.seed_refresh_at = now.saturating_add(SEED_REFRESH_INTERVAL_NS);
         } else if now >= self.seed_refresh_at {
-            self.seed_refresh_at = now.saturating_add(SEED_REFRESH_INTERVAL);
+            self.seed_refresh_at = now.saturating_add(SEED_REFRESH_INTERVAL_NS);
             self.add_seeds();
             out.push(UpstreamOutput::ReadSeeds);
         }
@@ -35,24 +37,25 @@
             return Monitoring::Leader;
         }
         let link = self.peers.iter().find(|peer| peer.address == leader).and_then(Peer::open);
-        let in_reach = link.is_some_and(|open| !open.is_unresponsive(now));
-        if in_reach {
+        let leader_reachable = link.is_some_and(|open| !open.is_unresponsive(now));
+        if leader_reachable {
             Monitoring::None
         } else {
             Monitoring::Search
         }
     }
 
+    /// Connects to, closes or pings each peer for which this is due.
     pub(super) fn poll_peers(&mut self, now: u64, out: &mut Vec<UpstreamOutput>) {
         for position in 0..self.peers.len() {
             let monitoring = self.monitoring(now, self.peers[position].address);
             match &self.peers[position].link {
                 Link::Waiting { retry_at } if now >= *retry_at => self.connect(now, position, out),
                 Link::Connecting { connection, timeout_at } if now >= *timeout_at => {
-                    self.give_up(now, position, *connection, out);
+                    self.close(now, position, *connection, out);
                 }
                 Link::Open(open) if open.close_at(monitoring).is_some_and(|at| now >= at) => {
-                    self.give_up(now, position, open.connection, out);
+                    self.close(now, position, open.connection, out);
                 }
                 Link::Open(open) if open.ping_due(monitoring).is_some_and(|at| now >= at) => {
                     self.ping(now, position, out);
@@ -70,7 +73,9 @@
         out.push(UpstreamOutput::Connect { connection, address: peer.address });
     }
 
-    pub(super) fn give_up(
+    /// Closes a connection, or cancels the attempt to open it, and requeues the requests that were sent on
+    /// it.
+    pub(super) fn close(
         &mut self,
         now: u64,
         position: usize,
--- a/crates/data-plane/src/upstream/mod.rs
+++ b/crates/data-plane/src/upstream/mod.rs
@@ -1,6 +1,8 @@
-//! The connection to the leader of the core: which process leads, and which request is sent where.
+//! Forwarding of requests to the leader of the core: finds the leader, and decides where each request is
+//! sent.
 //!
-//! [`Upstream`] decides; it does no input or output. [`Forwarder`] carries out what it decides.
+//! [`Upstream`] is a state machine without input or output. [`Forwarder`] feeds it with events and executes
+//! its outputs.
 
 mod connection;
 mod forwarder;
--- a/crates/data-plane/src/upstream/requests.rs
+++ b/crates/data-plane/src/upstream/requests.rs
@@ -1,4 +1,5 @@
-//! Pending requests: which are sent where, which wait for a leader, and when each is answered at the latest.
+//! The table of pending requests: where each was sent, which wait for a leader, and when each gets its final
+//! answer at the latest.
 
 use super::time::NANOS_PER_MS;
 use messages::peer::mod_ClientRequest::OneOfcall;
@@ -6,33 +7,33 @@
 use messages::peer::{ClientReply, ClientRequest, Outcome, PeerFrame};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest wait for a leader.
-const MAX_LEADER_WAIT: u64 = 2_000 * NANOS_PER_MS;
-/// The fraction of a client's remaining time that is spent on waiting for a leader.
+/// Maximum time that a request waits for a leader.
+const MAX_LEADER_WAIT_NS: u64 = 2_000 * NANOS_PER_MS;
+/// Fraction of a client's remaining time that a request waits for a leader.
 const LEADER_WAIT_FRACTION: f64 = 0.6;
-/// A client gets its answer this long before its time-out, at most.
-const ANSWER_MARGIN: u64 = 50 * NANOS_PER_MS;
-/// The margin is at most the client's time-out divided by this.
+/// Maximum time by which the final answer precedes the client's timeout.
+const ANSWER_MARGIN_NS: u64 = 50 * NANOS_PER_MS;
+/// The answer margin is at most the client's timeout divided by this.
 const ANSWER_MARGIN_DIVISOR: u64 = 10;
-/// What clients are told to wait before they try again when no leader is reachable.
+/// The `Retry-After` of answers that are given because no leader is reachable, in milliseconds.
 const RETRY_AFTER_MS: u32 = 1_000;
 
-/// One request of a client, as it is forwarded.
+/// A client's request to forward.
 #[derive(Debug)]
 pub struct ForwardRequest {
-    /// `Host` of the client's request, without the port.
+    /// Host of the client's request, without the port.
     pub host: String,
     /// Complete path of the client's request.
     pub path: String,
-    /// How long the client waits for an answer, in milliseconds.
+    /// Remaining time of the client's timeout, in milliseconds.
     pub timeout_ms: u32,
-    /// What the client asks for.
+    /// The call with its arguments.
     pub call: OneOfcall,
     /// Approximate size of the request in memory, in bytes.
     pub size_bytes: usize,
 }
 
-/// The kind of a call: decides what a client may be told when the outcome of a send is unknown.
+/// The kind of a call. Decides which answer the client gets if the outcome of a send is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
     /// A job is submitted.
@@ -59,30 +60,36 @@
     frame: PeerFrame,
     kind: CallKind,
     size_bytes: usize,
+    /// When the final answer is given at the latest: `deadline` minus a margin.
     answer_deadline: u64,
+    /// When the client's timeout ends.
     deadline: u64,
+    /// Until when the request waits for a leader.
     wait_until: u64,
+    /// When the request is answered without a reply: `wait_until` while it waits for a leader,
+    /// `answer_deadline` while a reply is awaited.
     due: u64,
     sent_on: Option<u64>,
+    /// Number of earlier sends that may have been carried out.
     unresolved_sends: u32,
 }
 
 impl Entry {
-    /// The connection on which a reply to the request is awaited.
+    /// The connection on which a reply to the request is awaited, if any.
     pub fn sent_on(&self) -> Option<u64> {
         self.sent_on
     }
 
-    /// The frame to send at `now`, with the client's remaining time.
+    /// Returns the frame to send at `now`, with the client's remaining time filled in.
     pub fn frame(&mut self, now: u64) -> &PeerFrame {
         if let OneOfbody::request(request) = &mut self.frame.body {
-            let left = self.deadline.saturating_sub(now) / NANOS_PER_MS;
-            request.time_left_ms = u32::try_from(left).unwrap_or(u32::MAX);
+            let remaining_ms = self.deadline.saturating_sub(now) / NANOS_PER_MS;
+            request.time_left_ms = u32::try_from(remaining_ms).unwrap_or(u32::MAX);
         }
         &self.frame
     }
 
-    /// The answer to the client when no reply will come.
+    /// The answer to the client if no reply was received in time.
     pub fn answer_without_reply(&self) -> ClientReply {
         let sent = self.sent_on.is_some() || self.unresolved_sends > 0;
         if sent && self.kind != CallKind::Read {
@@ -91,7 +98,8 @@
         unavailable("no leader of the core is reachable: try again after the time in Retry-After")
     }
 
-    /// The answer to the client after `reply`: a rejection is certain only if no other send of the request is unresolved.
+    /// The answer to the client after `reply`. A rejection is certain only if no other send of the request is
+    /// unresolved.
     fn answer_with_reply(&self, class: ReplyClass, reply: ClientReply) -> ClientReply {
         let uncertain = class == ReplyClass::Refused && self.unresolved_sends > 0;
         if uncertain && self.kind != CallKind::Read {
@@ -101,16 +109,16 @@
     }
 }
 
-/// What a reply says about the send it answers.
+/// What a reply says about the send that it answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReplyClass {
-    /// It was carried out, which decides the request.
+    /// The call was carried out. This decides the request.
     Done,
-    /// It was certainly not carried out, and the client may be told so.
+    /// The call was certainly not carried out. The client may get this reply.
     Refused,
-    /// It was certainly not carried out, since the process does not lead.
+    /// The call was certainly not carried out, because the process does not lead.
     NotHandled,
-    /// It may have been carried out.
+    /// The call may have been carried out.
     Unknown,
 }
 
@@ -131,7 +139,7 @@
     }
 }
 
-/// A reply that says: certainly not accepted, try again.
+/// A reply for a request that was certainly not accepted and may be retried.
 pub fn unavailable(text: &str) -> ClientReply {
     ClientReply {
         outcome: Outcome::UNAVAILABLE,
@@ -141,7 +149,7 @@
     }
 }
 
-/// A reply that says: possibly accepted, send the same request again.
+/// A reply for a request that may have been accepted. The client has to repeat the same request.
 pub fn outcome_unknown() -> ClientReply {
     ClientReply {
         outcome: Outcome::UNSURE,
@@ -150,10 +158,10 @@
     }
 }
 
-/// The effect of a reply on the request it names.
+/// The effect of a reply on the request that it answers.
 #[derive(Debug)]
 pub struct ReplyEffect {
-    /// The connection on which no reply to the request is awaited any more.
+    /// The connection on which a reply to the request is no longer awaited, if any.
     pub resolved_on: Option<u64>,
     /// What happens to the request next.
     pub next_step: NextStep,
@@ -166,17 +174,18 @@
 /// What happens to a request after a reply.
 #[derive(Debug)]
 pub enum NextStep {
-    /// The client gets its answer.
+    /// The client gets this final answer.
     Answer(ClientReply),
-    /// The process that replied did not decide the request, which waits for a leader again.
+    /// The reply did not decide the request, which waits for a leader again.
     Requeued,
     /// The request is no longer pending, or its reply is still awaited elsewhere.
     Nothing,
 }
 
-/// All pending requests by their tokens, which increase: the order of arrival.
+/// All pending requests by their tokens, which increase in the order of arrival.
 ///
-/// Invariant: each entry is in `due` under its due time, and in `waiting` exactly if no reply to it is awaited.
+/// Invariant: each entry is in `due` under its due time, and in `waiting` if and only if no reply to it is
+/// awaited.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     entries: BTreeMap<u64, Entry>,
@@ -208,9 +217,9 @@
 
     /// Adds a request that waits for a leader.
     pub fn insert(&mut self, now: u64, token: u64, request: ForwardRequest) {
-        let client_timeout = u64::from(request.timeout_ms) * NANOS_PER_MS;
-        let deadline = now.saturating_add(client_timeout);
-        let margin = ANSWER_MARGIN.min(client_timeout / ANSWER_MARGIN_DIVISOR);
+        let client_timeout_ns = u64::from(request.timeout_ms) * NANOS_PER_MS;
+        let deadline = now.saturating_add(client_timeout_ns);
+        let margin_ns = ANSWER_MARGIN_NS.min(client_timeout_ns / ANSWER_MARGIN_DIVISOR);
         let kind = CallKind::of(&request.call);
         let body = ClientRequest {
             request_id: token,
@@ -223,7 +232,7 @@
             frame: PeerFrame { body: OneOfbody::request(body) },
             kind,
             size_bytes: request.size_bytes,
-            answer_deadline: deadline - margin,
+            answer_deadline: deadline - margin_ns,
             deadline,
             wait_until: 0,
             due: 0,
@@ -238,7 +247,7 @@
         self.entries.insert(token, entry);
     }
 
-    /// Takes the first request that waits for a leader and marks it as sent on `connection`.
+    /// Marks the first request that waits for a leader as sent on `connection`, and returns it.
     pub fn send_next(&mut self, connection: u64) -> Option<&mut Entry> {
         let token = self.waiting.pop_first()?;
         let entry = self.entries.get_mut(&token)?;
@@ -249,9 +258,8 @@
         Some(entry)
     }
 
-    /// Requeues all requests whose replies are awaited on other connections than `kept`.
-    ///
-    /// They may have been carried out, or be carried out later.
+    /// Requeues all requests whose replies are awaited on other connections than `kept`. These sends stay
+    /// unresolved: they may have been carried out, or may be carried out later.
     pub fn requeue_except(&mut self, now: u64, kept: Option<u64>) {
         for (token, entry) in &mut self.entries {
             if entry.sent_on.is_none() || entry.sent_on == kept {
@@ -263,7 +271,7 @@
         }
     }
 
-    /// Requeues all requests that were sent on `connection`, which broke.
+    /// Requeues all requests that were sent on `connection`, which has ended.
     pub fn requeue(&mut self, now: u64, connection: u64) {
         for (token, entry) in &mut self.entries {
             if entry.sent_on == Some(connection) {
@@ -274,14 +282,15 @@
         }
     }
 
-    /// Requeues all requests that were sent on `connection`, on which the leader has become unresponsive: for a fraction
-    /// of their remaining time, so that their clients can turn to another process.
+    /// Requeues all requests that were sent on `connection`, on which the leader has become unresponsive.
+    /// They wait for a fraction of their remaining time, so that their clients can still retry at another
+    /// process.
     pub fn requeue_from_unresponsive(&mut self, now: u64, connection: u64) {
         for (token, entry) in &mut self.entries {
             if entry.sent_on == Some(connection) {
                 entry.unresolved_sends += 1;
                 entry.wait_until =
-                    now.saturating_add(fraction_of_time_left(now, entry)).min(entry.answer_deadline);
+                    now.saturating_add(leader_wait_share_ns(now, entry)).min(entry.answer_deadline);
                 requeue_entry(*token, entry, &mut self.due, &mut self.waiting);
             }
         }
@@ -289,8 +298,8 @@
 
     /// Handles a reply that was received on `connection`.
     ///
-    /// One that does not decide the request requeues it, without extending its wait: a process that says again and
-    /// again that it does not lead delays no answer.
+    /// A reply that does not decide the request requeues the request without extending its wait. Therefore a
+    /// process that repeatedly replies that it does not lead delays no answer.
     pub fn reply(&mut self, connection: u64, reply: ClientReply) -> ReplyEffect {
         let token = reply.request_id;
         let Some(entry) = self.entries.get_mut(&token) else {
@@ -314,7 +323,7 @@
         ReplyEffect { resolved_on, next_step: NextStep::Answer(answer) }
     }
 
-    /// Removes a request, and returns it if it was pending.
+    /// Removes a request and returns it if it was pending.
     pub fn remove(&mut self, token: u64) -> Option<Entry> {
         let entry = self.entries.remove(&token)?;
         self.due.remove(&(entry.due, token));
@@ -323,7 +332,7 @@
         Some(entry)
     }
 
-    /// Removes the first request that is due at `now`.
+    /// Removes and returns the request with the earliest due time if it is due at `now`.
     pub fn take_due(&mut self, now: u64) -> Option<(u64, Entry)> {
         let (due, token) = *self.due.first()?;
         if due > now {
@@ -333,23 +342,24 @@
         Some((token, entry))
     }
 
-    /// Removes the request that is due first, whenever that is.
+    /// Removes and returns the request with the earliest due time.
     pub fn take_first(&mut self) -> Option<(u64, Entry)> {
         self.take_due(u64::MAX)
     }
 }
 
 fn leader_wait_until(now: u64, entry: &Entry) -> u64 {
-    let fraction = fraction_of_time_left(now, entry);
-    now.saturating_add(fraction.min(MAX_LEADER_WAIT)).min(entry.answer_deadline)
+    let wait_ns = leader_wait_share_ns(now, entry);
+    now.saturating_add(wait_ns.min(MAX_LEADER_WAIT_NS)).min(entry.answer_deadline)
 }
 
-fn fraction_of_time_left(now: u64, entry: &Entry) -> u64 {
-    let left = entry.deadline.saturating_sub(now);
-    (left as f64 * LEADER_WAIT_FRACTION) as u64
+/// The share of the client's remaining time that the request waits for a leader, without an upper limit.
+fn leader_wait_share_ns(now: u64, entry: &Entry) -> u64 {
+    let remaining_ns = entry.deadline.saturating_sub(now);
+    (remaining_ns as f64 * LEADER_WAIT_FRACTION) as u64
 }
 
-/// Lets a request wait for a leader again, until its `wait_until`.
+/// Makes a request wait for a leader again, until its `wait_until`.
 fn requeue_entry(token: u64, entry: &mut Entry, due: &mut BTreeSet<(u64, u64)>, waiting: &mut BTreeSet<u64>) {
     entry.sent_on = None;
     due.remove(&(entry.due, token));
--- a/crates/data-plane/src/upstream/state.rs
+++ b/crates/data-plane/src/upstream/state.rs
@@ -1,7 +1,8 @@
-//! The state machine that passes requests to the leader, without input or output: its events, and what they lead to.
+//! The state machine that forwards requests to the leader. It does no input or output: it handles events and
+//! returns outputs.
 
 use super::interface::{UpstreamOptions, UpstreamOutput};
-use super::leader::LeaderBelief;
+use super::leader::KnownLeader;
 use super::peers::{OpenLink, Peer};
 use super::requests::{unavailable, ForwardRequest, NextStep, RequestTable};
 use super::time::NANOS_PER_MS;
@@ -10,36 +11,42 @@
 use messages::peer::{ClientReply, Hello, PeerFrame, Pong};
 use std::net::SocketAddr;
 
-/// Without any connection for this long, the seeds are tried as well, and their list is read again; in nanoseconds.
-pub(super) const SEED_REFRESH_INTERVAL: u64 = 3_000 * NANOS_PER_MS;
-/// How long no request is sent to a leader that says it does not lead, unless a newer one is named.
-const NOT_LEADER_BACKOFF: u64 = 100 * NANOS_PER_MS;
-/// How long no leader has to be reachable before this process reports itself not ready: longer than an election takes,
-/// so that new clients are sent elsewhere from a partitioned process, and only from that.
-const UNREADY_AFTER: u64 = 1_000 * NANOS_PER_MS;
+/// Time without any open connection after which the seeds are connected to and their list is read again.
+pub(super) const SEED_REFRESH_INTERVAL_NS: u64 = 3_000 * NANOS_PER_MS;
+/// How long no request is sent to a leader that replied that it does not lead, unless a newer leader is
+/// announced.
+const NOT_LEADER_BACKOFF_NS: u64 = 100 * NANOS_PER_MS;
+/// Time without a reachable leader after which this process reports itself not ready. Longer than an election
+/// takes, so that only a partitioned process becomes not ready and loses new clients to other processes.
+const UNREADY_AFTER_NS: u64 = 1_000 * NANOS_PER_MS;
 
-/// Passes clients' requests to the leader of the core. Times are nanoseconds of the steady clock.
+/// Forwards clients' requests to the leader of the core. Times are nanoseconds of the steady clock.
 ///
-/// Each request gets exactly one [`UpstreamOutput::Answer`]. A request that was sent and whose reply did not come may
-/// have been carried out: unless it only reads, its client is then told that the outcome is unknown.
+/// Each request gets exactly one [`UpstreamOutput::Answer`]. A request that was sent and got no reply may
+/// have been carried out. Its client then gets the answer that the outcome is unknown, unless the request
+/// only reads.
 #[derive(Debug)]
 pub struct Upstream {
     pub(super) options: UpstreamOptions,
     pub(super) random: fastrand::Rng,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) peers: Vec<Peer>,
-    pub(super) leader: LeaderBelief,
+    pub(super) leader: KnownLeader,
+    /// Term of the notice from which the members are known; none if no membership is known.
     pub(super) membership_term: Option<u64>,
     pub(super) requests: RequestTable,
     pub(super) next_connection: u64,
     pub(super) next_ping: u64,
+    /// Since when no leader is reachable; none while one is.
     pub(super) without_leader_since: Option<u64>,
     pub(super) leader_was_reached: bool,
+    /// When the seeds are refreshed if no connection is open until then.
     pub(super) seed_refresh_at: u64,
 }
 
 impl Upstream {
-    /// Knows the seeds (addresses for peers) and nothing else.
+    /// Creates a state machine that connects to the seeds (peer addresses). `seed` is the seed of its random
+    /// numbers.
     pub fn new(options: UpstreamOptions, seeds: Vec<SocketAddr>, now: u64, seed: u64) -> Self {
         let peers = seeds.iter().copied().map(Peer::new).collect();
         Upstream {
@@ -47,14 +54,14 @@
             random: fastrand::Rng::with_seed(seed),
             seeds,
             peers,
-            leader: LeaderBelief::default(),
+            leader: KnownLeader::default(),
             membership_term: None,
             requests: RequestTable::default(),
             next_connection: 1,
             next_ping: 1,
             without_leader_since: Some(now),
             leader_was_reached: false,
-            seed_refresh_at: now.saturating_add(SEED_REFRESH_INTERVAL),
+            seed_refresh_at: now.saturating_add(SEED_REFRESH_INTERVAL_NS),
         }
     }
 
@@ -63,16 +70,16 @@
         self.requests.len()
     }
 
-    /// Whether requests can be expected to be served: a leader is reachable, or was until a moment ago.
+    /// Whether a leader is reachable, or was within the last `UNREADY_AFTER_NS`.
     pub fn is_ready(&self, now: u64) -> bool {
-        let lately = match self.without_leader_since {
+        let recently_reachable = match self.without_leader_since {
             None => true,
-            Some(since) => now.saturating_sub(since) < UNREADY_AFTER,
+            Some(since) => now.saturating_sub(since) < UNREADY_AFTER_NS,
         };
-        self.leader_was_reached && lately
+        self.leader_was_reached && recently_reachable
     }
 
-    /// The settings name other seeds. They are used while no member is known or reachable.
+    /// Replaces the seeds. They are used while no member is known or reachable.
     pub fn set_seeds(&mut self, now: u64, seeds: Vec<SocketAddr>, out: &mut Vec<UpstreamOutput>) {
         self.seeds = seeds;
         if self.membership_term.is_none() || !self.any_open() {
@@ -81,7 +88,7 @@
         self.poll(now, out);
     }
 
-    /// Accepts a request; its answer comes as an output, perhaps at once.
+    /// Accepts a request. Its answer is an output of this call or of a later one.
     pub fn request(&mut self, now: u64, token: u64, request: ForwardRequest, out: &mut Vec<UpstreamOutput>) {
         let bytes = self.requests.size_bytes().saturating_add(request.size_bytes);
         if self.requests.len() >= self.options.max_requests || bytes > self.options.max_bytes {
@@ -93,19 +100,19 @@
         self.advance(now, out);
     }
 
-    /// The client of a request has disconnected.
+    /// Handles the disconnection of a request's client: drops the request.
     pub fn abandon(&mut self, token: u64) {
         let Some(entry) = self.requests.remove(token) else {
             return;
         };
         if let Some(connection) = entry.sent_on() {
-            self.resolved_on(connection);
+            self.request_resolved(connection);
         }
     }
 
-    /// A connection is open.
+    /// Handles the opening of a connection.
     pub fn connected(&mut self, now: u64, connection: u64, out: &mut Vec<UpstreamOutput>) {
-        let Some(peer) = self.peer_of(connection) else {
+        let Some(peer) = self.peer_with_connection(connection) else {
             return;
         };
         peer.connected(connection, now);
@@ -114,10 +121,10 @@
         self.advance(now, out);
     }
 
-    /// A connection broke, or could not be opened.
+    /// Handles the end of a connection, or the failure to open it.
     pub fn disconnected(&mut self, now: u64, connection: u64, out: &mut Vec<UpstreamOutput>) {
         let jitter = self.random.f64();
-        let Some(peer) = self.peer_of(connection) else {
+        let Some(peer) = self.peer_with_connection(connection) else {
             return;
         };
         peer.disconnected(now, jitter);
@@ -125,10 +132,10 @@
         self.poll(now, out);
     }
 
-    /// A frame was received.
+    /// Handles a received frame.
     pub fn received(&mut self, now: u64, connection: u64, frame: PeerFrame, out: &mut Vec<UpstreamOutput>) {
         let pong = matches!(frame.body, OneOfbody::pong(_));
-        let Some(peer) = self.peer_of(connection) else {
+        let Some(peer) = self.peer_with_connection(connection) else {
             return;
         };
         let address = peer.address;
@@ -136,7 +143,7 @@
             open.received(now, pong);
         }
         match frame.body {
-            OneOfbody::reply(reply) => self.replied(now, connection, reply, out),
+            OneOfbody::reply(reply) => self.reply_received(now, connection, reply, out),
             OneOfbody::leader(notice) => self.leader_notice_received(now, address, notice, out),
             OneOfbody::ping(ping) => {
                 out.push(send(connection, OneOfbody::pong(Pong { number: ping.number })));
@@ -146,12 +153,12 @@
         self.advance(now, out);
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due at `now`.
     pub fn poll(&mut self, now: u64, out: &mut Vec<UpstreamOutput>) {
         self.requeue_from_unresponsive_leader(now);
         while let Some((token, entry)) = self.requests.take_due(now) {
             if let Some(connection) = entry.sent_on() {
-                self.resolved_on(connection);
+                self.request_resolved(connection);
             }
             out.push(UpstreamOutput::Answer { token, reply: entry.answer_without_reply() });
         }
@@ -172,21 +179,21 @@
         }
     }
 
-    /// When `poll` is due next.
+    /// When `poll` has to be called next.
     pub fn next_timer(&self, now: u64) -> u64 {
         let peers = self.peers.iter().map(|peer| peer.next_timer(now, self.monitoring(now, peer.address)));
         let peers = peers.min().unwrap_or(u64::MAX);
         let requests = self.requests.next_due().unwrap_or(u64::MAX);
-        let resumed = if self.requests.any_waiting() && self.leader.backoff_until() > now {
+        let backoff_end = if self.requests.any_waiting() && self.leader.backoff_until() > now {
             self.leader.backoff_until()
         } else {
             u64::MAX
         };
         let seeds = if self.any_open() { u64::MAX } else { self.seed_refresh_at };
-        peers.min(requests).min(resumed).min(seeds)
+        peers.min(requests).min(backoff_end).min(seeds)
     }
 
-    fn peer_of(&mut self, connection: u64) -> Option<&mut Peer> {
+    fn peer_with_connection(&mut self, connection: u64) -> Option<&mut Peer> {
         self.peers.iter_mut().find(|peer| peer.connection() == Some(connection))
     }
 
@@ -199,32 +206,40 @@
         self.peers.iter_mut().find(|peer| peer.address == address)?.open_mut()
     }
 
-    fn resolved_on(&mut self, connection: u64) {
-        if let Some(open) = self.peer_of(connection).and_then(Peer::open_mut) {
+    /// Records that the reply to a request that was sent on `connection` is no longer awaited.
+    fn request_resolved(&mut self, connection: u64) {
+        if let Some(open) = self.peer_with_connection(connection).and_then(Peer::open_mut) {
             open.request_resolved();
         }
     }
 
-    fn replied(&mut self, now: u64, connection: u64, reply: ClientReply, out: &mut Vec<UpstreamOutput>) {
+    fn reply_received(
+        &mut self,
+        now: u64,
+        connection: u64,
+        reply: ClientReply,
+        out: &mut Vec<UpstreamOutput>,
+    ) {
         let token = reply.request_id;
-        let settlement = self.requests.reply(connection, reply);
-        if let Some(connection) = settlement.resolved_on {
-            self.resolved_on(connection);
+        let effect = self.requests.reply(connection, reply);
+        if let Some(connection) = effect.resolved_on {
+            self.request_resolved(connection);
         }
-        match settlement.next_step {
+        match effect.next_step {
             NextStep::Answer(reply) => out.push(UpstreamOutput::Answer { token, reply }),
-            NextStep::Requeued => self.leader.back_off_until(now.saturating_add(NOT_LEADER_BACKOFF)),
+            NextStep::Requeued => self.leader.back_off_until(now.saturating_add(NOT_LEADER_BACKOFF_NS)),
             NextStep::Nothing => {}
         }
     }
 
-    /// Brings the state up to date after an event: the leader may have become reachable, or unreachable.
+    /// Finishes the handling of an event: updates the reachability of the leader and sends the requests that
+    /// wait.
     fn advance(&mut self, now: u64, out: &mut Vec<UpstreamOutput>) {
         self.update_reachability(now);
         self.send_waiting(now, out);
     }
 
-    /// Sends the requests that wait, if the leader is reachable and responsive.
+    /// Sends the requests that wait for a leader if the leader is reachable and responsive.
     fn send_waiting(&mut self, now: u64, out: &mut Vec<UpstreamOutput>) {
         if !self.requests.any_waiting() || now < self.leader.backoff_until() {
             return;
@@ -247,7 +262,7 @@
     }
 }
 
-/// The output that writes one frame to `connection`.
+/// Returns the output that sends one frame on `connection`.
 pub(super) fn send(connection: u64, body: OneOfbody) -> UpstreamOutput {
     let mut bytes = Vec::new();
     encode_frame(&PeerFrame { body }, &mut bytes);
--- a/crates/data-plane/tests/support/plane.rs
+++ b/crates/data-plane/tests/support/plane.rs
@@ -16,7 +16,7 @@
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     DataPlaneOptions {
         client_address: any,
-        readiness: any,
+        readiness_address: any,
         seeds,
         upstream: UpstreamOptions {
             node_name: "edge-1".to_owned(),
