--- a/crates/data-plane/tests/calls.rs
+++ b/crates/data-plane/tests/calls.rs
@@ -1,11 +1,11 @@
-//! Each call of a client reaches the leader as such, and each outcome its client.
+//! Each call of a client is forwarded to the leader, and each outcome is returned to the client.
 
 mod support;
 
 use messages::peer::mod_ClientRequest::OneOfcall;
 use messages::peer::{ClientReply, Outcome};
-use support::client::{ask, Answer, Client};
-use support::core::{Arrived, ScriptedCore};
+use support::client::{send_request, Answer, Client};
+use support::core::{ReceivedRequest, ScriptedCore};
 use support::plane::{with_leader, Plane};
 use support::run;
 
@@ -13,13 +13,14 @@
 const JOB_PATH: &str = "/queue/5c0e7a21d94b36f8";
 const JOB_ID: u64 = 0x5c0e_7a21_d94b_36f8;
 
-/// Asks, lets the leader reply, and gives what arrived and what was answered.
+/// Sends a call, lets the leader reply, and returns the request that the leader received and the client's
+/// answer.
 async fn exchange(
     plane: &Plane,
     core: &mut ScriptedCore,
     call: (&str, &str, &str),
     reply: ClientReply,
-) -> (Arrived, Answer) {
+) -> (ReceivedRequest, Answer) {
     let mut client = Client::connect(plane.client_address).await;
     client.send(call.0, call.1, call.2).await;
     let arrived = core.request().await;
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_job_is_handed_in_with_its_host_path_and_time() {
+fn submit_is_forwarded_with_host_path_and_remaining_time() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let call = ("POST", JOB_PATH, JOB);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn states_counts_and_cancels_are_passed_on() {
+fn read_cancel_and_count_are_forwarded() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let state = ClientReply { state: "running".to_owned(), ..outcome(Outcome::STATE) };
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn rejections_have_their_status_and_retry_after() {
+fn rejections_have_matching_status_and_retry_after() {
     run(async {
         let (plane, mut core) = with_leader().await;
         for (given, status) in [
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_job_is_answered_here() {
+fn invalid_paths_and_methods_are_rejected_without_forwarding() {
     run(async {
         let (plane, mut core) = with_leader().await;
         for (method, path, status) in [
@@ -103,7 +104,7 @@
             ("PUT", JOB_PATH, 405),
             ("PATCH", "/queue/", 405),
         ] {
-            let answer = ask(plane.client_address, method, path, "").await;
+            let answer = send_request(plane.client_address, method, path, "").await;
             assert_eq!(answer.status, status, "{method} {path}");
             assert!(answer.body.starts_with(r#"{"Error":""#), "{}", answer.body);
         }
@@ -112,11 +113,11 @@
 }
 
 #[test]
-fn a_bad_body_is_refused_with_the_reason() {
+fn invalid_bodies_are_rejected_with_an_error_text() {
     run(async {
         let (plane, mut core) = with_leader().await;
         for body in ["", "{", "[]", r#"{"Spec":"text"}"#, "\u{0}", r#"{"Spec":7,"Stages":[{"Count":1}]}"#] {
-            let answer = ask(plane.client_address, "POST", JOB_PATH, body).await;
+            let answer = send_request(plane.client_address, "POST", JOB_PATH, body).await;
             assert_eq!(answer.status, 400, "{body}");
             assert!(answer.body.starts_with(r#"{"Error":""#), "{}", answer.body);
         }
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_body_may_have_262144_bytes_and_not_one_more() {
+fn body_of_262144_bytes_is_accepted_and_a_longer_one_rejected() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let largest = format!("{JOB}{}", " ".repeat(262_144 - JOB.len()));
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_body_of_unknown_length_is_rejected_at_the_limit() {
+fn chunked_body_over_the_limit_is_rejected() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn requests_follow_each_other_on_a_connection_also_unasked() {
+fn connection_serves_sequential_and_pipelined_requests() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn many_requests_in_hand_meet_their_own_replies() {
+fn replies_out_of_order_reach_the_right_clients() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut clients = Vec::new();
--- a/crates/data-plane/tests/leader_changes.rs
+++ b/crates/data-plane/tests/leader_changes.rs
@@ -1,4 +1,5 @@
-//! Requests follow the leader, and a client is never told more than is certain.
+//! Requests are sent to the current leader, and a client gets a rejection only if its request was certainly
+//! not carried out.
 
 mod support;
 
@@ -10,11 +11,11 @@
 
 const JOB: &str = r#"{"Spec":"text","Stages":[{"Count":1,"Cpu":500,"MemMb":256}]}"#;
 const JOB_PATH: &str = "/queue/5c0e7a21d94b36f8";
-/// A client's patience where it runs out.
-const SHORT_MS: u32 = 300;
+/// Timeout of a client in tests that let it expire.
+const SHORT_TIMEOUT_MS: u32 = 300;
 
 #[test]
-fn a_request_in_hand_is_sent_to_the_new_leader() {
+fn pending_request_is_sent_to_the_new_leader() {
     run(async {
         let (plane, mut first, mut second) = with_two_members().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_process_that_does_not_lead_any_more_sends_the_request_on() {
+fn request_rejected_by_a_former_leader_is_sent_to_the_new_leader() {
     run(async {
         let (plane, mut first, mut second) = with_two_members().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -37,13 +38,13 @@
         first.request().await.reply(Outcome::NOT_LEADER);
         second.announce(2, Some(second.address), &[first.address, second.address]);
         second.request().await.reply(Outcome::OVERLOADED);
-        // The first did nothing, so the second's refusal is certain.
+        // The first member did not carry out the request, so the rejection by the second is certain.
         assert_eq!(client.answer().await.unwrap().status, 429);
     });
 }
 
 #[test]
-fn a_request_comes_again_where_the_same_leader_remains() {
+fn request_is_resent_to_the_same_leader_after_not_leader() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_broken_connection_brings_the_request_again() {
+fn request_is_resent_after_a_broken_connection() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_refusal_after_an_unanswered_send_is_not_certain() {
+fn rejection_after_an_unanswered_send_is_answered_with_unknown_outcome() {
     run(async {
         for refusal in [Outcome::OVERLOADED, Outcome::UNAVAILABLE, Outcome::NO_ROUTE, Outcome::INVALID] {
             let (plane, mut first, mut second) = with_two_members().await;
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_refusal_of_the_former_leader_does_not_decide() {
+fn rejection_by_the_former_leader_does_not_decide_the_request() {
     run(async {
         let (plane, mut first, mut second) = with_two_members().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -92,7 +93,8 @@
         second.announce(2, Some(second.address), &[first.address, second.address]);
         let arrived = second.request().await;
         late.reply(Outcome::UNAVAILABLE);
-        // The role is busy in between; in which order it reads is checked without sockets, in upstream.rs.
+        // Another exchange in between lets the role read the late reply. The order in which it reads from its
+        // sockets is not determined; upstream.rs checks each order without sockets.
         let mut other = Client::connect(plane.client_address).await;
         other.send("GET", "/queue/", "").await;
         second.request().await.reply(Outcome::COUNT);
@@ -103,12 +105,12 @@
 }
 
 #[test]
-fn an_unanswered_submit_or_cancel_ends_unsure_and_a_read_unavailable() {
+fn unanswered_submit_and_cancel_time_out_with_504_and_read_with_503() {
     run(async {
         let (plane, mut core) = with_leader().await;
         for (method, body, status) in [("POST", JOB, 504), ("DELETE", "", 504), ("GET", "", 503)] {
             let mut client = Client::connect(plane.client_address).await;
-            client.send_with_deadline(method, JOB_PATH, body, SHORT_MS).await;
+            client.send_with_deadline(method, JOB_PATH, body, SHORT_TIMEOUT_MS).await;
             core.request().await;
             assert_eq!(client.answer().await.unwrap().status, status, "{method}");
         }
@@ -116,11 +118,11 @@
 }
 
 #[test]
-fn what_was_sent_before_the_leader_went_stays_unsure() {
+fn submit_sent_before_the_leader_stopped_is_answered_with_504() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut client = Client::connect(plane.client_address).await;
-        client.send_with_deadline("POST", JOB_PATH, JOB, SHORT_MS).await;
+        client.send_with_deadline("POST", JOB_PATH, JOB, SHORT_TIMEOUT_MS).await;
         core.request().await;
         core.stop();
         assert_eq!(client.answer().await.unwrap().status, 504);
@@ -128,15 +130,15 @@
 }
 
 #[test]
-fn without_a_leader_what_was_never_sent_is_surely_not_taken() {
+fn unsent_requests_are_answered_with_503_without_a_leader() {
     run(async {
         let core = ScriptedCore::start().await;
         core.announce(0, None, &[]);
         let plane = Plane::start(options(vec![core.address]));
-        core.greeted(1).await;
+        core.wait_for_hellos(1).await;
         for (method, body) in [("POST", JOB), ("DELETE", ""), ("GET", "")] {
             let mut client = Client::connect(plane.client_address).await;
-            client.send_with_deadline(method, JOB_PATH, body, SHORT_MS).await;
+            client.send_with_deadline(method, JOB_PATH, body, SHORT_TIMEOUT_MS).await;
             let answer = client.answer().await.unwrap();
             assert_eq!(answer.status, 503, "{method}");
             assert_eq!(answer.header("retry-after"), Some("1"));
@@ -145,13 +147,13 @@
 }
 
 #[test]
-fn a_request_waits_for_the_first_leader() {
+fn request_waits_for_the_first_leader() {
     run(async {
         let mut core = ScriptedCore::start().await;
         let plane = Plane::start(options(vec![core.address]));
         let mut client = Client::connect(plane.client_address).await;
         client.send("POST", JOB_PATH, JOB).await;
-        core.greeted(1).await;
+        core.wait_for_hellos(1).await;
         core.announce(1, Some(core.address), &[core.address]);
         core.request().await.reply(Outcome::ACCEPTED);
         assert_eq!(client.answer().await.unwrap().status, 200);
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn a_leader_that_no_seed_was_is_found_by_its_name() {
+fn leader_outside_the_seeds_is_found_by_a_notice() {
     run(async {
         let (seed, mut leader) = (ScriptedCore::start().await, ScriptedCore::start().await);
         leader.announce(3, Some(leader.address), &[leader.address]);
@@ -180,7 +182,7 @@
         let mut limited = options(vec![core.address]);
         limited.upstream.max_requests = 1;
         let plane = Plane::start(limited);
-        plane.becomes(200).await;
+        plane.wait_for_status(200).await;
         let mut core = core;
         let mut first = Client::connect(plane.client_address).await;
         first.send("POST", JOB_PATH, JOB).await;
@@ -195,14 +197,14 @@
 }
 
 #[test]
-fn an_abandoned_request_frees_capacity() {
+fn abandoned_request_frees_capacity() {
     run(async {
         let core = ScriptedCore::start().await;
         core.announce(1, Some(core.address), &[core.address]);
         let mut limited = options(vec![core.address]);
         limited.upstream.max_requests = 1;
         let plane = Plane::start(limited);
-        plane.becomes(200).await;
+        plane.wait_for_status(200).await;
         let mut core = core;
         let mut leaving = Client::connect(plane.client_address).await;
         leaving.send("GET", JOB_PATH, "").await;
--- a/crates/data-plane/tests/lifecycle.rs
+++ b/crates/data-plane/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Readiness, idle connections, settings that change, and the drain.
+//! Readiness, idle connections, reload of the settings, and the drain.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use messages::peer::Outcome;
 use std::path::PathBuf;
 use std::time::Duration;
-use support::client::{ask, Client};
+use support::client::{send_request, Client};
 use support::core::ScriptedCore;
 use support::plane::{options, with_leader, Plane};
 use support::run;
@@ -16,38 +16,38 @@
 const JOB_PATH: &str = "/queue/5c0e7a21d94b36f8";
 
 #[test]
-fn ready_as_soon_as_a_leader_is_known() {
+fn ready_once_a_leader_is_known() {
     run(async {
         let core = ScriptedCore::start().await;
         let plane = Plane::start(options(vec![core.address]));
-        core.greeted(1).await;
+        core.wait_for_hellos(1).await;
         assert_eq!(plane.ready_status().await, 503);
         core.announce(1, Some(core.address), &[core.address]);
-        plane.becomes(200).await;
-        assert_eq!(ask(plane.readiness, "GET", "/other", "").await.status, 404);
-        assert_eq!(ask(plane.readiness, "POST", "/v1/readyz", "").await.status, 405);
+        plane.wait_for_status(200).await;
+        assert_eq!(send_request(plane.readiness, "GET", "/other", "").await.status, 404);
+        assert_eq!(send_request(plane.readiness, "POST", "/v1/readyz", "").await.status, 405);
     });
 }
 
 #[test]
-fn the_process_stays_ready_for_a_while_without_a_leader() {
+fn stays_ready_shortly_after_losing_the_leader() {
     run(async {
         let (plane, core) = with_leader().await;
         core.break_connections();
-        core.greeted(2).await;
+        core.wait_for_hellos(2).await;
         assert_eq!(plane.ready_status().await, 200);
     });
 }
 
 #[test]
-fn a_drain_finishes_what_is_in_hand_and_still_takes_requests() {
+fn drain_finishes_pending_requests_and_accepts_new_ones() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut early = Client::connect(plane.client_address).await;
         early.send("POST", JOB_PATH, JOB).await;
         let arrived = core.request().await;
         plane.signals.send(Signal::Stop).await.unwrap();
-        plane.becomes(503).await;
+        plane.wait_for_status(503).await;
 
         let mut late = Client::connect(plane.client_address).await;
         late.send("GET", JOB_PATH, "").await;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_drain_closes_idle_connections() {
+fn drain_closes_idle_connections() {
     run(async {
         let (plane, mut core) = with_leader().await;
         let mut client = Client::connect(plane.client_address).await;
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn a_drain_ends_in_time_with_final_answers() {
+fn drain_ends_in_time_with_final_answers() {
     run(async {
         let core = ScriptedCore::start().await;
         core.announce(1, Some(core.address), &[core.address]);
-        let mut hurried = options(vec![core.address]);
-        hurried.drain.max_duration = Duration::from_millis(200);
-        let plane = Plane::start(hurried);
-        plane.becomes(200).await;
+        let mut short_drain = options(vec![core.address]);
+        short_drain.drain.max_duration = Duration::from_millis(200);
+        let plane = Plane::start(short_drain);
+        plane.wait_for_status(200).await;
         let mut core = core;
         let mut client = Client::connect(plane.client_address).await;
         client.send_with_deadline("POST", JOB_PATH, JOB, 60_000).await;
@@ -98,14 +98,14 @@
 }
 
 #[test]
-fn idle_and_unfinished_connections_are_closed() {
+fn connections_idle_or_with_incomplete_heads_are_closed() {
     run(async {
         let core = ScriptedCore::start().await;
         core.announce(1, Some(core.address), &[core.address]);
-        let mut brief = options(vec![core.address]);
-        brief.clients.idle_timeout = Duration::from_millis(10);
-        brief.clients.header_timeout = Duration::from_millis(10);
-        let plane = Plane::start(brief);
+        let mut short_timeouts = options(vec![core.address]);
+        short_timeouts.clients.idle_timeout = Duration::from_millis(10);
+        short_timeouts.clients.header_timeout = Duration::from_millis(10);
+        let plane = Plane::start(short_timeouts);
         let mut idle = Client::connect(plane.client_address).await;
         let mut unfinished = Client::connect(plane.client_address).await;
         unfinished.send_bytes(b"GET /queue/ HTTP/1.1\r\nHo").await;
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn the_longest_idle_connection_is_closed_for_a_new_one() {
+fn idle_connection_is_closed_for_a_new_one_at_the_limit() {
     run(async {
         let core = ScriptedCore::start().await;
         core.announce(1, Some(core.address), &[core.address]);
-        let mut narrow = options(vec![core.address]);
-        narrow.clients.max_connections = 2;
-        let plane = Plane::start(narrow);
-        plane.becomes(200).await;
+        let mut two_connections = options(vec![core.address]);
+        two_connections.clients.max_connections = 2;
+        let plane = Plane::start(two_connections);
+        plane.wait_for_status(200).await;
         let mut core = core;
         let mut busy = Client::connect(plane.client_address).await;
         busy.send("GET", JOB_PATH, "").await;
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn new_seeds_are_read_on_a_signal_and_bad_settings_change_nothing() {
+fn reload_signal_updates_the_seeds_unless_the_settings_are_invalid() {
     run(async {
         let mut core = ScriptedCore::start().await;
         core.announce(1, Some(core.address), &[core.address]);
@@ -162,7 +162,7 @@
     });
 }
 
-/// A path of its own for each run: no two processes listen on one port.
+/// A path that is unique to each run: no two processes listen on the same port.
 fn settings_file(port: u16) -> PathBuf {
     std::env::temp_dir().join(format!("sprucehatch-data-plane-{}-{port}.json", std::process::id()))
 }
--- a/crates/data-plane/tests/support/client.rs
+++ b/crates/data-plane/tests/support/client.rs
@@ -1,27 +1,27 @@
-//! A client that speaks HTTP/1.1 byte by byte.
+//! A client that writes and parses raw HTTP/1.1 bytes.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer.
+/// A parsed HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
-    /// Status line and headers, in lower case.
+    /// Status line and headers, converted to lower case.
     pub head: String,
     pub body: String,
 }
 
 impl Answer {
-    /// The value of a header.
+    /// The value of a header; `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let start = format!("{name}: ");
         self.head.lines().find_map(|line| line.strip_prefix(start.as_str()))
     }
 }
 
-/// A client's connection.
+/// A connection of a client.
 pub struct Client {
     stream: TcpStream,
     unread: Vec<u8>,
@@ -32,7 +32,7 @@
         Client { stream: TcpStream::connect(address).await.unwrap(), unread: Vec::new() }
     }
 
-    /// Sends a request that is answered within three seconds or not at all.
+    /// Sends a request with a timeout of three seconds.
     pub async fn send(&mut self, method: &str, path: &str, body: &str) {
         self.send_with_deadline(method, path, body, 3_000).await;
     }
@@ -50,7 +50,7 @@
         self.stream.write_all(bytes).await.unwrap();
     }
 
-    /// The next answer; none if the connection ended before it was whole.
+    /// Waits for the next answer; none if the connection ended before the answer was complete.
     pub async fn answer(&mut self) -> Option<Answer> {
         loop {
             if let Some(answer) = self.take_answer() {
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Whether the server closed the connection without another byte; waits until it does one or the other.
+    /// Waits until the server sends bytes or closes the connection; returns whether it closed without sending
+    /// any.
     pub async fn is_closed(&mut self) -> bool {
         self.unread.is_empty() && self.stream.read_buf(&mut self.unread).await.unwrap_or(0) == 0
     }
@@ -82,8 +83,8 @@
     }
 }
 
-/// One request on a connection of its own, and its answer.
-pub async fn ask(address: SocketAddr, method: &str, path: &str, body: &str) -> Answer {
+/// Sends one request on a new connection and returns its answer.
+pub async fn send_request(address: SocketAddr, method: &str, path: &str, body: &str) -> Answer {
     let mut client = Client::connect(address).await;
     client.send(method, path, body).await;
     client.answer().await.expect("an answer")
--- a/crates/data-plane/tests/support/core.rs
+++ b/crates/data-plane/tests/support/core.rs
@@ -1,4 +1,4 @@
-//! A member of the core that says what the test tells it to say.
+//! A member of the core whose notices and replies the test controls.
 
 use messages::peer::mod_PeerFrame::OneOfbody;
 use messages::peer::{
@@ -16,14 +16,14 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// A request that arrived, and the connection it came on.
-pub struct Arrived {
+/// A request that the member received, and the connection to reply on.
+pub struct ReceivedRequest {
     pub request: ClientRequest,
     frames: UnboundedSender<PeerFrame>,
 }
 
-impl Arrived {
-    /// Replies with an outcome and nothing else.
+impl ReceivedRequest {
+    /// Replies with an outcome and default values otherwise.
     pub fn reply(&self, outcome: Outcome) {
         self.reply_with(ClientReply { outcome, ..ClientReply::default() });
     }
@@ -39,15 +39,15 @@
     notice: RefCell<LeaderNotice>,
     connections: RefCell<HashMap<u64, (UnboundedSender<PeerFrame>, AbortHandle)>>,
     next_connection: Cell<u64>,
-    greeted: Notify,
-    greetings: Cell<usize>,
+    hello_received: Notify,
+    hello_count: Cell<usize>,
 }
 
-/// A member of the core.
+/// A scripted member of the core.
 pub struct ScriptedCore {
     pub address: SocketAddr,
     shared: Rc<Shared>,
-    requests: UnboundedReceiver<Arrived>,
+    requests: UnboundedReceiver<ReceivedRequest>,
     accepting: AbortHandle,
 }
 
@@ -61,7 +61,8 @@
         ScriptedCore { address, shared, requests, accepting }
     }
 
-    /// Says from now on, and at once on open connections, that `leader` leads in `term`; no leader if none.
+    /// Announces that `leader` leads in `term` (`None`: no leader), on all open connections and on later
+    /// ones.
     pub fn announce(&self, term: u64, leader: Option<SocketAddr>, members: &[SocketAddr]) {
         let member = |address: &SocketAddr| Member {
             id: u64::from(address.port()),
@@ -81,38 +82,38 @@
         }
     }
 
-    /// The next request that arrives.
-    pub async fn request(&mut self) -> Arrived {
+    /// Waits for the next request.
+    pub async fn request(&mut self) -> ReceivedRequest {
         self.requests.recv().await.expect("the core runs")
     }
 
-    /// A request that has arrived already.
-    pub fn request_now(&mut self) -> Option<Arrived> {
+    /// Returns a request that has already been received, if there is one.
+    pub fn request_now(&mut self) -> Option<ReceivedRequest> {
         self.requests.try_recv().ok()
     }
 
-    /// Returns when at least `count` connections have introduced themselves since the start.
-    pub async fn greeted(&self, count: usize) {
-        while self.shared.greetings.get() < count {
-            self.shared.greeted.notified().await;
+    /// Waits until at least `count` hello frames have been received since the start.
+    pub async fn wait_for_hellos(&self, count: usize) {
+        while self.shared.hello_count.get() < count {
+            self.shared.hello_received.notified().await;
         }
     }
 
-    /// Breaks all connections; new ones are taken.
+    /// Breaks all connections; new ones are still accepted.
     pub fn break_connections(&self) {
         for (_, (_, task)) in self.shared.connections.borrow_mut().drain() {
             task.abort();
         }
     }
 
-    /// Breaks all connections and takes no new ones.
+    /// Breaks all connections and accepts no new ones.
     pub fn stop(&self) {
         self.accepting.abort();
         self.break_connections();
     }
 }
 
-async fn accept(listener: TcpListener, shared: Rc<Shared>, requests: UnboundedSender<Arrived>) {
+async fn accept(listener: TcpListener, shared: Rc<Shared>, requests: UnboundedSender<ReceivedRequest>) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
         let number = shared.next_connection.get();
@@ -126,7 +127,7 @@
 async fn serve(
     stream: TcpStream,
     shared: Rc<Shared>,
-    requests: UnboundedSender<Arrived>,
+    requests: UnboundedSender<ReceivedRequest>,
     frames: UnboundedSender<PeerFrame>,
     mut outgoing: UnboundedReceiver<PeerFrame>,
 ) {
@@ -149,7 +150,7 @@
 async fn read(
     mut reader: OwnedReadHalf,
     shared: Rc<Shared>,
-    requests: UnboundedSender<Arrived>,
+    requests: UnboundedSender<ReceivedRequest>,
     frames: UnboundedSender<PeerFrame>,
 ) {
     let mut incoming = FrameReader::new();
@@ -160,15 +161,15 @@
                 OneOfbody::hello(_) => {
                     let notice = shared.notice.borrow().clone();
                     let _ = frames.send(PeerFrame { body: OneOfbody::leader(notice) });
-                    shared.greetings.set(shared.greetings.get() + 1);
-                    shared.greeted.notify_one();
+                    shared.hello_count.set(shared.hello_count.get() + 1);
+                    shared.hello_received.notify_one();
                 }
                 OneOfbody::ping(ping) => {
                     let pong = Pong { number: ping.number };
                     let _ = frames.send(PeerFrame { body: OneOfbody::pong(pong) });
                 }
                 OneOfbody::request(request) => {
-                    let _ = requests.send(Arrived { request, frames: frames.clone() });
+                    let _ = requests.send(ReceivedRequest { request, frames: frames.clone() });
                 }
                 _ => {}
             }
--- a/crates/data-plane/tests/support/plane.rs
+++ b/crates/data-plane/tests/support/plane.rs
@@ -1,6 +1,6 @@
-//! The role under test.
+//! The data plane role under test.
 
-use super::client::ask;
+use super::client::send_request;
 use super::core::ScriptedCore;
 use data_plane::upstream::UpstreamOptions;
 use data_plane::{ClientLimits, DataPlane, DataPlaneOptions, DrainTimes, Signal};
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::{channel, Sender};
 use tokio::task::{spawn_local, yield_now, JoinHandle};
 
-/// Options that listen on any port of loopback.
+/// Options for listening on free loopback ports.
 pub fn options(seeds: Vec<SocketAddr>) -> DataPlaneOptions {
     let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
     DataPlaneOptions {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The running role.
+/// A running data plane role.
 pub struct Plane {
     pub client_address: SocketAddr,
     pub readiness: SocketAddr,
@@ -53,37 +53,37 @@
         Plane { client_address, readiness, signals, running }
     }
 
-    /// Whether the platform is told to send clients.
+    /// The HTTP status of a readiness check.
     pub async fn ready_status(&self) -> u16 {
-        ask(self.readiness, "GET", "/v1/readyz", "").await.status
+        send_request(self.readiness, "GET", "/v1/readyz", "").await.status
     }
 
-    /// Returns when the platform is told so.
-    pub async fn becomes(&self, status: u16) {
+    /// Waits until readiness checks are answered with `status`.
+    pub async fn wait_for_status(&self, status: u16) {
         while self.ready_status().await != status {
             yield_now().await;
         }
     }
 }
 
-/// A core of one member that leads, and the role that reaches it.
+/// Starts a core of one member, which leads, and a role that is connected to it.
 pub async fn with_leader() -> (Plane, ScriptedCore) {
     let core = ScriptedCore::start().await;
     core.announce(1, Some(core.address), &[core.address]);
     let plane = Plane::start(options(vec![core.address]));
-    plane.becomes(200).await;
+    plane.wait_for_status(200).await;
     (plane, core)
 }
 
-/// A core of two members of which the first leads, and the role that reaches both.
+/// Starts a core of two members, of which the first leads, and a role that is connected to both.
 pub async fn with_two_members() -> (Plane, ScriptedCore, ScriptedCore) {
     let (first, second) = (ScriptedCore::start().await, ScriptedCore::start().await);
     let members = [first.address, second.address];
     first.announce(1, Some(first.address), &members);
     second.announce(1, Some(first.address), &members);
     let plane = Plane::start(options(members.to_vec()));
-    plane.becomes(200).await;
-    first.greeted(1).await;
-    second.greeted(1).await;
+    plane.wait_for_status(200).await;
+    first.wait_for_hellos(1).await;
+    second.wait_for_hellos(1).await;
     (plane, first, second)
 }
--- a/crates/data-plane/tests/support/simulated.rs
+++ b/crates/data-plane/tests/support/simulated.rs
@@ -1,4 +1,4 @@
-//! The state machine of the way to the leader, in simulated time, with its connections as the test wants them.
+//! The upstream state machine in simulated time, with connections that the test controls.
 
 use data_plane::upstream::{ForwardRequest, Upstream, UpstreamOptions, UpstreamOutput};
 use messages::peer::mod_ClientRequest::OneOfcall;
@@ -11,30 +11,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+/// One millisecond in nanoseconds.
 pub const MS: u64 = 1_000_000;
 
-/// Address of a member by its number.
+/// Peer address of a member by its number.
 pub fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_660))
 }
 
-/// The state machine and all that it has asked for.
+/// The state machine and a record of its outputs.
 pub struct Simulated {
     pub now: u64,
     pub upstream: Upstream,
     pub opening: BTreeMap<u64, SocketAddr>,
     pub open: BTreeMap<u64, SocketAddr>,
     pub answers: BTreeMap<u64, Vec<ClientReply>>,
-    /// Sends of each request, by token: the connections.
+    /// The connections on which each request was sent, by token.
     pub sends: BTreeMap<u64, Vec<u64>>,
     /// Tokens of all requests in the order in which they were sent.
     pub sent: Vec<u64>,
+    /// The connections on which pings were sent, in order.
     pub pings: Vec<u64>,
+    /// How often the state machine asked to read the seeds again.
     pub seeds_read: usize,
-    /// Attempts to connect so far.
+    /// Number of attempts to connect.
     pub attempts: usize,
-    /// Bytes were sent on a connection that is not open.
-    pub sent_astray: bool,
+    /// Whether bytes were sent on a connection that was not open.
+    pub sent_on_closed_connection: bool,
     pub abandoned: BTreeSet<u64>,
     next_token: u64,
 }
@@ -55,7 +58,7 @@
             pings: Vec::new(),
             seeds_read: 0,
             attempts: 0,
-            sent_astray: false,
+            sent_on_closed_connection: false,
             abandoned: BTreeSet::new(),
             next_token: 1,
         };
@@ -63,7 +66,7 @@
         simulated
     }
 
-    /// All seeds connected, and `leader` named by itself in `term`.
+    /// Connects to all seeds and lets `leader` announce itself in `term`.
     pub fn with_leader(seeds: &[u8], leader: u8, term: u64) -> Self {
         let mut simulated = Simulated::new(seeds, 100);
         simulated.connect_all();
@@ -75,11 +78,11 @@
         let mut outputs = Vec::new();
         event(&mut self.upstream, self.now, &mut outputs);
         for output in outputs {
-            self.take(output);
+            self.record(output);
         }
     }
 
-    fn take(&mut self, output: UpstreamOutput) {
+    fn record(&mut self, output: UpstreamOutput) {
         match output {
             UpstreamOutput::Connect { connection, address } => {
                 self.opening.insert(connection, address);
@@ -89,14 +92,14 @@
                 self.opening.remove(&connection);
                 self.open.remove(&connection);
             }
-            UpstreamOutput::Send { connection, bytes } => self.take_bytes(connection, &bytes),
+            UpstreamOutput::Send { connection, bytes } => self.record_bytes(connection, &bytes),
             UpstreamOutput::Answer { token, reply } => self.answers.entry(token).or_default().push(reply),
             UpstreamOutput::ReadSeeds => self.seeds_read += 1,
         }
     }
 
-    fn take_bytes(&mut self, connection: u64, bytes: &[u8]) {
-        self.sent_astray |= !self.open.contains_key(&connection);
+    fn record_bytes(&mut self, connection: u64, bytes: &[u8]) {
+        self.sent_on_closed_connection |= !self.open.contains_key(&connection);
         let mut frames = FrameReader::new();
         frames.buffer().extend_from_slice(bytes);
         while let Some(frame) = frames.next_frame().unwrap() {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Lets all connections that are being opened stand.
+    /// Completes the opening of all connections that are being opened.
     pub fn connect_all(&mut self) {
         while let Some((connection, address)) = self.opening.pop_first() {
             self.open.insert(connection, address);
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Lets time pass, with everything that falls due in between.
-    pub fn pass(&mut self, nanos: u64) {
+    /// Advances the time, and polls the state machine whenever its timer is due.
+    pub fn advance(&mut self, nanos: u64) {
         let until = self.now + nanos;
         loop {
             let due = self.upstream.next_timer(self.now);
@@ -133,11 +136,11 @@
         self.now = until;
     }
 
-    /// The same where every open connection answers within 100 ms.
-    pub fn pass_answered(&mut self, nanos: u64) {
+    /// Like `advance`, but a pong is received on every open connection every 100 ms.
+    pub fn advance_with_pongs(&mut self, nanos: u64) {
         let until = self.now + nanos;
         while self.now < until {
-            self.pass((until - self.now).min(100 * MS));
+            self.advance((until - self.now).min(100 * MS));
             let open: Vec<u64> = self.open.keys().copied().collect();
             open.into_iter().for_each(|connection| self.pong(connection));
         }
@@ -168,10 +171,10 @@
         self.request(OneOfcall::count(CountRequest {}), timeout_ms)
     }
 
-    /// The open connection to a member.
+    /// The open connection to a member, if there is one.
     pub fn connection_to(&self, member: u8) -> Option<u64> {
-        let wanted = address(member);
-        self.open.iter().find(|(_, address)| **address == wanted).map(|(connection, _)| *connection)
+        let member = address(member);
+        self.open.iter().find(|(_, address)| **address == member).map(|(connection, _)| *connection)
     }
 
     pub fn receive(&mut self, connection: u64, body: OneOfbody) {
@@ -188,7 +191,7 @@
         self.receive(connection, OneOfbody::pong(messages::peer::Pong { number: 0 }));
     }
 
-    /// A member says who leads; 0: it knows none.
+    /// Lets a member announce the leader; 0: no leader.
     pub fn announce(&mut self, from: u8, leader: u8, term: u64) {
         self.announce_with(from, leader, term, None);
     }
@@ -209,7 +212,7 @@
         self.receive(connection, OneOfbody::leader(notice));
     }
 
-    /// Breaks a connection, open or being opened.
+    /// Breaks a connection that is open or being opened.
     pub fn disconnect(&mut self, connection: u64) {
         self.open.remove(&connection);
         self.opening.remove(&connection);
@@ -221,7 +224,7 @@
         self.abandoned.insert(token);
     }
 
-    /// The answer to a request, if it has one.
+    /// The outcome of the answer to a request, if it has been answered.
     pub fn outcome(&self, token: u64) -> Option<Outcome> {
         self.answers.get(&token).map(|replies| replies[0].outcome)
     }
--- a/crates/data-plane/tests/upstream.rs
+++ b/crates/data-plane/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The way to the leader, in simulated time.
+//! The upstream state machine in simulated time.
 
 mod support;
 
@@ -8,13 +8,13 @@
 use support::simulated::{address, Simulated, MS};
 
 const SEEDS: [u8; 3] = [1, 2, 3];
-const PATIENCE_MS: u32 = 3_000;
+const CLIENT_TIMEOUT_MS: u32 = 3_000;
 
 #[test]
-fn a_late_rejection_of_the_former_leader_resolves_its_send() {
+fn late_rejection_by_the_former_leader_resolves_its_send() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let (former, new) = (simulated.connection_to(1).unwrap(), simulated.connection_to(2).unwrap());
-    let token = simulated.submit(PATIENCE_MS);
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
     simulated.announce(2, 2, 2);
     assert_eq!(simulated.sends[&token], [former, new]);
     simulated.reply(former, token, Outcome::UNAVAILABLE);
@@ -24,10 +24,10 @@
 }
 
 #[test]
-fn an_acceptance_of_the_former_leader_is_final() {
+fn acceptance_by_the_former_leader_is_final() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let former = simulated.connection_to(1).unwrap();
-    let token = simulated.submit(PATIENCE_MS);
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
     simulated.announce(2, 2, 2);
     simulated.reply(former, token, Outcome::ACCEPTED);
     assert_eq!(simulated.outcome(token), Some(Outcome::ACCEPTED));
@@ -35,44 +35,44 @@
 }
 
 #[test]
-fn an_unsure_reply_is_tried_again_and_never_becomes_a_refusal() {
+fn request_with_an_unsure_reply_is_resent_and_never_rejected() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let connection = simulated.connection_to(1).unwrap();
-    let token = simulated.submit(PATIENCE_MS);
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
     simulated.reply(connection, token, Outcome::UNSURE);
     assert_eq!(simulated.sends[&token].len(), 1);
-    simulated.pass(100 * MS);
+    simulated.advance(100 * MS);
     assert_eq!(simulated.sends[&token].len(), 2);
     simulated.reply(connection, token, Outcome::OVERLOADED);
     assert_eq!(simulated.outcome(token), Some(Outcome::UNSURE));
 }
 
 #[test]
-fn an_older_term_and_a_member_without_a_leader_change_nothing() {
+fn notices_with_an_older_term_or_without_a_leader_are_ignored() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 5);
     simulated.announce(2, 2, 4);
     simulated.announce(3, 0, 9);
-    let token = simulated.submit(PATIENCE_MS);
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
     assert_eq!(simulated.sends[&token], [simulated.connection_to(1).unwrap()]);
 }
 
 #[test]
-fn a_leader_that_steps_down_gets_nothing_more() {
+fn leader_that_steps_down_gets_no_more_requests() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 5);
     simulated.announce(1, 0, 5);
-    let token = simulated.submit(PATIENCE_MS);
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
     assert!(!simulated.sends.contains_key(&token));
     simulated.announce(2, 2, 6);
     assert_eq!(simulated.sends[&token], [simulated.connection_to(2).unwrap()]);
 }
 
 #[test]
-fn a_leader_that_is_named_before_it_is_ready_is_asked_once_it_says_so() {
+fn leader_announced_before_it_is_ready_gets_requests_once_it_announces_itself() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let new = simulated.connection_to(2).unwrap();
     simulated.announce(3, 2, 2);
     simulated.announce(2, 0, 2);
-    let token = simulated.submit(PATIENCE_MS);
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
     assert!(!simulated.sends.contains_key(&token));
     simulated.announce(1, 2, 2);
     simulated.reply(new, token, Outcome::NOT_LEADER);
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn a_leader_unresponsive_for_700_ms_gets_no_request_until_it_responds() {
+fn leader_unresponsive_for_700_ms_gets_no_request_until_it_responds() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let connection = simulated.connection_to(1).unwrap();
     simulated.submit(60_000);
-    simulated.pass(699 * MS);
+    simulated.advance(699 * MS);
     let before = simulated.submit(60_000);
-    simulated.pass(2 * MS);
+    simulated.advance(2 * MS);
     let after = simulated.submit(60_000);
     assert!(simulated.sends.contains_key(&before));
     assert!(!simulated.sends.contains_key(&after));
@@ -98,56 +98,56 @@
 }
 
 #[test]
-fn a_request_not_sent_to_an_unresponsive_leader_is_certainly_not_accepted() {
+fn request_held_back_from_an_unresponsive_leader_is_answered_as_unavailable() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
-    let sent = simulated.submit(PATIENCE_MS);
-    simulated.pass(701 * MS);
+    let sent = simulated.submit(CLIENT_TIMEOUT_MS);
+    simulated.advance(701 * MS);
     let unsent = simulated.submit(1_000);
-    simulated.pass(599 * MS);
+    simulated.advance(599 * MS);
     assert_eq!(simulated.outcome(unsent), None);
-    simulated.pass(MS);
+    simulated.advance(MS);
     assert_eq!(simulated.outcome(unsent), Some(Outcome::UNAVAILABLE));
-    simulated.pass(3_000 * MS);
+    simulated.advance(3_000 * MS);
     assert_eq!(simulated.outcome(sent), Some(Outcome::UNSURE));
 }
 
 #[test]
-fn nobody_waits_longer_than_two_seconds_for_a_leader() {
+fn request_waits_at_most_two_seconds_for_a_leader() {
     let mut simulated = Simulated::new(&SEEDS, 100);
     simulated.connect_all();
     let token = simulated.submit(30_000);
-    simulated.pass(1_999 * MS);
+    simulated.advance(1_999 * MS);
     assert_eq!(simulated.outcome(token), None);
-    simulated.pass(MS);
+    simulated.advance(MS);
     assert_eq!(simulated.outcome(token), Some(Outcome::UNAVAILABLE));
 }
 
 #[test]
-fn a_process_that_never_leads_delays_no_answer() {
+fn repeated_not_leader_replies_delay_no_answer() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let connection = simulated.connection_to(1).unwrap();
     let token = simulated.submit(30_000);
     while simulated.outcome(token).is_none() {
         simulated.reply(connection, token, Outcome::NOT_LEADER);
-        simulated.pass(100 * MS);
+        simulated.advance(100 * MS);
         assert!(simulated.now <= 2_100 * MS);
     }
     assert_eq!(simulated.outcome(token), Some(Outcome::UNAVAILABLE));
 }
 
 #[test]
-fn an_unresponsive_connection_is_opened_anew_and_its_requests_are_sent_again() {
+fn unresponsive_connection_is_reopened_and_its_requests_are_resent() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let unresponsive = simulated.connection_to(1).unwrap();
     let token = simulated.submit(30_000);
-    simulated.pass(1_199 * MS);
+    simulated.advance(1_199 * MS);
     assert!(simulated.open.contains_key(&unresponsive));
-    simulated.pass(MS);
+    simulated.advance(MS);
     assert!(!simulated.open.contains_key(&unresponsive));
-    simulated.pass(100 * MS);
+    simulated.advance(100 * MS);
     simulated.connect_all();
-    let anew = simulated.connection_to(1).unwrap();
-    assert_eq!(simulated.sends[&token], [unresponsive, anew]);
+    let reopened = simulated.connection_to(1).unwrap();
+    assert_eq!(simulated.sends[&token], [unresponsive, reopened]);
 }
 
 #[test]
@@ -155,41 +155,41 @@
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let (second, third) = (simulated.connection_to(2).unwrap(), simulated.connection_to(3).unwrap());
     simulated.submit(30_000);
-    simulated.pass(700 * MS);
+    simulated.advance(700 * MS);
     assert!(simulated.pings.contains(&second) && simulated.pings.contains(&third));
     simulated.pong(third);
-    simulated.pass(400 * MS);
-    assert!(!simulated.open.contains_key(&second), "it has not answered the ping");
+    simulated.advance(400 * MS);
+    assert!(!simulated.open.contains_key(&second), "the second member has not answered the ping");
     assert!(simulated.open.contains_key(&third));
-    simulated.pass(100 * MS);
+    simulated.advance(100 * MS);
     assert!(simulated.opening.values().any(|opening| *opening == address(2)));
 }
 
 #[test]
-fn an_idle_leader_is_asked_every_two_seconds_and_the_others_never() {
+fn idle_leader_is_pinged_every_two_seconds_and_other_members_never() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let leader = simulated.connection_to(1).unwrap();
-    for asked in 1..=5 {
-        simulated.pass(2_000 * MS);
-        assert_eq!(simulated.pings, vec![leader; asked]);
+    for count in 1..=5 {
+        simulated.advance(2_000 * MS);
+        assert_eq!(simulated.pings, vec![leader; count]);
         simulated.pong(leader);
     }
 }
 
 #[test]
-fn a_busy_leader_is_asked_every_half_second() {
+fn busy_leader_is_pinged_every_half_second() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let leader = simulated.connection_to(1).unwrap();
     simulated.submit(30_000);
-    for asked in 1..=4 {
-        simulated.pass(500 * MS);
-        assert_eq!(simulated.pings.len(), asked);
+    for count in 1..=4 {
+        simulated.advance(500 * MS);
+        assert_eq!(simulated.pings.len(), count);
         simulated.pong(leader);
     }
 }
 
 #[test]
-fn unready_only_after_a_second_without_a_leader() {
+fn not_ready_only_after_a_second_without_a_leader() {
     let mut simulated = Simulated::new(&SEEDS, 100);
     assert!(!simulated.upstream.is_ready(simulated.now));
     simulated.connect_all();
@@ -198,9 +198,9 @@
     assert!(simulated.upstream.is_ready(simulated.now));
     let connection = simulated.connection_to(1).unwrap();
     simulated.disconnect(connection);
-    simulated.pass_answered(999 * MS);
+    simulated.advance_with_pongs(999 * MS);
     assert!(simulated.upstream.is_ready(simulated.now));
-    simulated.pass(MS);
+    simulated.advance(MS);
     assert!(!simulated.upstream.is_ready(simulated.now));
     simulated.announce(2, 2, 2);
     assert!(simulated.upstream.is_ready(simulated.now));
@@ -214,7 +214,7 @@
     assert!(!simulated.open.contains_key(&dropped));
     simulated.connect_all();
     assert!(simulated.connection_to(4).is_some());
-    // One that lags behind the leader does not bring the former members back.
+    // An outdated membership from another member in the same term does not restore the former members.
     simulated.announce_with(2, 1, 1, Some(&[1, 2, 3]));
     simulated.connect_all();
     assert!(simulated.connection_to(3).is_none());
@@ -222,52 +222,52 @@
 }
 
 #[test]
-fn seeds_are_read_again_when_no_member_is_reached() {
+fn seeds_are_read_again_if_no_member_is_reachable() {
     let mut simulated = Simulated::new(&SEEDS, 100);
-    simulated.pass(3_000 * MS);
+    simulated.advance(3_000 * MS);
     assert_eq!(simulated.seeds_read, 1);
     simulated.drive(|upstream, now, out| upstream.set_seeds(now, vec![address(9)], out));
     assert!(simulated.opening.values().any(|opening| *opening == address(9)));
 }
 
 #[test]
-fn attempts_to_connect_are_given_up_after_a_second_and_made_again() {
+fn connection_attempt_is_cancelled_within_a_second_and_retried() {
     let mut simulated = Simulated::new(&[1], 100);
     let first = *simulated.opening.keys().next().unwrap();
-    simulated.pass(1_000 * MS);
+    simulated.advance(1_000 * MS);
     assert!(!simulated.opening.contains_key(&first));
-    simulated.pass(100 * MS);
+    simulated.advance(100 * MS);
     assert!(simulated.opening.keys().any(|connection| *connection > first));
 }
 
 #[test]
-fn a_machine_that_comes_back_within_three_seconds_is_tried_again_within_350_ms() {
+fn connection_attempts_are_at_most_350_ms_apart_in_the_fast_retry_period() {
     let mut simulated = Simulated::new(&[1], 100);
     for _ in 0..7 {
         let before = simulated.attempts;
-        simulated.pass(350 * MS);
-        assert!(simulated.attempts > before, "the same attempt for 350 ms");
+        simulated.advance(350 * MS);
+        assert!(simulated.attempts > before, "no new attempt within 350 ms");
     }
 }
 
 #[test]
-fn an_unreachable_machine_is_retried_about_once_in_two_seconds() {
+fn unreachable_machine_is_retried_about_every_two_seconds() {
     let mut simulated = Simulated::new(&[1], 100);
-    simulated.pass(10_000 * MS);
+    simulated.advance(10_000 * MS);
     let before = simulated.attempts;
-    simulated.pass(20_000 * MS);
+    simulated.advance(20_000 * MS);
     let attempts = simulated.attempts - before;
     assert!((9..=14).contains(&attempts), "{attempts} attempts in 20 s");
 }
 
 #[test]
-fn the_end_answers_everything_by_what_is_certain() {
+fn finish_all_answers_unsure_only_for_submits_that_were_sent() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
-    let sent = simulated.submit(PATIENCE_MS);
-    let read = simulated.read(PATIENCE_MS);
+    let sent = simulated.submit(CLIENT_TIMEOUT_MS);
+    let read = simulated.read(CLIENT_TIMEOUT_MS);
     simulated.announce(1, 0, 1);
-    let never_sent = simulated.submit(PATIENCE_MS);
-    let cancel = simulated.cancel(PATIENCE_MS);
+    let never_sent = simulated.submit(CLIENT_TIMEOUT_MS);
+    let cancel = simulated.cancel(CLIENT_TIMEOUT_MS);
     simulated.drive(|upstream, _, out| upstream.finish_all(out));
     assert_eq!(simulated.outcome(sent), Some(Outcome::UNSURE));
     assert_eq!(simulated.outcome(read), Some(Outcome::UNAVAILABLE));
@@ -276,7 +276,7 @@
     assert_eq!(simulated.upstream.pending_requests(), 0);
 }
 
-/// A step of a random script; numbers choose among what there is.
+/// A step of a random script. The `u8` numbers select among the existing requests, sends and connections.
 #[derive(Debug, Clone)]
 enum Step {
     Submit(u16),
@@ -284,7 +284,7 @@
     Cancel(u16),
     Count(u16),
     Abandon(u8),
-    Pass(u16),
+    Advance(u16),
     ConnectAll,
     Disconnect(u8),
     Announce { from: u8, leader: u8, term: u8 },
@@ -306,7 +306,7 @@
             3 => Step::Cancel(time),
             4 => Step::Count(time),
             5 => Step::Abandon(number),
-            6 => Step::Pass(time % 300),
+            6 => Step::Advance(time % 300),
             7 => Step::ConnectAll,
             8 => Step::Disconnect(number),
             9 => Step::Announce { from: member, leader, term },
@@ -325,18 +325,18 @@
     Some(items[usize::from(number) % items.len()])
 }
 
-/// What the test knows of each submit: its sends, and which of them surely did nothing.
+/// The sends that were answered by a reply, by token and position among the sends of the request.
 #[derive(Default)]
 struct ResolvedSends {
-    refused: BTreeSet<(u64, usize)>,
+    replied: BTreeSet<(u64, usize)>,
 }
 
-fn play(simulated: &mut Simulated, resolved_sends: &mut ResolvedSends, submits: &mut Vec<u64>, step: Step) {
+fn apply(simulated: &mut Simulated, resolved_sends: &mut ResolvedSends, submits: &mut Vec<u64>, step: Step) {
     match step {
-        Step::Submit(patience) => submits.push(simulated.submit(patience.into())),
-        Step::Read(patience) => drop(simulated.read(patience.into())),
-        Step::Cancel(patience) => drop(simulated.cancel(patience.into())),
-        Step::Count(patience) => drop(simulated.count(patience.into())),
+        Step::Submit(timeout_ms) => submits.push(simulated.submit(timeout_ms.into())),
+        Step::Read(timeout_ms) => drop(simulated.read(timeout_ms.into())),
+        Step::Cancel(timeout_ms) => drop(simulated.cancel(timeout_ms.into())),
+        Step::Count(timeout_ms) => drop(simulated.count(timeout_ms.into())),
         Step::Abandon(number) => {
             let tokens: Vec<u64> = simulated.sends.keys().copied().collect();
             if let Some(token) =
@@ -345,7 +345,7 @@
                 simulated.abandon(token);
             }
         }
-        Step::Pass(ms) => simulated.pass(u64::from(ms) * MS),
+        Step::Advance(ms) => simulated.advance(u64::from(ms) * MS),
         Step::ConnectAll => simulated.connect_all(),
         Step::Disconnect(number) => {
             let all: Vec<u64> = simulated.open.keys().chain(simulated.opening.keys()).copied().collect();
@@ -367,7 +367,7 @@
     }
 }
 
-/// Replies once to one of the sends of a request, if its connection is open.
+/// Replies to one of the sends of a request, unless the connection is closed or the send already got a reply.
 fn reply(simulated: &mut Simulated, resolved_sends: &mut ResolvedSends, request: u8, send: u8, outcome: u8) {
     let tokens: Vec<u64> = simulated.sends.keys().copied().collect();
     let Some(token) = choose(&tokens, request) else {
@@ -376,57 +376,57 @@
     let position = usize::from(send) % simulated.sends[&token].len();
     let connection = simulated.sends[&token][position];
     let outcome = Outcome::from(i32::from(outcome));
-    if !simulated.open.contains_key(&connection) || !resolved_sends.refused.insert((token, position)) {
+    if !simulated.open.contains_key(&connection) || !resolved_sends.replied.insert((token, position)) {
         return;
     }
     simulated.reply(connection, token, outcome);
 }
 
-/// Random scripts that are played of each kind.
+/// Number of random scripts for each property.
 const SCRIPTS: u64 = 2_000;
 
 #[test]
-fn every_request_gets_one_answer_and_nothing_goes_astray() {
+fn every_request_gets_one_answer_and_no_bytes_go_to_closed_connections() {
     QuickCheck::new().tests(SCRIPTS).quickcheck(one_answer_each as fn(Vec<Step>) -> bool);
 }
 
 #[test]
-fn a_job_that_may_have_been_taken_is_never_refused() {
-    QuickCheck::new().tests(SCRIPTS).quickcheck(refusals_are_certain as fn(Vec<Step>) -> bool);
+fn job_that_may_have_been_accepted_is_never_rejected() {
+    QuickCheck::new().tests(SCRIPTS).quickcheck(rejections_are_certain as fn(Vec<Step>) -> bool);
 }
 
 fn one_answer_each(steps: Vec<Step>) -> bool {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let (mut resolved_sends, mut submits) = (ResolvedSends::default(), Vec::new());
     for step in steps {
-        play(&mut simulated, &mut resolved_sends, &mut submits, step);
+        apply(&mut simulated, &mut resolved_sends, &mut submits, step);
     }
-    simulated.pass(10_000 * MS);
+    simulated.advance(10_000 * MS);
     let answered = submits.iter().all(|token| {
         let answers = simulated.answers.get(token).map_or(0, Vec::len);
         answers == usize::from(!simulated.abandoned.contains(token))
     });
     let once = simulated.answers.values().all(|replies| replies.len() == 1);
-    answered && once && !simulated.sent_astray && simulated.upstream.pending_requests() == 0
+    answered && once && !simulated.sent_on_closed_connection && simulated.upstream.pending_requests() == 0
 }
 
-fn refusals_are_certain(steps: Vec<Step>) -> bool {
+fn rejections_are_certain(steps: Vec<Step>) -> bool {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let (mut resolved_sends, mut submits) = (ResolvedSends::default(), Vec::new());
     for step in steps {
-        play(&mut simulated, &mut resolved_sends, &mut submits, only_refusals(step));
+        apply(&mut simulated, &mut resolved_sends, &mut submits, only_rejections(step));
     }
-    simulated.pass(10_000 * MS);
+    simulated.advance(10_000 * MS);
     submits.iter().all(|token| {
-        let refused = simulated.outcome(*token).is_some_and(|outcome| outcome != Outcome::UNSURE);
+        let rejected = simulated.outcome(*token).is_some_and(|outcome| outcome != Outcome::UNSURE);
         let sends = simulated.sends.get(token).map_or(0, Vec::len);
-        let all_refused = (0..sends).all(|position| resolved_sends.refused.contains(&(*token, position)));
-        !refused || all_refused
+        let all_rejected = (0..sends).all(|position| resolved_sends.replied.contains(&(*token, position)));
+        !rejected || all_rejected
     })
 }
 
-/// Lets replies only refuse: whatever was sent and not refused may have been taken.
-fn only_refusals(step: Step) -> Step {
+/// Turns every reply into a rejection, so that a send may have been accepted if and only if it got no reply.
+fn only_rejections(step: Step) -> Step {
     let Step::Reply { request, send, outcome } = step else {
         return step;
     };
@@ -435,27 +435,27 @@
 }
 
 #[test]
-fn a_request_sent_to_an_unresponsive_leader_is_answered_before_its_time_out() {
+fn request_sent_to_an_unresponsive_leader_is_answered_before_its_timeout() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
-    let token = simulated.submit(PATIENCE_MS);
-    simulated.pass(2_300 * MS);
-    assert_eq!(simulated.outcome(token), Some(Outcome::UNSURE), "it may have been carried out");
+    let token = simulated.submit(CLIENT_TIMEOUT_MS);
+    simulated.advance(2_300 * MS);
+    assert_eq!(simulated.outcome(token), Some(Outcome::UNSURE), "the request may have been carried out");
 }
 
 #[test]
-fn a_request_is_sent_again_once_an_unresponsive_leader_responds() {
+fn request_is_resent_once_an_unresponsive_leader_responds() {
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let leader = simulated.connection_to(1).unwrap();
     let token = simulated.submit(30_000);
-    simulated.pass(900 * MS);
+    simulated.advance(900 * MS);
     assert_eq!(simulated.sends[&token], [leader]);
     simulated.pong(leader);
-    assert_eq!(simulated.sends[&token], [leader, leader], "its first sending may be lost");
+    assert_eq!(simulated.sends[&token], [leader, leader], "the first send may be lost");
     assert_eq!(simulated.outcome(token), None);
 }
 
 #[test]
-fn requests_are_sent_again_in_the_order_in_which_they_came() {
+fn requests_are_resent_in_the_order_of_arrival() {
     const REQUESTS: u64 = 40;
     let mut simulated = Simulated::with_leader(&SEEDS, 1, 1);
     let tokens: Vec<u64> = (0..REQUESTS).map(|_| simulated.submit(30_000)).collect();
@@ -464,8 +464,8 @@
     assert_eq!(simulated.sent, tokens, "to another leader");
     simulated.sent.clear();
     let leader = simulated.connection_to(2).unwrap();
-    simulated.pass(900 * MS);
+    simulated.advance(900 * MS);
     assert!(simulated.sent.is_empty());
     simulated.pong(leader);
-    assert_eq!(simulated.sent, tokens, "to a leader that was silent");
+    assert_eq!(simulated.sent, tokens, "to a leader that was unresponsive");
 }
