--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line of the program.
 
 use crate::error::NodeError;
 use control::{Mechanism, Mechanisms};
@@ -16,28 +16,29 @@
        sprucehatch-node demo [--seconds N]             the whole system on loopback; its leader is killed midway
 
 Runs one role of the cluster scheduler. The settings file is named by SPRUCEHATCH_CONFIG.";
-/// How long the demonstration plays if no time is given, and at least and at most, in seconds.
-const DEFAULT_PLAY_S: u64 = 20;
-const PLAY_S: RangeInclusive<u64> = 4..=300;
-/// Few lines: writing them costs processor time.
+/// Default duration of the demonstration, in seconds.
+const DEFAULT_DEMO_S: u64 = 20;
+/// Allowed durations of the demonstration, in seconds.
+const DEMO_RANGE_S: RangeInclusive<u64> = 4..=300;
+/// Default log specification. Lower levels would log more lines, and writing them costs processor time.
 const DEFAULT_LOG: &str = "warn";
 
-/// What the process does.
+/// The role of a process in the system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// The clients' front.
+    /// Serves clients over HTTP and forwards their requests to the core.
     DataPlane,
-    /// The replicated core.
+    /// Runs a member of the replicated core, which schedules the jobs.
     Control,
 }
 
 impl Role {
-    /// The role with this name.
+    /// Returns the role with this name, if there is one.
     pub fn named(name: &str) -> Option<Self> {
         [Role::DataPlane, Role::Control].into_iter().find(|role| role.name() == name)
     }
 
-    /// Its name on the command line and in the deploy file.
+    /// The name of the role on the command line and in the deploy file.
     pub fn name(self) -> &'static str {
         match self {
             Role::DataPlane => "data-plane",
@@ -46,58 +47,62 @@
     }
 }
 
-/// A command line that asks for a role.
+/// The arguments for running a role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arguments {
     /// The role to run.
     pub role: Role,
-    /// What is logged, as flexi_logger's specification.
+    /// What is logged, as a specification of flexi_logger.
     pub log: String,
-    /// Mechanisms of the leader that are switched off, to measure what they are worth.
+    /// Mechanisms of the leader that are disabled, in order to measure their effect.
     pub mechanisms: Mechanisms,
 }
 
-/// What the command line asks for.
+/// The action that the command line selects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// Print this text.
+    /// Print this help text.
     Help(String),
-    /// Carry out a command on a running group; the words after `ctl`.
+    /// Run a command on a running group; holds the words after `ctl`.
     Ctl(Vec<String>),
     /// Inspect a data folder.
     Inspect {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Whether to print JSON in place of tables.
+        /// Whether to print JSON instead of tables.
         json: bool,
     },
     /// Print the newest configuration in a data folder.
     InspectConfiguration {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
     },
     /// Check a settings file.
     CheckSettings {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The role that it is for; that which it names if not given.
+        /// The role to check the settings for; if none, the role that the file names.
         role: Option<Role>,
     },
     /// Check an operator's configuration.
     CheckConfiguration {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// Play the demonstration for so long.
+    /// Run the demonstration.
     Demo {
-        /// How long jobs are sent.
-        play: Duration,
+        /// How long jobs are submitted.
+        duration: Duration,
     },
     /// Run a role.
     Run(Arguments),
 }
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments that follow the program's name.
+///
+/// # Errors
+///
+/// [`NodeError::Usage`] if the arguments are invalid.
 pub fn read(arguments: Vec<String>) -> Result<Request, NodeError> {
     if let Some((first, rest)) = arguments.split_first() {
         if first == "ctl" {
@@ -125,7 +130,7 @@
         }
         ["demo"] => {
             allow(&matches, &["seconds"])?;
-            Ok(Request::Demo { play: read_seconds(matches.opt_str("seconds"))? })
+            Ok(Request::Demo { duration: read_seconds(matches.opt_str("seconds"))? })
         }
         ["check-config", path] => {
             allow(&matches, &[])?;
@@ -167,25 +172,26 @@
     options
 }
 
-/// Refuses options that the command does not take.
+/// Rejects options that are not in `allowed`.
 fn allow(matches: &Matches, allowed: &[&str]) -> Result<(), NodeError> {
     let given = ["log", "without", "json", "config", "role", "seconds"]
         .into_iter()
         .filter(|name| matches.opt_present(name));
     match given.into_iter().find(|name| !allowed.contains(name)) {
-        Some(name) => Err(NodeError::Usage(format!("--{name} is not for this command"))),
+        Some(name) => Err(NodeError::Usage(format!("--{name} does not apply to this command"))),
         None => Ok(()),
     }
 }
 
-/// Checks what is to be logged: levels, each for all targets or, after `TARGET=`, for those that begin so. Targets
-/// are crates and their modules, whose names have underscores.
+/// Checks and normalizes a log specification: a comma-separated list of levels, each for all targets or, as
+/// `TARGET=LEVEL`, for the targets that begin with `TARGET`. Targets are crates and modules, so hyphens
+/// become underscores.
 fn read_log(text: &str) -> Result<String, NodeError> {
     let mut parts = Vec::new();
     for part in text.split(',') {
         let (target, level) = part.rsplit_once('=').unwrap_or(("", part));
         let level: LevelFilter =
-            level.parse().map_err(|_| NodeError::Usage(format!("{level:?} is no log level")))?;
+            level.parse().map_err(|_| NodeError::Usage(format!("{level:?} is not a log level")))?;
         let level = level.as_str().to_lowercase();
         let target = target.replace('-', "_");
         parts.push(if target.is_empty() { level } else { format!("{target}={level}") });
@@ -193,31 +199,31 @@
     Ok(parts.join(","))
 }
 
-/// Reads the names of mechanisms to be switched off.
+/// Parses the comma-separated names of the mechanisms to disable.
 fn read_mechanisms(text: Option<String>) -> Result<Mechanisms, NodeError> {
     let Some(text) = text else { return Ok(Mechanisms::default()) };
     let read = |name: &str| {
         let known = || Mechanism::names().collect::<Vec<_>>().join(", ");
         Mechanism::named(name)
-            .ok_or_else(|| NodeError::Usage(format!("{name:?} is no mechanism, give some of {}", known())))
+            .ok_or_else(|| NodeError::Usage(format!("{name:?} is not a mechanism, use one of {}", known())))
     };
     let disabled = text.split(',').map(read).collect::<Result<Vec<_>, _>>()?;
     Ok(Mechanisms::without(disabled))
 }
 
 fn read_seconds(text: Option<String>) -> Result<Duration, NodeError> {
-    let Some(text) = text else { return Ok(Duration::from_secs(DEFAULT_PLAY_S)) };
+    let Some(text) = text else { return Ok(Duration::from_secs(DEFAULT_DEMO_S)) };
     match text.parse() {
-        Ok(seconds) if PLAY_S.contains(&seconds) => Ok(Duration::from_secs(seconds)),
+        Ok(seconds) if DEMO_RANGE_S.contains(&seconds) => Ok(Duration::from_secs(seconds)),
         _ => Err(NodeError::Usage(format!(
             "--seconds {text:?} is not between {} and {}",
-            PLAY_S.start(),
-            PLAY_S.end()
+            DEMO_RANGE_S.start(),
+            DEMO_RANGE_S.end()
         ))),
     }
 }
 
 fn read_role(name: &str) -> Result<Role, NodeError> {
-    let unknown = || NodeError::Usage(format!("{name} is no role, give data-plane or control"));
+    let unknown = || NodeError::Usage(format!("{name} is not a role, use data-plane or control"));
     Role::named(name).ok_or_else(unknown)
 }
--- a/crates/node/src/checks.rs
+++ b/crates/node/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of files before a process gets them.
+//! Checks settings files and configuration files before they are deployed.
 
 use crate::arguments::Role;
 use crate::error::NodeError;
@@ -7,10 +7,15 @@
 use std::io::Write;
 use std::path::Path;
 
-/// The one kind of discovery that is known.
+/// The only supported value of the setting `Discovery`.
 const CLOUD_API: &str = "cloud_api";
 
-/// Checks a settings file, also for what a role needs: the given one, or else that which the file names.
+/// Checks a settings file, including the requirements of `role` or, without one, of the role that the file
+/// names.
+///
+/// # Errors
+///
+/// The file cannot be read, is invalid, or lacks what the role requires; or `out` fails.
 pub fn check_settings(path: &Path, role: Option<Role>, out: &mut dyn Write) -> Result<(), NodeError> {
     let text = fs::read_to_string(path).map_err(|error| NodeError::ReadFile(path.to_owned(), error))?;
     let settings =
@@ -30,6 +35,10 @@
 }
 
 /// Checks a file that holds an operator's configuration.
+///
+/// # Errors
+///
+/// The file cannot be read or is invalid, or `out` fails.
 pub fn check_configuration(path: &Path, out: &mut dyn Write) -> Result<(), NodeError> {
     let body = fs::read(path).map_err(|error| NodeError::ReadFile(path.to_owned(), error))?;
     let configuration = OperatorConfiguration::read(&body)
@@ -45,21 +54,21 @@
 
 fn control_problems(settings: &ProcessSettings) -> Vec<String> {
     let mut problems = shared_problems(settings);
-    let mut require = |holds: bool, problem: &str| {
-        if !holds {
+    let mut require = |condition: bool, problem: &str| {
+        if !condition {
             problems.push(problem.to_owned());
         }
     };
-    let control = "ListenAddrs.Control is missing: let the role serve control_plane in the deploy file";
-    require(settings.listen.control.is_some(), control);
-    let data = "DataDir is missing: run the control role on machines that have a disk";
-    require(settings.data_directory.is_some(), data);
+    let listen = "ListenAddrs.Control is missing: let the role serve control_plane in the deploy file";
+    require(settings.listen.control.is_some(), listen);
+    let directory = "DataDir is missing: run the control role on machines that have a disk";
+    require(settings.data_directory.is_some(), directory);
     let discovery = "Discovery is not cloud_api: workers would not be found, set it to cloud_api";
     require(settings.discovery == CLOUD_API, discovery);
     let platform = "CloudApi.Address is missing: workers would not be found, set it to the platform's";
     require(settings.cloud_api.is_some(), platform);
-    let calls = "Commands is heartbeat: orders are delivered by calls only, set it to rpc";
-    require(settings.order_delivery != OrderDelivery::Heartbeats, calls);
+    let delivery = "Commands is heartbeat: orders are delivered by calls only, set it to rpc";
+    require(settings.order_delivery != OrderDelivery::Heartbeats, delivery);
     problems
 }
 
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends without having done its work.
+//! Errors with which the program ends, and their exit codes.
 
 use configuration::SettingsError;
 use ctl::CtlError;
@@ -7,68 +7,68 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Exit codes, after sysexits.h.
+/// Exit codes as in sysexits.h.
 const EXIT_USAGE: u8 = 64;
 const EXIT_SOFTWARE: u8 = 70;
 const EXIT_CONFIGURATION: u8 = 78;
 
 quick_error! {
-    /// Why the program ends without having done its work.
+    /// An error with which the program ends.
     #[derive(Debug)]
     pub enum NodeError {
-        /// The command line is not understood.
+        /// The command line is invalid.
         Usage(reason: String) {
             display("{reason}: see --help")
         }
-        /// The variable with the path of the settings is missing.
+        /// The environment variable with the path of the settings file is not set.
         NoSettingsPath {
-            display("SPRUCEHATCH_CONFIG is not set: let it hold the path of the settings file")
+        display("SPRUCEHATCH_CONFIG is not set: set it to the path of the settings file")
         }
         /// The settings file cannot be read.
         ReadSettings(path: PathBuf, error: io::Error) {
-            display("{} cannot be read ({error}): see that SPRUCEHATCH_CONFIG names a readable settings file", path.display())
+            display("{} cannot be read ({error}): set SPRUCEHATCH_CONFIG to the path of a readable settings file", path.display())
         }
-        /// The settings file holds something wrong.
+        /// The settings file is invalid.
         Settings(path: PathBuf, error: SettingsError) {
             display("{}: {error}", path.display())
         }
         /// A file that is to be checked cannot be read.
         ReadFile(path: PathBuf, error: io::Error) {
-            display("{} cannot be read ({error}): name a readable file", path.display())
+            display("{} cannot be read ({error}): check the path and the permissions", path.display())
         }
-        /// A file that was checked would not do.
+        /// A file that was checked has problems.
         Problems(path: PathBuf, problems: Vec<String>) {
             display("{}: {}", path.display(), problems.join("\n  and: "))
         }
-        /// What was found cannot be printed.
+        /// Standard output cannot be written.
         Output(error: io::Error) {
-            display("the output cannot be written ({error}): see where it is directed to")
+        display("cannot write to standard output ({error}): check where the output is directed to")
         }
-        /// The specification of what is logged is not understood.
+        /// The log specification is invalid.
         LogSpecification(reason: String) {
-            display("--log is not understood ({reason}): give a level, or as in info,control=debug; see --help")
+        display("--log is invalid ({reason}): give a level or a list such as info,control=debug; see --help")
         }
         /// The logger cannot be set up.
         Logger(reason: String) {
-            display("cannot log to standard error ({reason}): see that it is open")
+            display("cannot log to standard error ({reason}): check that it is open")
         }
-        /// A command on a running group did not do what was asked.
+        /// A `ctl` or `inspect` command failed.
         Ctl(error: CtlError) {
             from()
             display("{error}")
         }
-        /// The demonstration could not be played.
+        /// The demonstration failed.
         Demo(error: DemoError) {
             from()
             display("{error}")
         }
-        /// The program does not know where it is.
+        /// The path of the program's executable cannot be determined.
         OwnPath(error: io::Error) {
-            display("the program cannot be found ({error}): start it by its path")
+        display("cannot determine the path of the executable ({error}): start the program by its path")
         }
         /// The runtime cannot start.
         Runtime(error: io::Error) {
-            display("the runtime cannot start ({error}): see whether descriptors or threads run out")
+            display("cannot start the runtime ({error}): check the limits on file descriptors and threads")
         }
         /// The role ended with an error.
         Role(reason: String) {
@@ -78,7 +78,7 @@
 }
 
 impl NodeError {
-    /// The exit code that tells callers what kind of error it is.
+    /// The exit code for the kind of this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             NodeError::Usage(_) | NodeError::LogSpecification(_) => EXIT_USAGE,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the system: one role a process.
+//! The program `sprucehatch-node`: runs one role of the system per process, and the operators' commands.
 
 mod arguments;
 mod checks;
@@ -15,7 +15,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Variable that holds the path of the settings file.
+/// Environment variable that holds the path of the settings file.
 const SETTINGS_VARIABLE: &str = "SPRUCEHATCH_CONFIG";
 
 fn main() -> ExitCode {
@@ -45,18 +45,18 @@
         Request::CheckConfiguration { path } => {
             return checks::check_configuration(&path, &mut stdout().lock())
         }
-        Request::Demo { play } => return play_demo(play),
+        Request::Demo { duration } => return run_demo(duration),
         Request::Run(arguments) => arguments,
     };
-    // Before anything else: a signal that arrives first would end the process.
+    // Comes before all other steps: a signal that arrives before the handlers are installed ends the process.
     let process = ProcessRuntime::start().map_err(NodeError::Runtime)?;
     run_role(process, &arguments)
 }
 
-/// Plays the demonstration with processes of this very program.
-fn play_demo(play: Duration) -> Result<(), NodeError> {
+/// Runs the demonstration with processes of the same executable.
+fn run_demo(duration: Duration) -> Result<(), NodeError> {
     let program = std::env::current_exe().map_err(NodeError::OwnPath)?;
-    let report = demo::run(&program, play)?;
+    let report = demo::run(&program, duration)?;
     write!(stdout(), "{report}").map_err(NodeError::Output)
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Logs to standard error while the handle lives.
+/// Starts a logger that writes to standard error until the returned handle is dropped.
 fn start_logger(arguments: &Arguments) -> Result<LoggerHandle, NodeError> {
     let specification = LogSpecification::parse(&arguments.log)
         .map_err(|error| NodeError::LogSpecification(error.to_string()))?;
@@ -81,7 +81,7 @@
     logger.start().map_err(|error| NodeError::Logger(error.to_string()))
 }
 
-/// Writes time, level, target and message; a message ends with fields as `name=value`.
+/// Writes a log line: time, level, target and message. Messages end with their fields as `name=value`.
 fn write_line(out: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
     write!(out, "{} {} {}: {}", now.format_rfc3339(), record.level(), record.target(), record.args())
 }
--- a/crates/node/tests/architecture.rs
+++ b/crates/node/tests/architecture.rs
@@ -30,8 +30,8 @@
 /// What each file of a crate imports of the crate's other files, by their paths as modules.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// The text of each file below `folder`, by its path as a module. `a/mod.rs` is the module `a`; files named `tests` are
-/// left out.
+/// The text of each file below `folder`, by its path as a module. `a/mod.rs` is the module `a`; files named
+/// `tests` are left out.
 fn read_sources(folder: &Path, parent: &str, sources: &mut BTreeMap<String, String>) {
     for entry in fs::read_dir(folder).expect("the sources are there") {
         let path = entry.expect("the folder is readable").path();
@@ -75,8 +75,8 @@
     expanded.map(|item| format!("{path}{item}")).collect()
 }
 
-/// The paths in the code after a prefix such as `crate::`, where the prefix is not itself the end of a path or name. The
-/// path of a visibility, as in `pub(in crate::a)`, imports nothing.
+/// The paths in the code after a prefix such as `crate::`, where the prefix is not itself the end of a path
+/// or name. The path of a visibility, as in `pub(in crate::a)`, imports nothing.
 fn paths_after(code: &str, prefix: &str) -> Vec<String> {
     let begins_path = |at: &usize| {
         let before = &code[..*at];
@@ -91,8 +91,8 @@
     module.rsplit_once("::").map_or("", |(parent, _)| parent)
 }
 
-/// The absolute paths, without `crate::`, that a module names: by `crate::`, by `super::`, or from a module that it
-/// declares itself.
+/// The absolute paths, without `crate::`, that a module names: by `crate::`, by `super::`, or from a module
+/// that it declares itself.
 fn absolute_paths(module: &str, code: &str) -> Vec<String> {
     let is_root = module == "lib" || module == "main";
     let join =
@@ -123,7 +123,8 @@
     let mut sources = BTreeMap::new();
     read_sources(&folder, "", &mut sources);
     let root = if sources.contains_key("lib") { "lib" } else { "main" };
-    // The longest beginning of a path that is a file: the rest is of that file, and what is of none is of the root.
+    // The longest beginning of a path that is a file: the rest is of that file, and what is of none is of the
+    // root.
     let file = |path: String| {
         let ends = path.match_indices("::").map(|(at, _)| at).chain([path.len()]);
         let longest = ends.map(|end| &path[..end]).filter(|part| sources.contains_key(*part)).last();
--- a/crates/node/tests/control_trial.rs
+++ b/crates/node/tests/control_trial.rs
@@ -1,5 +1,6 @@
-//! Real control processes under kills, standing processes and lost disks, while an operator changes the configuration and
-//! others read it: the history is linearizable, and of two orders on one version at most one is confirmed.
+//! Real control processes under kills, standing processes and lost disks, while an operator changes the
+//! configuration and others read it: the history is linearizable, and of two orders on one version at most
+//! one is confirmed.
 
 use fastrand::Rng;
 use std::collections::BTreeMap;
--- a/crates/node/tests/golden_texts.rs
+++ b/crates/node/tests/golden_texts.rs
@@ -1,5 +1,5 @@
-//! What the program prints and what a core process measures has the words that it had: operators and their tools rely
-//! on them.
+//! What the program prints and what a core process measures has the words that it had: operators and their
+//! tools rely on them.
 
 use gateway_test_support::golden::assert_golden;
 use gateway_test_support::reserved_address;
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -1,8 +1,9 @@
-//! Soak: real processes under series of signals, restarts, lost disks and changes that overlap, while clients keep using
-//! their open connections. No process ends by itself, the system serves after each series, nothing acknowledged is lost,
-//! and a process that is asked to stop ends in order within the grace period.
+//! Soak: real processes under series of signals, restarts, lost disks and changes that overlap, while clients
+//! keep using their open connections. No process ends by itself, the system serves after each series, nothing
+//! acknowledged is lost, and a process that is asked to stop ends in order within the grace period.
 //!
-//! `SOAK_SEEDS=1-50 cargo test -p sprucehatch-node --test soak -- --nocapture` plays other seeds than the few of CI.
+//! `SOAK_SEEDS=1-50 cargo test -p sprucehatch-node --test soak -- --nocapture` plays other seeds than the few
+//! of CI.
 
 mod clients;
 mod http;
--- a/crates/node/tests/soak/play.rs
+++ b/crates/node/tests/soak/play.rs
@@ -75,8 +75,8 @@
 }
 
 impl Play {
-    /// Starts all machines. Some core machines are struck before they can have founded anything, and as many disks as may
-    /// be lost at one time are lost at most.
+    /// Starts all machines. Some core machines are struck before they can have founded anything, and as many
+    /// disks as may be lost at one time are lost at most.
     fn start(&mut self) {
         self.site.start_all();
         let mut lost = 0;
@@ -112,8 +112,8 @@
         self.check_processors(observations)
     }
 
-    /// Waits until each core machine is a voter under the identity on its disk: a machine that has lost its disk counts as
-    /// lost until then.
+    /// Waits until each core machine is a voter under the identity on its disk: a machine that has lost its
+    /// disk counts as lost until then.
     fn wait_for_all_voters(&mut self) -> Result<(), String> {
         let deadline = Instant::now() + PATIENCE;
         while Instant::now() < deadline {
@@ -128,8 +128,9 @@
         Err(format!("some core machine does not become a voter\n{}", self.logs()))
     }
 
-    /// As many disks as may be lost at one time are gone, and all other machines, edges too, end at the same moment. The
-    /// system serves, so it has the voters that this takes, whether all of them answer at the moment or not.
+    /// As many disks as may be lost at one time are gone, and all other machines, edges too, end at the same
+    /// moment. The system serves, so it has the voters that this takes, whether all of them answer at the
+    /// moment or not.
     fn lose_disks(&mut self) {
         let mut cores: Vec<usize> = (0..self.site.cores).collect();
         self.rng.shuffle(&mut cores);
@@ -249,7 +250,8 @@
         self.check_ends()
     }
 
-    /// Asks an edge whether it knows a job. An edge that was asked to stop ends meanwhile, and is started again.
+    /// Asks an edge whether it knows a job. An edge that was asked to stop ends meanwhile, and is started
+    /// again.
     fn ask_for_job(&mut self, edge: SocketAddr, job: &str) -> Result<Option<bool>, String> {
         let deadline = Instant::now() + PATIENCE;
         while Instant::now() < deadline {
--- a/crates/node/tests/soak/process.rs
+++ b/crates/node/tests/soak/process.rs
@@ -59,8 +59,8 @@
         Process { child: child.expect("the program starts"), log, asked_to_stop: None }
     }
 
-    /// Sends a signal as soon as the process takes its signals over, which is before it listens. Before that the system's
-    /// default action ends it, whatever the program does.
+    /// Sends a signal as soon as the process takes its signals over, which is before it listens. Before that
+    /// the system's default action ends it, whatever the program does.
     pub fn signal(&mut self, signal: SignalName) {
         if signal != SignalName::Continue {
             self.wait_for_registration();
