--- a/crates/node/tests/architecture.rs
+++ b/crates/node/tests/architecture.rs
@@ -1,11 +1,11 @@
-//! Which way imports point within the system's crates: no file of a crate leads back to itself.
+//! Checks that the files of a crate do not import each other in a cycle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::Path;
 
-/// Crates whose files form no circle. A crate is added once it has none, and none is taken out.
-const CLEAN: &[&str] = &[
+/// Crates without import cycles. A crate is added once it has none, and no crate is removed.
+const ACYCLIC_CRATES: &[&str] = &[
     "admin",
     "configuration",
     "consensus",
@@ -27,11 +27,11 @@
     "storage",
 ];
 
-/// What each file of a crate imports of the crate's other files, by their paths as modules.
+/// The files that each file of a crate imports from the same crate, by module path.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// The text of each file below `folder`, by its path as a module. `a/mod.rs` is the module `a`; files named
-/// `tests` are left out.
+/// Reads the text of each file below `folder` into `sources`, by module path. `a/mod.rs` is the module `a`;
+/// files named `tests` are left out.
 fn read_sources(folder: &Path, parent: &str, sources: &mut BTreeMap<String, String>) {
     for entry in fs::read_dir(folder).expect("the sources are there") {
         let path = entry.expect("the folder is readable").path();
@@ -46,13 +46,13 @@
     }
 }
 
-fn is_of_identifier(c: char) -> bool {
+fn is_identifier_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || c == '_'
 }
 
-/// The paths that begin a text, `a::{b, c::d}` as `a::b` and `a::c::d`.
+/// Expands the path at the beginning of a text: `a::{b, c::d}` into `a::b` and `a::c::d`.
 fn expand(text: &str) -> Vec<String> {
-    let path: String = text.chars().take_while(|c| is_of_identifier(*c) || *c == ':').collect();
+    let path: String = text.chars().take_while(|c| is_identifier_char(*c) || *c == ':').collect();
     let Some(group) = text[path.len()..].strip_prefix('{') else { return vec![path] };
     let mut depth = 0;
     let (mut items, mut start) = (Vec::new(), 0);
@@ -75,12 +75,12 @@
     expanded.map(|item| format!("{path}{item}")).collect()
 }
 
-/// The paths in the code after a prefix such as `crate::`, where the prefix is not itself the end of a path
-/// or name. The path of a visibility, as in `pub(in crate::a)`, imports nothing.
+/// Returns the paths in the code that follow a prefix such as `crate::`. Skips occurrences where the prefix
+/// is the end of a longer path or name, and visibilities such as `pub(in crate::a)`, which import nothing.
 fn paths_after(code: &str, prefix: &str) -> Vec<String> {
     let begins_path = |at: &usize| {
         let before = &code[..*at];
-        let continues = before.ends_with(|c: char| is_of_identifier(c) || c == ':' || c == '$');
+        let continues = before.ends_with(|c: char| is_identifier_char(c) || c == ':' || c == '$');
         !continues && !before.ends_with("pub(in ")
     };
     let found = code.match_indices(prefix).map(|(at, _)| at).filter(begins_path);
@@ -91,8 +91,8 @@
     module.rsplit_once("::").map_or("", |(parent, _)| parent)
 }
 
-/// The absolute paths, without `crate::`, that a module names: by `crate::`, by `super::`, or from a module
-/// that it declares itself.
+/// Returns the absolute paths, without `crate::`, that a module uses: through `crate::`, `super::` or
+/// `self::`, or from a module that it declares itself.
 fn absolute_paths(module: &str, code: &str) -> Vec<String> {
     let is_root = module == "lib" || module == "main";
     let join =
@@ -117,14 +117,14 @@
     paths
 }
 
-/// The files of the crate in `crates/NAME`, each with those that it imports.
+/// Returns the imports of each file of the crate in `crates/NAME`.
 fn imports(crate_name: &str) -> Imports {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(crate_name).join("src");
     let mut sources = BTreeMap::new();
     read_sources(&folder, "", &mut sources);
     let root = if sources.contains_key("lib") { "lib" } else { "main" };
-    // The longest beginning of a path that is a file: the rest is of that file, and what is of none is of the
-    // root.
+    // The longest prefix of the path that is a file defines the item; without such a prefix the root file
+    // does.
     let file = |path: String| {
         let ends = path.match_indices("::").map(|(at, _)| at).chain([path.len()]);
         let longest = ends.map(|end| &path[..end]).filter(|part| sources.contains_key(*part)).last();
@@ -138,28 +138,28 @@
     sources.iter().map(|(module, text)| (module.clone(), imports_of(module, text))).collect()
 }
 
-/// The files that lie on a circle of imports, or lead to one.
-fn circles(mut left: Imports) -> Imports {
+/// Returns the files that are part of an import cycle or lead to one.
+fn cycles(mut remaining: Imports) -> Imports {
     loop {
-        let names: BTreeSet<String> = left.keys().cloned().collect();
-        let before = left.len();
-        left.retain(|_, imported| imported.iter().any(|name| names.contains(name)));
-        if left.len() == before {
-            return left;
+        let names: BTreeSet<String> = remaining.keys().cloned().collect();
+        let before = remaining.len();
+        remaining.retain(|_, imported| imported.iter().any(|name| names.contains(name)));
+        if remaining.len() == before {
+            return remaining;
         }
     }
 }
 
 #[test]
-fn no_file_of_a_clean_crate_leads_back_to_itself() {
-    let crates: Vec<(&str, Imports)> = CLEAN.iter().map(|name| (*name, imports(name))).collect();
-    let found = crates.into_iter().map(|(name, imports)| (name, circles(imports)));
-    let found: Vec<(&str, Imports)> = found.filter(|(_, left)| !left.is_empty()).collect();
-    assert!(found.is_empty(), "these files import each other in a circle, or lead to one: {found:#?}");
+fn acyclic_crates_have_no_import_cycles() {
+    let crates: Vec<(&str, Imports)> = ACYCLIC_CRATES.iter().map(|name| (*name, imports(name))).collect();
+    let found = crates.into_iter().map(|(name, imports)| (name, cycles(imports)));
+    let found: Vec<(&str, Imports)> = found.filter(|(_, remaining)| !remaining.is_empty()).collect();
+    assert!(found.is_empty(), "these files import each other in a cycle, or lead to one: {found:#?}");
 }
 
 #[test]
-fn the_path_of_a_visibility_is_no_import() {
+fn visibility_paths_are_not_imports() {
     assert_eq!(paths_after("pub(in crate::a) fn b() -> crate::c::D", "crate::"), ["c::D"]);
 }
 
@@ -169,17 +169,17 @@
     assert!(consensus["node"].contains("role") && consensus["role"].contains("leadership"), "{consensus:?}");
     assert!(consensus["lib"].contains("message") && consensus["message"].contains("types"), "{consensus:?}");
     let storage = imports("storage");
-    assert!(storage["model"].contains("model::state"), "a file imports those below it: {storage:?}");
-    assert!(storage["model::state"].contains("model::inode"), "and those beside it: {storage:?}");
-    assert!(storage["recovery"].contains("names"), "a group of names is read: {storage:?}");
+    assert!(storage["model"].contains("model::state"), "imports of child modules: {storage:?}");
+    assert!(storage["model::state"].contains("model::inode"), "imports of sibling modules: {storage:?}");
+    assert!(storage["recovery"].contains("names"), "imports in groups: {storage:?}");
 }
 
 #[test]
-fn a_circle_is_found() {
+fn cycles_are_detected() {
     let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<String>>();
     let edges = [("a", set(&["b"])), ("b", set(&["c"])), ("c", set(&["b"])), ("d", set(&[]))];
-    let left = circles(edges.map(|(name, imported)| (name.to_owned(), imported)).into());
-    assert_eq!(left.into_keys().collect::<Vec<_>>(), ["a", "b", "c"], "a leads to the circle of b and c");
+    let remaining = cycles(edges.map(|(name, imported)| (name.to_owned(), imported)).into());
+    assert_eq!(remaining.into_keys().collect::<Vec<_>>(), ["a", "b", "c"], "a leads to the cycle of b and c");
 }
 
 #[test]
--- a/crates/node/tests/control_trial.rs
+++ b/crates/node/tests/control_trial.rs
@@ -1,6 +1,6 @@
-//! Real control processes under kills, standing processes and lost disks, while an operator changes the
-//! configuration and others read it: the history is linearizable, and of two orders on one version at most
-//! one is confirmed.
+//! Real control processes under kills, pauses and restarts, while an operator changes the configuration and
+//! others read it. The history is linearizable, and of two changes to the same version at most one is
+//! confirmed.
 
 use fastrand::Rng;
 use std::collections::BTreeMap;
@@ -17,14 +17,14 @@
 const MACHINES: usize = 3;
 const CONTROL_PORT: u16 = 8_146;
 const PEER_PORT: u16 = 7_660;
-/// The operator's patience with one call.
-const CALL_PATIENCE: Duration = Duration::from_millis(1_000);
-/// Longest time in which anything that must come about does.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Faults of one trial.
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout for a clear answer, and for progress between two faults.
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of faults in one trial.
 const FAULTS: usize = 6;
-/// Readings that pass between two faults, with at least one of them answered.
-const READINGS_BETWEEN: u64 = 12;
+/// Minimum number of reads between two faults, of which at least one must be answered.
+const READS_BETWEEN_FAULTS: u64 = 12;
 
 struct Machine {
     ip: Ipv4Addr,
@@ -77,7 +77,7 @@
 impl Drop for Machine {
     fn drop(&mut self) {
         self.kill();
-        // What stays behind is in the folder for temporary files.
+        // Failures are ignored: remaining files are in the folder for temporary files.
         let _ = std::fs::remove_dir_all(&self.disk);
         let _ = std::fs::remove_file(&self.settings);
     }
@@ -89,10 +89,10 @@
     body: String,
 }
 
-/// One exchange; `None` without a whole answer in time.
+/// Sends one request; `None` without a complete answer in time.
 fn exchange(address: SocketAddr, method: &str, header: &str, body: &str) -> Option<Reply> {
-    let mut stream = TcpStream::connect_timeout(&address, CALL_PATIENCE).ok()?;
-    stream.set_read_timeout(Some(CALL_PATIENCE)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT).ok()?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).ok()?;
     let text = format!(
         "{method} /v1/config HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {}\r\n{header}\r\n{body}",
         body.len()
@@ -110,7 +110,7 @@
     Some(Reply { status, location, body: body.to_owned() })
 }
 
-/// A call as the operator makes it: two redirects are followed.
+/// Makes a call like an operator: follows up to two redirects.
 fn call(address: SocketAddr, method: &str, header: &str, body: &str) -> Option<Reply> {
     let mut address = address;
     for _ in 0..3 {
@@ -123,9 +123,9 @@
     None
 }
 
-fn configuration(version: u64, mark: &str) -> String {
+fn configuration(version: u64, route_name: &str) -> String {
     format!(
-        r#"{{"Version":{version},"Routes":[{{"Name":"{mark}","Host":"h.example","PathPrefix":"/a/","RouteType":"non_idempotent","TimeoutMs":3000,"TargetLatencyMs":1000,"Priority":1,"Backend":"s","MaxRetries":3,"Stretch":2.2}}],"Backends":[{{"Name":"s","HealthCheck":"/healthz","MaxConnections":64,"Protocol":"h1","Tls":false,"Guards":true}}]}}"#
+        r#"{{"Version":{version},"Routes":[{{"Name":"{route_name}","Host":"h.example","PathPrefix":"/a/","RouteType":"non_idempotent","TimeoutMs":3000,"TargetLatencyMs":1000,"Priority":1,"Backend":"s","MaxRetries":3,"Stretch":2.2}}],"Backends":[{{"Name":"s","HealthCheck":"/healthz","MaxConnections":64,"Protocol":"h1","Tls":false,"Guards":true}}]}}"#
     )
 }
 
@@ -134,49 +134,52 @@
     digits.split(',').next().and_then(|digits| digits.parse().ok()).expect("a number")
 }
 
-/// What somebody outside was told: from then on this version, or a later one, is in force.
+/// The versions that any caller has seen in force, by the time of the answer. A read that is sent later must
+/// return the same version or a newer one.
 #[derive(Default)]
-struct Told(Mutex<BTreeMap<Instant, u64>>);
+struct SeenVersions(Mutex<BTreeMap<Instant, u64>>);
 
-impl Told {
-    fn note(&self, version: u64) {
+impl SeenVersions {
+    fn record(&self, version: u64) {
         self.0.lock().expect("no thread failed").insert(Instant::now(), version);
     }
 
     fn newest_before(&self, moment: Instant) -> u64 {
-        let told = self.0.lock().expect("no thread failed");
-        told.range(..moment).map(|(_, version)| *version).max().unwrap_or(0)
+        let seen = self.0.lock().expect("no thread failed");
+        seen.range(..moment).map(|(_, version)| *version).max().unwrap_or(0)
     }
 }
 
 struct Trial {
     addresses: Vec<SocketAddr>,
-    told: Told,
-    readings: AtomicU64,
+    seen_versions: SeenVersions,
+    /// Number of reads that were sent.
+    reads: AtomicU64,
+    /// Number of reads that returned a configuration.
     answered: AtomicU64,
-    is_over: AtomicBool,
+    is_finished: AtomicBool,
 }
 
 impl Trial {
-    /// Reads from any machine until the trial is over.
+    /// Reads the configuration from random machines until the trial is finished.
     fn read(&self, mut rng: Rng) {
-        while !self.is_over.load(Ordering::Relaxed) {
+        while !self.is_finished.load(Ordering::Relaxed) {
             let address = self.addresses[rng.usize(0..MACHINES)];
             let sent = Instant::now();
             let reply = call(address, "GET", "", "");
-            self.readings.fetch_add(1, Ordering::Relaxed);
+            self.reads.fetch_add(1, Ordering::Relaxed);
             let Some(reply) = reply.filter(|reply| reply.status == 200) else { continue };
             let version = version_of(&reply.body);
-            let least = self.told.newest_before(sent);
+            let least = self.seen_versions.newest_before(sent);
             assert!(version >= least, "version {version} is read after version {least} was in force");
-            self.told.note(version);
+            self.seen_versions.record(version);
             self.answered.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Sends an order until it has a clear answer.
-    fn settle(&self, rng: &mut Rng, header: &str, body: &str) -> u16 {
-        let deadline = Instant::now() + PATIENCE;
+    /// Sends a change repeatedly until it gets a clear answer; returns the status.
+    fn send_until_answered(&self, rng: &mut Rng, header: &str, body: &str) -> u16 {
+        let deadline = Instant::now() + PROGRESS_TIMEOUT;
         loop {
             let address = self.addresses[rng.usize(0..MACHINES)];
             match call(address, "PUT", header, body) {
@@ -186,66 +189,72 @@
         }
     }
 
-    /// Changes the configuration until the trial is over, each time by two rivals under one number.
+    /// Changes the configuration until the trial is finished. Each time sends two different configurations
+    /// with the same version concurrently.
     fn change(&self, mut rng: Rng) {
         let mut version = 0;
-        while !self.is_over.load(Ordering::Relaxed) {
+        while !self.is_finished.load(Ordering::Relaxed) {
             let header = format!("If-Match: {version}\r\n");
             let next = version + rng.u64(1..4);
             let rivals = [configuration(next, "one"), configuration(next, "two")];
             let answers: Vec<u16> = std::thread::scope(|scope| {
                 let send = |body: &String, mut rng: Rng| {
                     let (header, body) = (header.clone(), body.clone());
-                    scope.spawn(move || self.settle(&mut rng, &header, &body))
+                    scope.spawn(move || self.send_until_answered(&mut rng, &header, &body))
                 };
                 let sent: Vec<_> = rivals.iter().map(|body| send(body, rng.fork())).collect();
                 sent.into_iter().map(|sent| sent.join().expect("an answer")).collect()
             });
-            self.told.note(next);
+            self.seen_versions.record(next);
             let mut sorted = answers.clone();
             sorted.sort_unstable();
             assert!(sorted[0] == 200 && sorted[1] >= 400, "rivals on {version} got {answers:?}");
             let winner = &rivals[usize::from(answers[1] == 200)];
-            assert_eq!(self.settle(&mut rng, &header, winner), 200, "an order that was taken comes again");
+            assert_eq!(
+                self.send_until_answered(&mut rng, &header, winner),
+                200,
+                "a repeat of the accepted change succeeds"
+            );
             version = next;
         }
     }
 
-    /// Waits until readings have gone on, at least one of them answered.
-    fn wait_for_readings(&self, faults_left: bool) {
-        let deadline = Instant::now() + PATIENCE;
-        let (readings, answered) =
-            (self.readings.load(Ordering::Relaxed), self.answered.load(Ordering::Relaxed));
+    /// Waits until `READS_BETWEEN_FAULTS` more reads have been sent and, unless a fault is present, one was
+    /// answered.
+    fn wait_for_reads(&self, fault_present: bool) {
+        let deadline = Instant::now() + PROGRESS_TIMEOUT;
+        let (reads, answered) = (self.reads.load(Ordering::Relaxed), self.answered.load(Ordering::Relaxed));
         loop {
-            let passed = self.readings.load(Ordering::Relaxed) >= readings + READINGS_BETWEEN;
+            let enough_reads = self.reads.load(Ordering::Relaxed) >= reads + READS_BETWEEN_FAULTS;
             let served = self.answered.load(Ordering::Relaxed) > answered;
-            if passed && (served || faults_left) {
+            if enough_reads && (served || fault_present) {
                 return;
             }
-            assert!(Instant::now() < deadline, "nothing is served any more");
+            assert!(Instant::now() < deadline, "no read is answered any more");
             yield_now();
         }
     }
 }
 
-fn strike(trial: &Trial, machines: &mut [Machine], ips: &[Ipv4Addr], rng: &mut Rng) {
-    let struck = rng.usize(0..MACHINES);
+/// Injects a random fault, ends it, and waits until reads are answered again.
+fn inject_fault(trial: &Trial, machines: &mut [Machine], ips: &[Ipv4Addr], rng: &mut Rng) {
+    let target = rng.usize(0..MACHINES);
     match rng.u8(0..4) {
         0 => {
-            machines[struck].kill();
-            trial.wait_for_readings(true);
-            machines[struck].start(ips, false);
+            machines[target].kill();
+            trial.wait_for_reads(true);
+            machines[target].start(ips, false);
         }
         1 => {
-            machines[struck].signal("-STOP");
-            trial.wait_for_readings(true);
-            machines[struck].signal("-CONT");
+            machines[target].signal("-STOP");
+            trial.wait_for_reads(true);
+            machines[target].signal("-CONT");
         }
         2 => {
-            // One machine is left alone: what it tells must not be of the past.
-            let others: Vec<usize> = (0..MACHINES).filter(|machine| *machine != struck).collect();
+            // Isolates one machine: it must not answer reads with an outdated version.
+            let others: Vec<usize> = (0..MACHINES).filter(|machine| *machine != target).collect();
             others.iter().for_each(|other| machines[*other].signal("-STOP"));
-            trial.wait_for_readings(true);
+            trial.wait_for_reads(true);
             others.iter().for_each(|other| machines[*other].signal("-CONT"));
         }
         _ => {
@@ -253,10 +262,10 @@
             machines.iter_mut().for_each(|machine| machine.start(ips, false));
         }
     }
-    trial.wait_for_readings(false);
+    trial.wait_for_reads(false);
 }
 
-fn play(seed: u64) {
+fn run_trial(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let [second, third] = [fastrand::u8(1..=254), fastrand::u8(1..=254)];
     let ips: Vec<Ipv4Addr> =
@@ -270,10 +279,10 @@
     machines.iter_mut().for_each(|machine| machine.start(&ips, true));
     let trial = Trial {
         addresses: machines.iter().map(Machine::control).collect(),
-        told: Told::default(),
-        readings: AtomicU64::new(0),
+        seen_versions: SeenVersions::default(),
+        reads: AtomicU64::new(0),
         answered: AtomicU64::new(0),
-        is_over: AtomicBool::new(false),
+        is_finished: AtomicBool::new(false),
     };
     std::thread::scope(|scope| {
         let trial = &trial;
@@ -281,23 +290,23 @@
         scope.spawn(move || trial.change(writer));
         readers.into_iter().for_each(|reader| drop(scope.spawn(move || trial.read(reader))));
         let faults = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            trial.wait_for_readings(false);
-            (0..FAULTS).for_each(|_| strike(trial, &mut machines, &ips, &mut rng));
+            trial.wait_for_reads(false);
+            (0..FAULTS).for_each(|_| inject_fault(trial, &mut machines, &ips, &mut rng));
         }));
-        trial.is_over.store(true, Ordering::Relaxed);
+        trial.is_finished.store(true, Ordering::Relaxed);
         if let Err(failure) = faults {
             std::panic::resume_unwind(failure);
         }
     });
-    println!("seed {seed}: {} readings answered", trial.answered.load(Ordering::Relaxed));
+    println!("seed {seed}: {} reads answered", trial.answered.load(Ordering::Relaxed));
 }
 
 #[test]
-fn real_processes_keep_a_linearizable_configuration_on_five_seeds() {
-    (1..=5).for_each(play);
+fn configuration_is_linearizable_under_faults_with_seeds_1_to_5() {
+    (1..=5).for_each(run_trial);
 }
 
 #[test]
-fn real_processes_keep_a_linearizable_configuration_on_five_more_seeds() {
-    (6..=10).for_each(play);
+fn configuration_is_linearizable_under_faults_with_seeds_6_to_10() {
+    (6..=10).for_each(run_trial);
 }
--- a/crates/node/tests/golden_texts.rs
+++ b/crates/node/tests/golden_texts.rs
@@ -1,4 +1,4 @@
-//! What the program prints and what a core process measures has the words that it had: operators and their
+//! The help texts of the program and the names of a core process's metrics do not change: operators and their
 //! tools rely on them.
 
 use gateway_test_support::golden::assert_golden;
@@ -9,29 +9,29 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sprucehatch-node");
 const SETTINGS: &str = "SPRUCEHATCH_CONFIG";
-/// Of its own: no other test uses it.
+/// Loopback address that no other test uses.
 const IP: &str = "127.77.2.9";
 
 fn golden(name: &str, text: &str) {
     assert_golden(env!("CARGO_MANIFEST_DIR"), name, text);
 }
 
-/// What the program prints, and whether it said that all was well.
+/// Runs the program; returns its standard output and whether it succeeded.
 fn printed(arguments: &[&str]) -> (String, bool) {
     let output = Command::new(PROGRAM).args(arguments).env_remove(SETTINGS).output().expect("it runs");
     (String::from_utf8(output.stdout).expect("text"), output.status.success())
 }
 
 #[test]
-fn command_lines_are_described_as_they_were() {
+fn help_texts_match_the_golden_files() {
     for (name, arguments) in [("help.txt", &["--help"][..]), ("ctl_help.txt", &["ctl", "--help"])] {
-        let (text, well) = printed(arguments);
-        assert!(well, "{arguments:?}");
+        let (text, success) = printed(arguments);
+        assert!(success, "{arguments:?}");
         golden(name, &text);
     }
 }
 
-/// A core of one process, ended with the test.
+/// A core of one process, killed when dropped.
 struct Core {
     child: Child,
     folder: PathBuf,
@@ -59,8 +59,8 @@
 
     fn ctl(&self, words: &[&str]) -> String {
         let arguments = [&["ctl"], words, &["--control", &self.control, "--timeout", "60"]].concat();
-        let (text, well) = printed(&arguments);
-        assert!(well, "{words:?}: {text}");
+        let (text, success) = printed(&arguments);
+        assert!(success, "{words:?}: {text}");
         text
     }
 }
@@ -73,14 +73,14 @@
     }
 }
 
-/// Families with their kinds, and samples with their labels; no values.
+/// Compares the families with their kinds and the samples with their labels, without values.
 #[test]
-fn metrics_of_a_core_process_have_the_names_that_they_had() {
+fn metric_names_of_a_core_process_match_the_golden_file() {
     let core = Core::start();
     let configuration = core.folder.join("configuration.json");
     let text = r#"{"Version":3,"Routes":[{"PathPrefix":"/a/","Name":"r1","Host":"h.example","TimeoutMs":3000,"Backend":"s"}],"Backends":[{"Name":"s"}]}"#;
     std::fs::write(&configuration, text).expect("a file");
-    // Once it is taken the process leads.
+    // The process leads once it has accepted the configuration.
     core.ctl(&["config", "put", configuration.to_str().expect("a path in ASCII")]);
     let text = core.ctl(&["metrics"]);
     let mut names = BTreeSet::new();
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as the platform runs it: arguments, settings, exit codes, and the end on SIGTERM.
+//! The program as the platform runs it: arguments, settings, exit codes, log lines, and signals.
 
 use gateway_test_support::{reserved_address, start_process};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,7 +14,7 @@
 const EXIT_USAGE: i32 = 64;
 const EXIT_CONFIGURATION: i32 = 78;
 
-/// Starts a process that holds none of the addresses which other tests reserve.
+/// Starts a process that inherits none of the addresses that other tests reserve.
 fn start(command: &mut Command) -> Child {
     start_process(command).unwrap()
 }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn help_is_printed_and_is_no_error() {
+fn help_is_printed_with_success() {
     let output = program(&["--help"]);
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_command_line_that_is_not_understood_points_to_the_help() {
+fn invalid_command_line_refers_to_the_help() {
     for arguments in
         [&[][..], &["other"], &["data-plane", "control"], &["data-plane", "--log", "loud"], &["--odd"]]
     {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn settings_that_are_missing_or_bad_are_named() {
+fn missing_or_invalid_settings_are_reported() {
     let output = program(&["data-plane"]);
     assert_eq!(output.status.code(), Some(EXIT_CONFIGURATION));
     assert!(error_text(&output).contains(SETTINGS));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_data_plane_serves_until_sigterm_and_ends_well() {
+fn data_plane_serves_until_sigterm_and_exits_with_success() {
     let (front, readiness) = (reserved_address(), reserved_address());
     let text = format!(
         r#"{{"NodeId":"edge-1","Ip":"127.0.0.1","PortRange":[1,1],"SeedNodes":["127.0.0.1:2"],
@@ -81,9 +81,9 @@
     );
     let path = settings_file("serve", &text);
     let mut child = start(Command::new(PROGRAM).arg("data-plane").env(SETTINGS, &path));
-    let answer = ask_when_it_listens(&mut child, readiness, "/v1/readyz");
+    let answer = request_once_listening(&mut child, readiness, "/v1/readyz");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    let answer = ask_when_it_listens(&mut child, front, "/queue/none");
+    let answer = request_once_listening(&mut child, front, "/queue/none");
     assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
 
     let signalled = run(Command::new("kill").arg(child.id().to_string()));
@@ -98,7 +98,7 @@
     path
 }
 
-fn ask_when_it_listens(child: &mut Child, address: SocketAddr, path: &str) -> String {
+fn request_once_listening(child: &mut Child, address: SocketAddr, path: &str) -> String {
     let mut stream = loop {
         if let Ok(stream) = TcpStream::connect(address) {
             break stream;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn commands_on_a_group_are_carried_out_by_the_same_program() {
+fn ctl_commands_are_run_by_the_same_program() {
     let output = program(&["ctl", "--help"]);
     assert!(output.status.success());
     assert!(String::from_utf8_lossy(&output.stdout).contains("job explain ID"));
@@ -129,19 +129,19 @@
     assert!(error_text(&output).contains("--control"));
 }
 
-/// Settings of a control process, with everything that the role needs.
+/// Settings of a control process with everything that the role requires.
 const CONTROL_SETTINGS: &str = r#"{"NodeId":"core-1","Role":"control","Ip":"127.0.0.1","PortRange":[7660,7675],
     "SeedNodes":["127.0.0.1:8146"],"ListenAddrs":{"Control":"127.0.0.1:8146"},"DataDir":"/data",
     "Discovery":"cloud_api","CloudApi":{"Address":"127.0.0.1:8142"},"Commands":"rpc"}"#;
 
 #[test]
-fn settings_are_checked_for_their_role() {
+fn settings_are_checked_for_the_role() {
     let path = settings_file("check-sound", CONTROL_SETTINGS);
     let output = program(&["check-settings", path.to_str().unwrap()]);
     assert!(output.status.success(), "{}", error_text(&output));
     assert!(String::from_utf8_lossy(&output.stdout).contains("valid, checked for control"));
 
-    // All that another role lacks is told at once.
+    // All missing settings of another role are reported together.
     let output = program(&["check-settings", path.to_str().unwrap(), "--role", "data-plane"]);
     assert_eq!(output.status.code(), Some(EXIT_CONFIGURATION));
     let text = error_text(&output);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn configurations_are_checked_with_their_remedies() {
+fn invalid_configurations_are_reported_with_a_remedy() {
     let sound = r#"{"Version":3,"Routes":[{"PathPrefix":"/a/","Name":"r1","Host":"h.example","TimeoutMs":3000,"Backend":"s"}],"Backends":[{"Name":"s"}]}"#;
     let cases = [
         (sound.to_owned(), None),
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn mechanisms_to_be_switched_off_are_known_by_name() {
+fn unknown_mechanism_names_are_rejected_with_the_known_ones() {
     let output = program(&["control", "--without", "copies,telepathy"]);
     assert_eq!(output.status.code(), Some(EXIT_USAGE));
     let text = error_text(&output);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn options_of_other_commands_are_refused() {
+fn options_of_other_commands_are_rejected() {
     for arguments in [
         &["control", "--json"][..],
         &["control", "--log", "info,control=loud"],
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_folder_that_is_missing_or_damaged_is_told() {
+fn inspect_reports_a_missing_or_damaged_folder() {
     let output = program(&["inspect", "/nowhere/data"]);
     assert_eq!(output.status.code(), Some(EXIT_REFUSED));
     assert!(error_text(&output).contains("/nowhere/data"));
@@ -230,7 +230,7 @@
     assert!(String::from_utf8_lossy(&output.stdout).contains("\"Sound\":false"));
 }
 
-/// A core of one process, on an address that no other test uses.
+/// Runs a core of one process on an address that no other test uses.
 #[test]
 fn decisions_are_logged_with_their_fields() {
     let ip = "127.77.1.9";
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn the_demonstration_loses_no_job_when_the_leader_is_killed() {
+fn demonstration_loses_no_job_when_the_leader_is_killed() {
     let output = program(&["demo", "--seconds", "4"]);
     assert!(output.status.success(), "{}", error_text(&output));
     let text = String::from_utf8_lossy(&output.stdout);
@@ -281,19 +281,19 @@
     assert_eq!(output.status.code(), Some(EXIT_USAGE));
 }
 
-/// A process that has begun to read its settings, and gets them when the test writes them.
+/// A process that waits for its settings, which the test writes into a named pipe.
 struct StartingProcess {
     child: Child,
     settings: std::fs::File,
 }
 
-/// Starts a role with a pipe in place of its settings file, and returns once it has opened that pipe.
+/// Starts a role with a named pipe as its settings file, and returns once the process has opened the pipe.
 fn start_without_settings(role: &str, name: &str) -> (StartingProcess, PathBuf) {
     let path = std::env::temp_dir().join(format!("sprucehatch-node-{}-{name}.json", std::process::id()));
     let _ = std::fs::remove_file(&path);
     assert!(run(Command::new("mkfifo").arg(&path)).success());
     let child = start(Command::new(PROGRAM).arg(role).env(SETTINGS, &path));
-    // Opening a pipe for writing returns once the other side has opened it.
+    // Opening a named pipe for writing returns once the other side has opened it for reading.
     let settings = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     (StartingProcess { child, settings }, path)
 }
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_signal_before_the_settings_are_read_ends_no_process() {
+fn hangup_before_the_settings_are_read_does_not_end_the_process() {
     let (front, readiness) = (reserved_address(), reserved_address());
     let text = format!(
         r#"{{"NodeId":"edge-1","Ip":"127.0.0.1","PortRange":[1,1],"SeedNodes":["127.0.0.1:2"],
@@ -313,12 +313,12 @@
     for _ in 0..3 {
         send_signal(&starting.child, "-HUP");
     }
-    // From now on the settings are a file, which the process reads again.
+    // Replaces the named pipe by a regular file, which the process reads again.
     let file = settings_file("early-hup-file", &text);
     std::fs::rename(file, &path).unwrap();
     starting.settings.write_all(text.as_bytes()).unwrap();
     drop(starting.settings);
-    let answer = ask_when_it_listens(&mut starting.child, readiness, "/v1/readyz");
+    let answer = request_once_listening(&mut starting.child, readiness, "/v1/readyz");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     send_signal(&starting.child, "-TERM");
     assert_eq!(starting.child.wait().unwrap().code(), Some(0));
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_core_process_outlasts_a_disk_that_is_full_at_its_start() {
+fn core_process_survives_a_full_disk_at_its_start() {
     let (control, folder) = (reserved_address(), std::env::temp_dir());
     let disk = folder.join(format!("sprucehatch-node-{}-full-disk", std::process::id()));
     let text = format!(
@@ -335,14 +335,14 @@
         port = reserved_address().port(),
     );
     let path = settings_file("full-disk", &text);
-    // Files may not grow, as on a disk without space: writes fail, and the signal for it is ignored.
+    // A file size limit of 0 simulates a full disk: writes fail, and SIGXFSZ is ignored.
     let script = format!("trap '' XFSZ; ulimit -S -f 0; exec {PROGRAM} control --log info");
     let mut child =
         start(Command::new("sh").args(["-c", &script]).env(SETTINGS, &path).stderr(Stdio::piped()));
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
     let mut wait_for = |text: &str| {
         let found = lines.by_ref().map_while(Result::ok).any(|line| line.contains(text));
-        assert!(found, "the program has ended and not said {text:?}");
+        assert!(found, "the program has ended without logging {text:?}");
     };
     wait_for("disk full");
     wait_for("disk full");
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn a_stop_before_the_settings_are_read_is_a_graceful_end() {
+fn sigterm_before_the_settings_are_read_ends_the_process_with_success() {
     let (control, folder) = (reserved_address(), std::env::temp_dir());
     let disk = folder.join(format!("sprucehatch-node-{}-early-stop-disk", std::process::id()));
     let text = format!(
--- a/crates/node/tests/soak/clients.rs
+++ b/crates/node/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients and an operator, each on a thread of its own, and what they were told.
+//! The clients and the operator, each on its own thread, and the record of their calls.
 
 use crate::http::{call_operator_api, Answer, Connection, Failure};
 use fastrand::Rng;
@@ -6,76 +6,77 @@
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What the clients' requests name as host.
+/// `Host` of the clients' requests.
 const HOST: &str = "soak.example";
-/// The queue of the play.
+/// Path prefix of the only queue.
 const PREFIX: &str = "/jobs/";
-/// What a core process tells of itself.
+/// Path of a core process's own status.
 const STATUS_PATH: &str = "/v1/admin/status";
 const ACCEPTED: u16 = 200;
 const UNKNOWN_JOB: u16 = 410;
-/// Answers from here on leave open what became of an order.
-const UNCLEAR: u16 = 500;
-/// A job of two tasks. There are no workers: it waits.
+/// An answer with this status or a higher one does not tell whether a change took effect.
+const FIRST_UNCLEAR_STATUS: u16 = 500;
+/// A job of two tasks. It stays pending because there are no workers.
 const JOB: &str = r#"{"Spec":"soak","Stages":[{"Count":2,"Cpu":250,"MemMb":64,"EstRuntimeMs":200}]}"#;
 
-/// What clients and operator were told.
+/// The results of all calls of the clients and the operator.
 #[derive(Default)]
-pub struct Ledger {
-    /// Answers to clients with a success.
+pub struct CallRecord {
+    /// Number of clients' calls that succeeded.
     pub served: u64,
-    /// Answers to clients that say to come back.
+    /// Number of clients' calls that were rejected.
     pub refused: u64,
-    /// Connections that ended without an answer.
+    /// Number of clients' calls without a complete answer.
     pub cut: u64,
     /// Jobs that were accepted.
     pub accepted: Vec<String>,
-    /// The newest configuration that was acknowledged, and how many were.
+    /// Version of the newest acknowledged configuration.
     pub version: u64,
+    /// Number of acknowledged configuration changes.
     pub changes: u64,
-    /// Answers that ended in the middle: when, and at which edge.
-    pub torn: Vec<(Instant, SocketAddr)>,
-    /// What must not happen.
+    /// Truncated answers: when each ended, and the address of the edge.
+    pub truncated: Vec<(Instant, SocketAddr)>,
+    /// Violations of the checked properties.
     pub violations: Vec<String>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-/// The ledger, as all threads share it.
+/// The call record, shared by all threads.
 #[derive(Default)]
-pub struct Observations {
-    ledger: Mutex<Ledger>,
+pub struct SharedRecord {
+    calls: Mutex<CallRecord>,
     changed: Condvar,
 }
 
-impl Observations {
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger.lock().expect("no thread failed")
+impl SharedRecord {
+    pub fn calls(&self) -> MutexGuard<'_, CallRecord> {
+        self.calls.lock().expect("no thread failed")
     }
 
-    /// Changes the ledger and wakes those who wait for it.
-    fn record(&self, change: impl FnOnce(&mut Ledger)) {
-        change(&mut self.ledger());
+    /// Changes the record and wakes the threads that wait for a change.
+    fn update(&self, change: impl FnOnce(&mut CallRecord)) {
+        change(&mut self.calls());
         self.changed.notify_all();
     }
 
-    /// Waits until a condition holds; false if it does not in time.
-    pub fn wait_until(&self, patience: Duration, condition: impl Fn(&Ledger) -> bool) -> bool {
-        let ledger = self.ledger();
-        let waited = self.changed.wait_timeout_while(ledger, patience, |ledger| !condition(ledger));
+    /// Waits until a condition holds; returns false after the timeout.
+    pub fn wait_until(&self, timeout: Duration, condition: impl Fn(&CallRecord) -> bool) -> bool {
+        let calls = self.calls();
+        let waited = self.changed.wait_timeout_while(calls, timeout, |calls| !condition(calls));
         !waited.expect("no thread failed").1.timed_out()
     }
 
     pub fn finish(&self) {
-        self.record(|ledger| ledger.is_over = true);
+        self.update(|calls| calls.is_finished = true);
     }
 
-    fn is_over(&self) -> bool {
-        self.ledger().is_over
+    fn is_finished(&self) -> bool {
+        self.calls().is_finished
     }
 }
 
-impl Ledger {
-    fn note_answer(&mut self, answer: &Answer, call: &ClientCall) {
+impl CallRecord {
+    fn record_answer(&mut self, answer: &Answer, call: &ClientCall) {
         match (answer.status, call) {
             (ACCEPTED, ClientCall::Submit(job)) => {
                 self.served += 1;
@@ -89,24 +90,25 @@
         }
     }
 
-    fn note_failure(&mut self, failure: &Failure, address: SocketAddr) {
+    fn record_failure(&mut self, failure: &Failure, address: SocketAddr) {
         self.cut += 1;
-        // A killed process may leave half an answer behind; the play counts those that were not killed.
-        if *failure == Failure::Torn {
-            self.torn.push((Instant::now(), address));
+        // A truncated answer is a fault unless the process was killed, which is checked at the end of the
+        // run.
+        if *failure == Failure::Truncated {
+            self.truncated.push((Instant::now(), address));
         }
     }
 }
 
-/// What a client asks.
+/// A call of a client.
 enum ClientCall {
     Submit(String),
     Read(String),
 }
 
 impl ClientCall {
-    /// A question for a job that was accepted, or a new job.
-    fn draw(own_jobs: &[String], rng: &mut Rng) -> Self {
+    /// Randomly chooses between reading the newest of `own_jobs` and submitting a new job.
+    fn random(own_jobs: &[String], rng: &mut Rng) -> Self {
         match own_jobs.last() {
             Some(job) if rng.u8(0..3) > 0 => ClientCall::Read(job.clone()),
             _ => ClientCall::Submit(format!("{:016x}", rng.u64(..))),
@@ -122,26 +124,26 @@
     }
 }
 
-/// Uses connections to the edges, each until the other side closes it.
-pub fn run_client(observations: &Observations, edges: &[SocketAddr], mut rng: Rng) {
+/// Makes calls to random edges until the run is finished. Uses each connection until the edge closes it.
+pub fn run_client(record: &SharedRecord, edges: &[SocketAddr], mut rng: Rng) {
     let mut connection: Option<Connection> = None;
     let mut own_jobs: Vec<String> = Vec::new();
-    while !observations.is_over() {
+    while !record.is_finished() {
         let Some(open) = &mut connection else {
             connection = Connection::open(edges[rng.usize(0..edges.len())]).ok();
             continue;
         };
-        let call = ClientCall::draw(&own_jobs, &mut rng);
+        let call = ClientCall::random(&own_jobs, &mut rng);
         let is_open = match call.send(open) {
             Ok(answer) => {
-                observations.record(|ledger| ledger.note_answer(&answer, &call));
+                record.update(|calls| calls.record_answer(&answer, &call));
                 if let (ACCEPTED, ClientCall::Submit(job)) = (answer.status, call) {
                     own_jobs.push(job);
                 }
                 !answer.closes
             }
             Err(failure) => {
-                observations.record(|ledger| ledger.note_failure(&failure, open.address()));
+                record.update(|calls| calls.record_failure(&failure, open.address()));
                 false
             }
         };
@@ -158,26 +160,27 @@
     )
 }
 
-/// Changes the configuration, each time until the change is acknowledged.
-pub fn run_operator(observations: &Observations, controls: &[SocketAddr], mut rng: Rng) {
+/// Changes the configuration repeatedly until the run is finished; retries each change until it is
+/// acknowledged.
+pub fn run_operator(record: &SharedRecord, controls: &[SocketAddr], mut rng: Rng) {
     let mut version = 0;
-    while !observations.is_over() {
+    while !record.is_finished() {
         let next = version + rng.u64(1..4);
         let (head, body) = (format!("If-Match: {version}\r\n"), configuration(next));
         let mut status = None;
-        while status.is_none() && !observations.is_over() {
+        while status.is_none() && !record.is_finished() {
             let address = controls[rng.usize(0..controls.len())];
             let answer = call_operator_api(address, "PUT", &head, &body);
-            status = answer.map(|answer| answer.status).filter(|status| *status < UNCLEAR);
+            status = answer.map(|answer| answer.status).filter(|status| *status < FIRST_UNCLEAR_STATUS);
         }
         match status {
-            Some(ACCEPTED) => observations.record(|ledger| {
-                ledger.version = next;
-                ledger.changes += 1;
+            Some(ACCEPTED) => record.update(|calls| {
+                calls.version = next;
+                calls.changes += 1;
             }),
-            Some(status) => observations.record(|ledger| {
-                ledger.violations.push(format!("change {next} on {version} was refused with {status}"));
-                ledger.is_over = true;
+            Some(status) => record.update(|calls| {
+                calls.violations.push(format!("change {next} on {version} was rejected with {status}"));
+                calls.is_finished = true;
             }),
             None => {}
         }
@@ -185,15 +188,15 @@
     }
 }
 
-/// What a core process tells of its place in the group.
+/// The role of a core process in the group, as the process reports it.
 pub struct MemberStatus {
-    /// It leads or follows as a voter, under its own identity.
+    /// Whether it is a voting member: the leader or a follower.
     pub is_voter: bool,
-    /// Members that it knows.
+    /// Number of members that it knows.
     pub members: usize,
 }
 
-/// Asks a core process for its place in the group.
+/// Asks a core process for its role in the group.
 pub fn read_member_status(control: SocketAddr) -> Option<MemberStatus> {
     let mut connection = Connection::open(control).ok()?;
     let answer = connection.call("GET", STATUS_PATH, &format!("Host: {control}\r\n"), "").ok()?;
@@ -202,9 +205,9 @@
     Some(MemberStatus { is_voter: has_role("Leader") || has_role("Follower"), members })
 }
 
-/// The version that is read back, asked until somebody answers.
-pub fn read_version(controls: &[SocketAddr], patience: Duration) -> Option<u64> {
-    let deadline = Instant::now() + patience;
+/// Reads the version of the configuration, retrying at all addresses until one answers.
+pub fn read_version(controls: &[SocketAddr], timeout: Duration) -> Option<u64> {
+    let deadline = Instant::now() + timeout;
     for address in controls.iter().cycle() {
         if Instant::now() > deadline {
             return None;
@@ -218,9 +221,9 @@
     None
 }
 
-/// Whether an edge knows a job; `None` if it does not say so in time.
-pub fn knows_job(edge: SocketAddr, job: &str, patience: Duration) -> Option<bool> {
-    let deadline = Instant::now() + patience;
+/// Whether an edge knows a job; `None` without a clear answer in time.
+pub fn knows_job(edge: SocketAddr, job: &str, timeout: Duration) -> Option<bool> {
+    let deadline = Instant::now() + timeout;
     while Instant::now() < deadline {
         let Ok(mut connection) = Connection::open(edge) else { continue };
         match ClientCall::Read(job.to_owned()).send(&mut connection) {
--- a/crates/node/tests/soak/http.rs
+++ b/crates/node/tests/soak/http.rs
@@ -1,36 +1,36 @@
-//! HTTP/1.1 on connections that the client keeps.
+//! An HTTP/1.1 client on persistent connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The longest wait for a connection or for the next bytes of an answer.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Timeout for opening a connection, and for the next bytes of an answer.
+const IO_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// An answer.
+/// A parsed HTTP response.
 pub struct Answer {
     pub status: u16,
     pub body: String,
-    /// Where a redirect leads.
+    /// Address in the `Location` header of a redirect.
     pub location: Option<SocketAddr>,
-    /// Whether the server closes the connection after it.
+    /// Whether the server closes the connection after this answer.
     pub closes: bool,
 }
 
-/// Why there is no answer.
+/// Why a call got no answer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The connection cannot be opened.
     NotConnected,
     /// The connection ended before the first byte of an answer.
-    Cut,
+    ConnectionLost,
     /// The connection ended in the middle of an answer.
-    Torn,
-    /// Nothing came in time.
-    Silent,
+    Truncated,
+    /// No bytes were received in time.
+    Timeout,
 }
 
-/// A connection that stays open until the other side closes it.
+/// A persistent connection, used until the server closes it.
 pub struct Connection {
     address: SocketAddr,
     stream: TcpStream,
@@ -38,17 +38,17 @@
 
 impl Connection {
     pub fn open(address: SocketAddr) -> Result<Self, Failure> {
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(|_| Failure::NotConnected)?;
-        stream.set_read_timeout(Some(PATIENCE)).map_err(|_| Failure::NotConnected)?;
+        let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT).map_err(|_| Failure::NotConnected)?;
+        stream.set_read_timeout(Some(IO_TIMEOUT)).map_err(|_| Failure::NotConnected)?;
         Ok(Connection { address, stream })
     }
 
-    /// Makes a call; `head` holds further lines of the request's head.
+    /// Sends a request and reads the answer; `head` holds additional header lines.
     pub fn call(&mut self, method: &str, path: &str, head: &str, body: &str) -> Result<Answer, Failure> {
         let length = body.len();
         let request =
             format!("{method} {path} HTTP/1.1\r\n{head}Content-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}");
-        self.stream.write_all(request.as_bytes()).map_err(|_| Failure::Cut)?;
+        self.stream.write_all(request.as_bytes()).map_err(|_| Failure::ConnectionLost)?;
         let mut received = Vec::new();
         loop {
             if let Some(answer) = parse(&received) {
@@ -56,13 +56,19 @@
             }
             let mut bytes = [0; 4_096];
             match self.stream.read(&mut bytes) {
-                Ok(0) => return Err(if received.is_empty() { Failure::Cut } else { Failure::Torn }),
+                Ok(0) => {
+                    return Err(if received.is_empty() {
+                        Failure::ConnectionLost
+                    } else {
+                        Failure::Truncated
+                    })
+                }
                 Ok(count) => received.extend_from_slice(&bytes[..count]),
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return Err(Failure::Silent);
+                    return Err(Failure::Timeout);
                 }
-                Err(_) if received.is_empty() => return Err(Failure::Cut),
-                Err(_) => return Err(Failure::Torn),
+                Err(_) if received.is_empty() => return Err(Failure::ConnectionLost),
+                Err(_) => return Err(Failure::Truncated),
             }
         }
     }
@@ -72,7 +78,7 @@
     }
 }
 
-/// The answer in these bytes, once it is complete.
+/// Parses an answer; none while it is incomplete.
 fn parse(bytes: &[u8]) -> Option<Answer> {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
@@ -88,7 +94,7 @@
     })
 }
 
-/// Makes one call to the operator's API and follows redirects.
+/// Makes one call to the operator's configuration API and follows up to two redirects.
 pub fn call_operator_api(address: SocketAddr, method: &str, head: &str, body: &str) -> Option<Answer> {
     let mut address = address;
     for _ in 0..3 {
--- a/crates/node/tests/soak/site.rs
+++ b/crates/node/tests/soak/site.rs
@@ -1,4 +1,4 @@
-//! The machines of a play: addresses, settings, disks, and their processes.
+//! The machines of a soak run: addresses, settings, disks and processes.
 
 use crate::process::{Process, SignalName};
 use std::fs;
@@ -14,34 +14,35 @@
 const SEEDS: usize = 3;
 /// The last byte of the first edge's address.
 const FIRST_EDGE: usize = 101;
-/// Memory that a process may use, in MB.
+/// Memory limit of a process, in MB.
 pub const MEMORY_LIMIT_MB: u64 = 160;
 
-/// What a machine runs.
+/// The role that a machine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     Control,
     DataPlane,
 }
 
-/// A machine, whose process is started again whenever it has ended.
+/// A simulated machine: a loopback address, a disk folder, and a process that is restarted after it has
+/// ended.
 pub struct Machine {
     pub role: Role,
     pub name: String,
     pub ip: Ipv4Addr,
     pub process: Option<Process>,
-    /// When its process was killed.
+    /// The times at which its process was killed.
     pub kills: Vec<Instant>,
     has_started: bool,
 }
 
-/// All machines of a play.
+/// All machines of a soak run.
 pub struct Site {
     folder: PathBuf,
     pub machines: Vec<Machine>,
-    /// Core machines, which come first.
+    /// Number of core machines, which come first in `machines`.
     pub cores: usize,
-    /// The first of the core machines that are seeds.
+    /// Number of the first core machine that is a seed.
     first_seed: usize,
 }
 
@@ -64,7 +65,7 @@
         Site { folder, machines, cores, first_seed: 0 }
     }
 
-    /// Disks that may be lost at one time.
+    /// Number of disks that may be lost at the same time.
     pub fn tolerated_losses(&self) -> usize {
         (self.cores - 1) / 2
     }
@@ -77,17 +78,17 @@
         (0..self.cores).map(|machine| self.control(machine)).collect()
     }
 
-    pub fn fronts(&self) -> Vec<SocketAddr> {
+    pub fn client_addresses(&self) -> Vec<SocketAddr> {
         self.machines[self.cores..].iter().map(|machine| (machine.ip, FRONT_PORT).into()).collect()
     }
 
-    /// Other core machines are the seeds from now on, in all settings files.
-    pub fn turn_seeds_over(&mut self) {
+    /// Makes other core machines the seeds, in all settings files.
+    pub fn rotate_seeds(&mut self) {
         self.first_seed = (self.first_seed + 1) % self.cores;
         (0..self.machines.len()).for_each(|machine| self.write_settings(machine));
     }
 
-    /// Starts the process of a machine, unless it runs.
+    /// Starts the process of a machine unless it is running.
     pub fn start(&mut self, machine: usize) {
         if self.machines[machine].process.is_some() {
             return;
@@ -116,23 +117,23 @@
     pub fn kill(&mut self, machine: usize) {
         let machine = &mut self.machines[machine];
         machine.kills.push(Instant::now());
-        // Dropped, it is killed.
+        // Dropping the process kills it.
         machine.process = None;
     }
 
-    /// Takes all files off the disk of a core machine, whose process is killed.
+    /// Kills the process of a core machine and removes all files from its disk.
     pub fn lose_disk(&mut self, machine: usize) {
         self.kill(machine);
         let _ = fs::remove_dir_all(self.file(machine, "disk"));
     }
 
-    /// Takes away processes that have ended. Those that ended by themselves are named.
+    /// Removes the processes that have ended; returns a description of each that was not stopped or failed.
     pub fn reap(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
         for machine in &mut self.machines {
             let Some(process) = &mut machine.process else { continue };
             let Some(status) = process.ended() else { continue };
-            if !process.is_asked_to_stop() || !status.success() {
+            if !process.is_stop_requested() || !status.success() {
                 faults.push(format!(
                     "{} ended by itself with {status}\n{}",
                     machine.name,
@@ -170,7 +171,7 @@
             !has_started,
             self.tolerated_losses(),
         );
-        // As a platform does: whole or not at all.
+        // Replaced atomically, as a platform does.
         let path = self.file(machine, "json");
         let new = path.with_extension("new");
         fs::write(&new, text).and_then(|()| fs::rename(&new, &path)).expect("a settings file");
