--- a/crates/configuration/src/fields.rs
+++ b/crates/configuration/src/fields.rs
@@ -15,7 +15,8 @@
 const TEXTS: &str = "a list of texts";
 const OBJECT: &str = "an object";
 
-/// The fields of an object at a location in a document. A field that is null counts as missing.
+/// The fields of an object, and its location in the document for errors. A field that is null counts as
+/// missing.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a> {
     object: &'a HashMap<String, JsonValue>,
@@ -23,7 +24,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of `value`, which must be an object.
+    /// Returns the fields of `value`; an error if `value` is not an object.
     pub(crate) fn of(value: &'a JsonValue, location: Location) -> Result<Self, JsonError> {
         match value {
             JsonValue::Object(object) => Ok(Fields { object, location }),
@@ -31,17 +32,17 @@
         }
     }
 
-    /// Where in the document the object is.
+    /// The location of the object in the document.
     pub(crate) fn location(&self) -> Location {
         self.location
     }
 
-    /// All fields, in no order.
+    /// All fields, in arbitrary order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&'a str, &'a JsonValue)> {
         self.object.iter().map(|(name, value)| (name.as_str(), value))
     }
 
-    /// The value of a field that is there and not null.
+    /// The value of a field, unless it is missing or null.
     pub(crate) fn value(&self, field: &'static str) -> Option<&'a JsonValue> {
         self.object.get(field).filter(|value| !matches!(value, JsonValue::Null))
     }
@@ -59,12 +60,12 @@
         converted.map(Some).ok_or(JsonError::WrongType(self.location, field, expected))
     }
 
-    /// The error that says that `field` is missing.
+    /// The error for a missing `field`.
     pub(crate) fn missing(&self, field: &'static str) -> JsonError {
         JsonError::Missing(self.location, field)
     }
 
-    /// The error that says that `field` has another type than `expected`.
+    /// The error for a `field` whose value is not `expected`.
     pub(crate) fn wrong_type(&self, field: &'static str, expected: &'static str) -> JsonError {
         JsonError::WrongType(self.location, field, expected)
     }
@@ -98,12 +99,12 @@
         self.typed(field, NUMBER, as_number)
     }
 
-    /// A number rounded down to a whole one: for values measured elsewhere, which need not be whole.
+    /// A number rounded down to an integer, for measured values, which need not be integers.
     pub(crate) fn rounded_down(&self, field: &'static str) -> Result<Option<u64>, JsonError> {
         self.typed(field, NUMBER, as_rounded_down)
     }
 
-    /// A flag; false if it is missing.
+    /// A boolean; false if the field is missing.
     pub(crate) fn flag(&self, field: &'static str) -> Result<bool, JsonError> {
         let flag = self.typed(field, FLAG, |value| match value {
             JsonValue::Boolean(flag) => Some(*flag),
@@ -123,14 +124,14 @@
         self.list(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// A list of texts; empty if it is missing.
+    /// A list of strings; empty if the field is missing.
     pub(crate) fn texts(&self, field: &'static str) -> Result<Vec<String>, JsonError> {
         let list = self.list(field)?.unwrap_or_default();
         let texts = list.iter().map(|entry| as_text(entry).map(str::to_owned)).collect::<Option<Vec<_>>>();
         texts.ok_or_else(|| self.wrong_type(field, TEXTS))
     }
 
-    /// The fields of a nested object.
+    /// The fields of a nested object; none if the field is missing.
     pub(crate) fn section(&self, field: &'static str) -> Result<Option<Fields<'a>>, JsonError> {
         self.typed(field, OBJECT, |value| match value {
             JsonValue::Object(object) => Some(Fields { object, location: Location::section(field) }),
--- a/crates/configuration/src/instances.rs
+++ b/crates/configuration/src/instances.rs
@@ -1,4 +1,4 @@
-//! Pages of the platform's list of instances.
+//! Reads pages of the platform's list of instances.
 
 use quick_error::quick_error;
 use tinyjson::JsonValue;
@@ -13,69 +13,69 @@
     /// Why a page cannot be read.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InstancesError {
-        /// The page is no list of instances.
+        /// The page is not a list of instances.
         Json(error: JsonError) {
-            from()
-            display("the platform's list of instances cannot be read ({error}): keep the last list and ask again")
+        from()
+        display("cannot read the platform's list of instances ({error}): keep the previous list and retry")
         }
     }
 }
 
-/// An amount of each resource that a worker has, or has left.
+/// The amounts of a worker's resources, either in total or available.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerResources {
     /// Thousandths of a core.
     pub cpu: u64,
     /// Megabytes of memory.
     pub mem_mb: u64,
-    /// Whole GPUs.
+    /// Number of GPUs.
     pub gpu: u64,
 }
 
-/// One incarnation of a worker as the platform lists it.
+/// One incarnation of a worker as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Identifier of the incarnation: another one after each restart.
+    /// Identifier of the incarnation; changes with each restart.
     pub id: String,
-    /// Name of the service whose tasks it runs.
+    /// Name of the service whose tasks the worker runs.
     pub service: String,
     /// `ip:port`.
     pub address: String,
-    /// The zone it runs in.
+    /// Zone of the worker.
     pub zone: String,
     /// Version of its software.
     pub version: String,
-    /// Slots for requests.
+    /// Number of slots for requests.
     pub capacity: u64,
-    /// It is draining. A state that is not known counts as this, so that nothing is started there.
+    /// Whether the worker is draining. An unknown state counts as draining, so that nothing is started there.
     pub draining: bool,
-    /// How much longer it is warming up, in milliseconds.
+    /// Remaining warm-up time in milliseconds.
     pub warmup_left_ms: u64,
-    /// What it has left for tasks.
+    /// Resources available for tasks.
     pub available: WorkerResources,
-    /// Its kind and its rack.
+    /// Labels of the worker, among them its kind and its rack.
     pub labels: Vec<String>,
-    /// The least time that is left of a drain, in milliseconds.
+    /// Minimum remaining time of a drain, in milliseconds.
     pub remaining_ms: Option<u64>,
 }
 
 /// One page of the list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct InstancePage {
-    /// The entries that could be read.
+    /// The valid entries.
     pub instances: Vec<Instance>,
-    /// Token of the next page; none on the last.
+    /// Token of the next page; none on the last page.
     pub next_token: Option<String>,
-    /// Entries that were left out since they could not be read. While there are any, absence of an instance
-    /// from the list does not show that it is gone.
+    /// Number of invalid entries, which are left out. If there are any, the absence of an instance from the
+    /// list does not mean that the instance is gone.
     pub unreadable: usize,
 }
 
-/// Reads a page. An entry that cannot be read is left out and counted; it does not hide the others.
+/// Parses a page. Invalid entries are left out and counted; they do not hide the valid ones.
 ///
 /// # Errors
 ///
-/// If the body is not JSON, has no list of instances, or its token is not a text.
+/// If the body is not valid JSON, has no list of instances, or its token is not a string.
 pub fn read(body: &[u8]) -> Result<InstancePage, InstancesError> {
     let document = parse_bytes(body)?;
     let fields = Fields::of(&document, Location::DOCUMENT)?;
--- a/crates/configuration/src/job_body.rs
+++ b/crates/configuration/src/job_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of jobs as clients submit them.
+//! Reads the bodies of jobs that clients submit.
 
 use messages::job::{JobSpec, Stage};
 use tinyjson::JsonValue;
@@ -7,15 +7,15 @@
 use crate::job_error::JobError;
 use crate::json::{as_small_integer, as_text, parse_bytes, JsonError, Location, MAX_INTEGER};
 
-pub use crate::job_limits::{MAX_RESOURCE, MAX_SPEC_CHARS, MAX_STEPS, MAX_TASKS, MAX_TIMES};
+pub use crate::job_limits::{MAX_REPEAT, MAX_RESOURCE, MAX_SPEC_CHARS, MAX_STEPS, MAX_TASKS};
 
 const STAGES: &str = "Stages";
 
-/// Reads and checks the body of a job.
+/// Parses and validates the body of a job.
 ///
 /// # Errors
 ///
-/// If the body cannot be read, or the job breaks a rule of the interface.
+/// If the body is not valid JSON, or the job violates a rule of the API.
 pub fn read(body: &[u8]) -> Result<JobSpec, JobError> {
     let document = parse_bytes(body)?;
     let fields = Fields::of(&document, Location::DOCUMENT)?;
@@ -27,7 +27,7 @@
         interval_ms: fields.integer("IntervalMs")?.unwrap_or(0),
         repeat: fields.small_integer("Repeat")?.unwrap_or(0),
     };
-    check_times(&job)?;
+    check_schedule(&job)?;
     Ok(job)
 }
 
@@ -82,8 +82,8 @@
         checkpoints: fields.flag("Checkpoints")?,
         gang: fields.flag("Gang")?,
         rack_local: fields.flag("RackLocal")?,
-        constraint: one_text(&fields, "Constraints")?,
-        affinity: one_text(&fields, "Affinity")?,
+        constraint: single_text(&fields, "Constraints")?,
+        affinity: single_text(&fields, "Affinity")?,
         anti_affinity: fields.small_integer("AntiAffinity")?.unwrap_or(0),
         speculative: fields.flag("Speculative")?,
         long_running: fields.flag("LongRunning")?,
@@ -93,12 +93,12 @@
 fn resource(fields: &Fields<'_>, step: usize, field: &'static str) -> Result<u64, JobError> {
     let amount = fields.integer(field)?.unwrap_or(0);
     if amount > MAX_RESOURCE {
-        return Err(JobError::TooLarge(step, field));
+        return Err(JobError::ResourceTooLarge(step, field));
     }
     Ok(amount)
 }
 
-/// The numbers of earlier steps, rising, each once.
+/// Reads the numbers of the steps that a step depends on; returns them sorted and without duplicates.
 fn read_dependencies(fields: &Fields<'_>, step: usize) -> Result<Vec<u32>, JobError> {
     const FIELD: &str = "DependsOn";
     let list = fields.list(FIELD)?.unwrap_or_default();
@@ -108,7 +108,7 @@
             return Err(fields.wrong_type(FIELD, "a list of whole numbers").into());
         };
         if on as usize >= step {
-            return Err(JobError::NotEarlier(step, on));
+            return Err(JobError::DependencyNotEarlier(step, on));
         }
         dependencies.push(on);
     }
@@ -117,8 +117,8 @@
     Ok(dependencies)
 }
 
-/// A field that holds one text, or a list of at most one; empty if there is none.
-fn one_text(fields: &Fields<'_>, field: &'static str) -> Result<String, JsonError> {
+/// Reads a field that holds one string, or a list of at most one; returns an empty string if there is none.
+fn single_text(fields: &Fields<'_>, field: &'static str) -> Result<String, JsonError> {
     let text = match fields.value(field) {
         None => Some(""),
         Some(JsonValue::Array(list)) => match list.as_slice() {
@@ -132,14 +132,16 @@
     Ok(text.to_owned())
 }
 
-fn check_times(job: &JobSpec) -> Result<(), JobError> {
-    if job.repeat > MAX_TIMES {
-        return Err(JobError::TooManyTimes(job.repeat));
+/// Checks the number of occurrences, and that the last one is due at a time that JSON numbers represent
+/// exactly.
+fn check_schedule(job: &JobSpec) -> Result<(), JobError> {
+    if job.repeat > MAX_REPEAT {
+        return Err(JobError::RepeatTooLarge(job.repeat));
     }
     let span_ms = job.interval_ms.checked_mul(u64::from(job.repeat));
     let last_due_ms = span_ms.and_then(|span| span.checked_add(job.start_at_ms));
     match last_due_ms {
         Some(due) if due <= MAX_INTEGER => Ok(()),
-        _ => Err(JobError::TooLate),
+        _ => Err(JobError::LastOccurrenceTooLate),
     }
 }
--- a/crates/configuration/src/job_error.rs
+++ b/crates/configuration/src/job_error.rs
@@ -1,24 +1,24 @@
-//! Why a job is not accepted.
+//! Errors in job bodies and job IDs.
 
 use quick_error::quick_error;
 
-use crate::job_limits::{MAX_RESOURCE, MAX_SPEC_CHARS, MAX_STEPS, MAX_TASKS, MAX_TIMES};
+use crate::job_limits::{MAX_REPEAT, MAX_RESOURCE, MAX_SPEC_CHARS, MAX_STEPS, MAX_TASKS};
 use crate::json::JsonError;
 
 quick_error! {
-    /// Why a job is not accepted. The number of a step counts from 0.
+    /// Why a job is rejected. Step numbers count from 0.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum JobError {
-        /// The body, or a value in it, cannot be read.
+        /// The body is not valid JSON, or a value in it has the wrong type.
         Json(error: JsonError) {
             from()
             display("the job cannot be read: {error}")
         }
-        /// The path does not end with an identity.
+        /// The path does not end with a valid job ID.
         BadId {
             display("a job's ID must be 16 hex digits in lower case: choose another one")
         }
-        /// `Spec` is over `MAX_SPEC_CHARS`.
+        /// `Spec` is longer than `MAX_SPEC_CHARS`.
         SpecTooLong(chars: usize) {
             display("Spec has {chars} characters, at most {MAX_SPEC_CHARS} are taken: shorten it")
         }
@@ -38,20 +38,20 @@
         TooManyTasks(tasks: u64) {
             display("the job has {tasks} tasks or more, at most {MAX_TASKS} are taken: split it into several jobs")
         }
-        /// A step depends on itself or on a later one.
-        NotEarlier(step: usize, on: u32) {
+        /// A step depends on itself or on a later step.
+        DependencyNotEarlier(step: usize, on: u32) {
             display("Stages[{step}] depends on step {on}: DependsOn may name earlier steps only, counted from 0")
         }
-        /// A task asks for more than `MAX_RESOURCE` of something.
-        TooLarge(step: usize, field: &'static str) {
+        /// A task requests more than `MAX_RESOURCE` of a resource.
+        ResourceTooLarge(step: usize, field: &'static str) {
             display("{field} of Stages[{step}] is over {MAX_RESOURCE}, more than any worker has: ask for less")
         }
-        /// `Repeat` is over `MAX_TIMES`.
-        TooManyTimes(times: u32) {
-            display("Repeat is {times}, at most {MAX_TIMES} is taken: hand the job in anew for the rest")
+        /// `Repeat` is greater than `MAX_REPEAT`.
+        RepeatTooLarge(repeat: u32) {
+        display("Repeat is {repeat}, at most {MAX_REPEAT} is taken: hand the job in anew for the rest")
         }
-        /// The last time falls due beyond what the clock can hold.
-        TooLate {
+        /// The last occurrence is due at a time beyond 2^53 ms.
+        LastOccurrenceTooLate {
             display("the last of the job's times falls due beyond 2^53 ms: lower StartAtMs, IntervalMs or Repeat")
         }
     }
--- a/crates/configuration/src/job_id.rs
+++ b/crates/configuration/src/job_id.rs
@@ -1,12 +1,12 @@
-//! Identities of jobs: 16 hex digits, chosen by the client.
+//! Job IDs: 16 hex digits, chosen by the client.
 
 use crate::job_error::JobError;
 
-/// How many hex digits an identity has.
+/// Number of hex digits in a job ID.
 pub const JOB_ID_DIGITS: usize = 16;
 
-/// Reads an identity. Its hex digits must be lower case: workers are told of a task by the client's own text,
-/// which `format` could otherwise not reproduce.
+/// Parses a job ID. The hex digits must be in lower case: workers receive the ID exactly as the client wrote
+/// it, and `format` could not reproduce upper case.
 ///
 /// # Errors
 ///
@@ -18,7 +18,7 @@
     u64::from_str_radix(text, 16).map_err(|_| JobError::BadId)
 }
 
-/// The text of an identity, as `parse` reads it.
+/// Formats a job ID as `parse` reads it.
 pub fn format(id: u64) -> String {
     format!("{id:016x}")
 }
--- a/crates/configuration/src/json.rs
+++ b/crates/configuration/src/json.rs
@@ -1,26 +1,26 @@
-//! Parsing of JSON documents with a bound on nesting, and the errors of reading values out of them.
+//! Parses JSON documents with a limit on nesting, and converts their values.
 
 use std::fmt;
 
 use quick_error::quick_error;
 use tinyjson::{JsonParseError, JsonValue};
 
-/// The deepest nesting of arrays and objects that is read. The parser recurses, so that deeper input could
-/// exhaust the stack; every document of the system's interfaces nests at most five levels.
+/// Maximum nesting of arrays and objects. The parser is recursive, so that deeper input could exhaust the
+/// stack. Valid documents of the system's APIs nest at most five levels.
 pub const MAX_NESTING: usize = 32;
 
-/// The most characters of the parser's message in an error: it may quote the document.
+/// Maximum length of the parser's message in an error, in characters. The message may quote the document.
 const MAX_REASON_CHARS: usize = 200;
 
-/// The largest integer up to which every whole number is exact as a 64-bit float.
+/// The integer up to which all integers are exact as 64-bit floats.
 pub(crate) const MAX_INTEGER: u64 = 1 << 53;
 
-/// Where in a document a value is: a section, and the number of the entry if the section is a list.
+/// The location of a value in a document: a section, and the number of the entry if the section is a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Location {
     /// Name of the field that holds the section.
     pub section: &'static str,
-    /// Number of the entry, counted from 0.
+    /// Number of the list entry, counted from 0.
     pub entry: Option<usize>,
 }
 
@@ -49,7 +49,7 @@
 }
 
 quick_error! {
-    /// Why a document, or a value in it, cannot be read.
+    /// Why a document is not valid JSON, or a value in it is missing or has the wrong type.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum JsonError {
         /// The bytes are not UTF-8.
@@ -68,20 +68,20 @@
         Missing(location: Location, field: &'static str) {
             display("{location} lacks the field {field}: add it")
         }
-        /// A value has another type than the one expected.
+        /// A value has another type than expected.
         WrongType(location: Location, field: &'static str, expected: &'static str) {
             display("{field} of {location} must be {expected}: change its value")
         }
     }
 }
 
-/// Parses all of `bytes` as one JSON document.
+/// Parses `bytes` as one complete JSON document.
 pub(crate) fn parse_bytes(bytes: &[u8]) -> Result<JsonValue, JsonError> {
     let text = std::str::from_utf8(bytes).map_err(|_| JsonError::NotUtf8)?;
     parse(text)
 }
 
-/// Parses all of `text` as one JSON document.
+/// Parses `text` as one complete JSON document.
 pub(crate) fn parse(text: &str) -> Result<JsonValue, JsonError> {
     if nesting(text.as_bytes()) > MAX_NESTING {
         return Err(JsonError::TooDeep);
@@ -94,8 +94,9 @@
     JsonError::Malformed(reason.chars().take(MAX_REASON_CHARS).collect())
 }
 
-/// The deepest nesting of arrays and objects, brackets within strings left out. At least what the parser
-/// reaches: both count a bracket outside a string alike up to the first error, where the parser stops.
+/// Returns the maximum nesting of arrays and objects, ignoring brackets within strings. The result is at
+/// least the depth that the parser reaches: both count brackets in the same way up to the first error, where
+/// the parser stops.
 fn nesting(bytes: &[u8]) -> usize {
     let mut depth = 0usize;
     let mut deepest = 0usize;
@@ -124,7 +125,7 @@
     deepest
 }
 
-/// The value as a whole number from 0 to `MAX_INTEGER`; a float with an integral value is one.
+/// The value as an integer from 0 to `MAX_INTEGER`; a float without a fraction counts as an integer.
 pub(crate) fn as_integer(value: &JsonValue) -> Option<u64> {
     let number = as_number(value)?;
     if number.fract() != 0.0 || number > MAX_INTEGER as f64 {
@@ -133,12 +134,12 @@
     Some(number as u64)
 }
 
-/// The value as a whole number that fits 32 bits.
+/// The value as an integer that fits into 32 bits.
 pub(crate) fn as_small_integer(value: &JsonValue) -> Option<u32> {
     u32::try_from(as_integer(value)?).ok()
 }
 
-/// The value as a finite number that is not negative.
+/// The value as a finite, non-negative number.
 pub(crate) fn as_number(value: &JsonValue) -> Option<f64> {
     match value {
         JsonValue::Number(number) if number.is_finite() && *number >= 0.0 => Some(*number),
@@ -146,12 +147,12 @@
     }
 }
 
-/// The value as a number that is not negative, rounded down to a whole one of at most `MAX_INTEGER`.
+/// The value as a non-negative number, rounded down to an integer of at most `MAX_INTEGER`.
 pub(crate) fn as_rounded_down(value: &JsonValue) -> Option<u64> {
     as_number(value).map(|number| number.min(MAX_INTEGER as f64) as u64)
 }
 
-/// The value as a text.
+/// The value as a string.
 pub(crate) fn as_text(value: &JsonValue) -> Option<&str> {
     match value {
         JsonValue::String(text) => Some(text),
--- a/crates/configuration/src/json_text.rs
+++ b/crates/configuration/src/json_text.rs
@@ -1,9 +1,9 @@
-//! Writing of JSON text by hand, for the bodies that are sent often.
+//! Writes JSON text directly into a string, for bodies that are sent frequently.
 
 use std::fmt::Write;
 
-/// Appends `text` as a JSON string, quotes included. Everything but quotes, backslashes and control
-/// characters stands as it is, so that a reader gets exactly the same text back.
+/// Appends `text` as a JSON string, including the quotes. Escapes only quotes, backslashes and control
+/// characters, so that a reader gets exactly the same text back.
 pub(crate) fn push_string(out: &mut String, text: &str) {
     out.push('"');
     let mut copied = 0;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Appends a whole number.
+/// Appends an integer.
 pub(crate) fn push_integer(out: &mut String, number: u64) {
     write!(out, "{number}").expect("writing to a string cannot fail");
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of a process, the operator's configuration, job bodies, the platform's list of instances and the
-//! calls to workers: everything that arrives as JSON, read by hand into plain structs.
+//! Readers of all JSON input: the settings of a process, the operator's configuration, job bodies, the
+//! platform's list of instances, and the answers of workers. Also writes the bodies of the calls to workers.
 //!
-//! No reader panics on any input. What is wrong comes back as a typed error whose message names the remedy;
-//! fields that are not known are ignored, and optional fields that are missing or null get their defaults.
+//! No reader panics on any input. Invalid input gives a typed error whose message names the remedy. Unknown
+//! fields are ignored, and optional fields that are missing or null get their defaults.
 
 #![warn(missing_docs)]
 
--- a/crates/configuration/src/operator_configuration.rs
+++ b/crates/configuration/src/operator_configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: routes, services and limits, with the checks that make it valid.
+//! Reads and validates the operator's configuration: routes, services and limits.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -8,26 +8,26 @@
 use crate::fields::Fields;
 use crate::json::{parse_bytes, JsonError, Location};
 use crate::route::{Route, RouteKind};
-use crate::routing::{normal_host, RouteIndex};
+use crate::routing::{without_port, RouteIndex};
 
 const ROUTES: &str = "Routes";
 const SERVICES: &str = "Backends";
 const WEIGHT: &str = "Weight";
 
-/// Without a bound from the operator a task may fail once, so that no bound can be exceeded.
+/// Default of `MaxRetries`: the job fails with the first failure of a task, so that no limit can be exceeded.
 const DEFAULT_MAX_RETRIES: u32 = 1;
 const DEFAULT_STRETCH: f64 = 1.0;
 
 quick_error! {
-    /// Why a configuration is invalid. Entries of lists count from 0.
+    /// Why a configuration is invalid. List entries count from 0.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ConfigurationError {
-        /// The body, or a value in it, cannot be read.
+        /// The body is not valid JSON, or a value in it is missing or has the wrong type.
         Json(error: JsonError) {
             from()
             display("the configuration cannot be read: {error}")
         }
-        /// No version is below 1, since 0 stands for no configuration at all.
+        /// The version is 0, which stands for no configuration.
         VersionZero {
             display("Version is 0: choose one above the version that is current")
         }
@@ -35,24 +35,24 @@
         EmptyName(location: Location) {
             display("the Name of {location} is empty: give it a name")
         }
-        /// Two routes, or two services, have one name.
-        SameName(location: Location, name: String) {
+        /// Two routes, or two services, have the same name.
+        DuplicateName(location: Location, name: String) {
             display("the name {name} of {location} is given already: choose another one")
         }
-        /// A route names a service that is not in the list.
+        /// A route names a service that is not in the list of services.
         UnknownService(route: String, service: String) {
             display("the route {route} names the service {service}, which is not among Backends: add it there, or correct the route")
         }
         /// Two routes have the same host and path prefix.
-        SameHostAndPrefix(first: String, second: String) {
+        DuplicateHostAndPrefix(first: String, second: String) {
             display("the routes {first} and {second} have the same Host and PathPrefix: change or drop one of them")
         }
-        /// A route would give its requests no time.
-        NoTimeout(route: String) {
+        /// The timeout of a route is 0.
+        ZeroTimeout(route: String) {
             display("TimeoutMs of the route {route} is 0: give a time in milliseconds")
         }
-        /// A weight is 0, so that its route or service would never be served.
-        NoWeight(location: Location) {
+        /// The weight of a route or a service is 0, so that it would never be served.
+        ZeroWeight(location: Location) {
             display("Weight of {location} is 0: give one above 0, or leave it out")
         }
     }
@@ -61,30 +61,31 @@
 /// A service: a group of workers that run the same tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name; no other service has the same.
+    /// Unique name of the service.
     pub name: String,
-    /// Path of the workers' health check; empty: none.
+    /// Path of the workers' health check; empty: no health check.
     pub health_check: String,
-    /// Most connections to one worker; 0: no bound.
+    /// Maximum number of connections to one worker; 0: no limit.
     pub max_connections: u32,
     /// Protocol of the connections to its workers.
     pub protocol: String,
     /// Whether these connections use TLS.
     pub tls: bool,
-    /// Whether the workers reject tasks that exceed their capacity; if not, they start every task.
-    pub guards: bool,
+    /// Whether the workers reject tasks that exceed their capacity (`Guards`). Otherwise they start every
+    /// task.
+    pub enforces_capacity: bool,
 }
 
-/// Bounds on what clients send.
+/// Limits on clients' requests and connections.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// The longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// The longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// The longest time for the head of a request, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// The longest time that a connection may be idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -99,8 +100,8 @@
     }
 }
 
-/// A complete configuration that passed every check that needs no knowledge of the current one; for the rest see
-/// [`OperatorConfiguration::check_against`].
+/// A complete configuration that passed all checks except the comparison with the current version, for which
+/// see [`OperatorConfiguration::check_against`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorConfiguration {
     version: u64,
@@ -111,11 +112,11 @@
 }
 
 impl OperatorConfiguration {
-    /// Reads and checks the body of an operator's request.
+    /// Parses and validates the body of an operator's request.
     ///
     /// # Errors
     ///
-    /// If the body cannot be read, or the configuration is invalid.
+    /// If the body is not valid JSON, or the configuration is invalid.
     pub fn read(body: &[u8]) -> Result<Self, ConfigurationError> {
         let document = parse_bytes(body)?;
         let fields = Fields::of(&document, Location::DOCUMENT)?;
@@ -125,17 +126,17 @@
         }
         let services = read_services(fields.required_list(SERVICES)?)?;
         let routes = read_routes(fields.required_list(ROUTES)?, &services)?;
-        let index = RouteIndex::new(&routes).map_err(|same| {
-            ConfigurationError::SameHostAndPrefix(
-                routes[same.first].name.clone(),
-                routes[same.second].name.clone(),
+        let index = RouteIndex::new(&routes).map_err(|duplicate| {
+            ConfigurationError::DuplicateHostAndPrefix(
+                routes[duplicate.first].name.clone(),
+                routes[duplicate.second].name.clone(),
             )
         })?;
         let limits = read_limits(&fields)?;
         Ok(OperatorConfiguration { version, routes, services, limits, index })
     }
 
-    /// The number that the operator gave it, at least 1.
+    /// The version that the operator gave to the configuration, at least 1.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -145,23 +146,23 @@
         &self.routes
     }
 
-    /// All services, by name: whoever visits them does so in the same order in each process.
+    /// All services, ordered by name, so that the order is the same in every process.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// The service of that name. There is one for each route.
+    /// The service with that name. Every route's service exists.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Bounds on what clients send.
+    /// Limits on clients' requests and connections.
     pub fn limits(&self) -> &HttpLimits {
         &self.limits
     }
 
-    /// The route of a request, by its `Host` header and the longest prefix with which its path begins, and the
-    /// rest of the path behind the prefix, without a query. The case and the port of the host do not matter.
+    /// Finds the route of a request by the `Host` header and the longest prefix of the path. Also returns the
+    /// rest of the path after the prefix, without the query. The case and the port of the host are ignored.
     pub fn route<'p>(&self, host: &str, path: &'p str) -> Option<(&Route, &'p str)> {
         let (number, rest) = self.index.find(&self.routes, host, path)?;
         Some((self.routes.get(number)?, rest))
@@ -180,10 +181,10 @@
             max_connections: fields.small_integer("MaxConnections")?.unwrap_or(0),
             protocol: fields.text_or_empty("Protocol")?,
             tls: fields.flag("Tls")?,
-            guards: fields.flag("Guards")?,
+            enforces_capacity: fields.flag("Guards")?,
         };
         if let Some(earlier) = services.insert(name, service) {
-            return Err(ConfigurationError::SameName(fields.location(), earlier.name));
+            return Err(ConfigurationError::DuplicateName(fields.location(), earlier.name));
         }
     }
     Ok(services)
@@ -199,10 +200,10 @@
         let fields = Fields::of(value, Location::entry(ROUTES, entry))?;
         let route = read_route(&fields)?;
         if !names.insert(route.name.clone()) {
-            return Err(ConfigurationError::SameName(fields.location(), route.name));
+            return Err(ConfigurationError::DuplicateName(fields.location(), route.name));
         }
         if route.timeout_ms == 0 {
-            return Err(ConfigurationError::NoTimeout(route.name));
+            return Err(ConfigurationError::ZeroTimeout(route.name));
         }
         if !services.contains_key(&route.service) {
             return Err(ConfigurationError::UnknownService(route.name, route.service));
@@ -220,7 +221,7 @@
     };
     Ok(Route {
         name: read_name(fields)?,
-        host: normal_host(&fields.required_text("Host")?).to_ascii_lowercase(),
+        host: without_port(&fields.required_text("Host")?).to_ascii_lowercase(),
         path_prefix: fields.required_text("PathPrefix")?,
         kind,
         timeout_ms: fields.required_integer("TimeoutMs")?,
@@ -241,15 +242,15 @@
     Ok(name)
 }
 
-/// A weight is optional, but with 0 its route or service would never be served.
+/// Checks the optional weight. With weight 0 the route or service would never be served.
 fn check_weight(fields: &Fields<'_>) -> Result<(), ConfigurationError> {
     match fields.number(WEIGHT)? {
-        Some(0.0) => Err(ConfigurationError::NoWeight(fields.location())),
+        Some(0.0) => Err(ConfigurationError::ZeroWeight(fields.location())),
         _ => Ok(()),
     }
 }
 
-/// A limit of 0 would allow nothing at all and counts as not given.
+/// Reads the limits. A limit of 0 would allow nothing, and therefore counts as not given.
 fn read_limits(fields: &Fields<'_>) -> Result<HttpLimits, ConfigurationError> {
     let defaults = HttpLimits::default();
     let Some(section) = fields.section("Limits")? else {
--- a/crates/configuration/src/routing.rs
+++ b/crates/configuration/src/routing.rs
@@ -1,9 +1,10 @@
-//! Finds the route of a request by its host and path.
+//! Finds the route of a request by host and longest matching path prefix.
 
 use crate::job_id;
 use crate::route::Route;
 
-/// Routes by host, those of one host by the length of their prefix, the longest first.
+/// Routes grouped by host. The routes of one host are ordered by the length of their prefixes, the longest
+/// first.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct RouteIndex {
     hosts: Vec<HostRoutes>,
@@ -12,25 +13,25 @@
 #[derive(Debug, Clone, PartialEq)]
 struct HostRoutes {
     host: String,
-    /// Numbers of routes.
+    /// Indices of the routes in the configuration.
     routes: Vec<usize>,
 }
 
-/// Two routes, by number, with the same host and prefix.
+/// The indices of two routes with the same host and prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct SameHostAndPrefix {
+pub(crate) struct DuplicateHostAndPrefix {
     pub(crate) first: usize,
     pub(crate) second: usize,
 }
 
 impl RouteIndex {
-    pub(crate) fn new(routes: &[Route]) -> Result<Self, SameHostAndPrefix> {
+    pub(crate) fn new(routes: &[Route]) -> Result<Self, DuplicateHostAndPrefix> {
         let mut order: Vec<usize> = (0..routes.len()).collect();
         order.sort_by(|&a, &b| compare(&routes[a], &routes[b]).then(a.cmp(&b)));
         for pair in order.windows(2) {
             let (first, second) = (pair[0], pair[1]);
             if compare(&routes[first], &routes[second]).is_eq() {
-                return Err(SameHostAndPrefix { first, second });
+                return Err(DuplicateHostAndPrefix { first, second });
             }
         }
         let mut hosts: Vec<HostRoutes> = Vec::new();
@@ -44,9 +45,10 @@
         Ok(RouteIndex { hosts })
     }
 
-    /// The number of the route in `routes`, from which the index was built, and the rest of the path.
+    /// Returns the index of the route in `routes`, which must be the routes that the index was built from,
+    /// and the rest of the path after the prefix.
     pub(crate) fn find<'p>(&self, routes: &[Route], host: &str, path: &'p str) -> Option<(usize, &'p str)> {
-        let host = normal_host(host);
+        let host = without_port(host);
         let of_host = self.hosts.iter().find(|entry| entry.host.eq_ignore_ascii_case(host))?;
         let path = without_query(path);
         of_host.routes.iter().find_map(|&number| {
@@ -62,8 +64,8 @@
     by_host.then(by_length).then_with(|| a.path_prefix.cmp(&b.path_prefix))
 }
 
-/// A host without its port, if it has one.
-pub(crate) fn normal_host(host: &str) -> &str {
+/// Removes white space and the port from a host.
+pub(crate) fn without_port(host: &str) -> &str {
     let host = host.trim();
     match host.rsplit_once(':') {
         Some((name, port)) if is_port(port) && !is_bare_ipv6(name) => name,
@@ -75,7 +77,7 @@
     text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Whether the colons belong to an IPv6 address without brackets, so that what follows the last one is no port.
+/// Whether the colons belong to an IPv6 address without brackets, so that no port follows the last one.
 fn is_bare_ipv6(name: &str) -> bool {
     name.contains(':') && !name.ends_with(']')
 }
@@ -84,8 +86,9 @@
     path.split(['?', '#']).next().unwrap_or(path)
 }
 
-/// What follows the prefix in the path. A prefix without a slash at its end must not match the beginning of a
-/// longer name: only nothing, a slash, or a job's ID may follow it.
+/// Returns the part of the path after the prefix; none if the prefix does not match. A prefix without a slash
+/// at its end must not match the beginning of a longer name: it may be followed only by nothing, a slash, or
+/// a job ID.
 fn rest_of_path<'p>(prefix: &str, path: &'p str) -> Option<&'p str> {
     let rest = path.strip_prefix(prefix)?;
     if prefix.is_empty() || prefix.ends_with('/') || rest.is_empty() {
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Reads the settings file of a process.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -16,98 +16,98 @@
     /// Why the settings cannot be used.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingsError {
-        /// The file, or a value in it, cannot be read.
+        /// The file is not valid JSON, or a value in it is missing or has the wrong type.
         Json(error: JsonError) {
             from()
             display("the settings file cannot be read: {error}")
         }
-        /// A text is not an address.
+        /// A text is not a valid address.
         BadAddress(location: Location, field: &'static str, text: String) {
-            display("{field} of {location} is {text}, which is no address: give IPv4 numbers, with a port where one is due")
+        display("{field} of {location} is {text}, which is not an address: give an IPv4 address, with a port unless the field is Ip")
         }
-        /// `PortRange` is not two ports.
+        /// `PortRange` is not a pair of ports in ascending order.
         BadPortRange {
             display("PortRange must be two ports, the first not above the second: correct it in the settings file")
         }
-        /// `Commands` has a value that is not known.
+        /// `Commands` has an unknown value.
         UnknownOrderDelivery(value: String) {
             display("Commands is {value}: give rpc or heartbeat")
         }
     }
 }
 
-/// Addresses at which a process listens for callers outside the system.
+/// Addresses at which a process listens for callers from outside the system.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For clients (`Front`).
-    pub front: Option<SocketAddrV4>,
-    /// For the platform's readiness check.
+    /// For clients (the setting `Front`).
+    pub clients: Option<SocketAddrV4>,
+    /// For the platform's readiness checks.
     pub readiness: Option<SocketAddrV4>,
-    /// For the operator.
+    /// For the operator's API.
     pub control: Option<SocketAddrV4>,
 }
 
-/// What the machine grants the process; 0 where nothing is given.
+/// Resources that the machine grants the process; 0 for a value that is not given.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ProcessLimits {
-    /// Share of a core.
+    /// Share of a processor core.
     pub cpu_share: f64,
-    /// How many times as fast as usual that core runs.
+    /// Speed of that core as a multiple of the usual speed.
     pub cores: f64,
     /// Memory in megabytes.
     pub memory_mb: u64,
     /// Open file descriptors.
     pub max_file_descriptors: u64,
-    /// Network bandwidth in megabits a second.
+    /// Network bandwidth in megabits per second.
     pub bandwidth_mbps: f64,
     /// Disk space in megabytes.
     pub disk_mb: u64,
 }
 
-/// How many of each may be lost at one time.
+/// How many failures the system must tolerate at the same time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Machines that count for the quorum.
+    /// Number of lost machines that count for the quorum.
     pub machines: u32,
-    /// Zones.
+    /// Number of lost zones.
     pub zones: u32,
-    /// Regions.
+    /// Number of lost regions.
     pub regions: u32,
 }
 
-/// How orders reach workers.
+/// How orders are delivered to workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum OrderDelivery {
-    /// By calls to them.
+    /// By calls to the workers.
     #[default]
     Calls,
-    /// In the answers to their heartbeats.
+    /// In the answers to the workers' heartbeats.
     Heartbeats,
 }
 
-/// The platform's interface.
+/// Access to the platform's API.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CloudApi {
-    /// Where it listens.
+    /// Address of the API.
     pub address: SocketAddrV4,
-    /// Calls a second that it takes from all machines together; 0: not given.
+    /// Rate limit for all machines together, in calls per second; 0 if not given.
     pub rate_per_s: f64,
     /// The setting `Duties`, as given.
     pub duties: Vec<String>,
-    /// How far its list lags, in milliseconds.
+    /// How far its list of instances lags behind, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// The settings of a process. What the pages allow to be empty is empty or `None` here.
+/// The settings of a process. Optional settings that are not given are empty, 0 or `None`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProcessSettings {
     /// Identifier of the process.
     pub node_id: String,
     /// The setting `Role`, as given.
     pub role: String,
-    /// Kind of the machine it runs on.
+    /// Class of the machine that the process runs on.
     pub machine_class: String,
-    /// Groups of callers from outside: `edge`, `control_plane`.
+    /// Groups of outside callers that the process serves: `edge`, `control_plane`.
     pub serves: Vec<String>,
     /// Address of the machine.
     pub ip: Ipv4Addr,
@@ -117,44 +117,45 @@
     pub region: String,
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// Where it listens for callers from outside.
+    /// Listening addresses for callers from outside the system.
     pub listen: ListenAddresses,
-    /// Ports that are free for messages between processes.
+    /// Ports reserved for messages between processes.
     pub port_range: RangeInclusive<u16>,
-    /// `Control` addresses of some machines, as they were at some time.
+    /// `Control` addresses of some core machines. The list may be outdated.
     pub seed_nodes: Vec<SocketAddrV4>,
     /// True only on the first start of the whole system.
     pub bootstrap: bool,
     /// Whether the machine counts for the quorum.
     pub counts_for_quorum: bool,
-    /// What the machine grants the process.
+    /// Resources that the machine grants the process.
     pub limits: ProcessLimits,
-    /// None: no disk.
+    /// Folder for the data; none if the machine has no disk.
     pub data_directory: Option<PathBuf>,
     /// The setting `Discovery`, as given.
     pub discovery: String,
     /// The setting `Entry`, as given.
     pub entry: String,
-    /// Interval of heartbeats in milliseconds; 0: not given.
+    /// Interval of heartbeats in milliseconds; 0 if not given.
     pub heartbeat_ms: u64,
-    /// Names of the groups of rules in force.
+    /// Names of the groups of rules that are in force.
     pub invariants: Vec<String>,
-    /// What may be lost at one time.
+    /// Failures that the system must tolerate at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules.
+    /// Numeric limits of the rules.
     pub bounds: Bounds,
-    /// How orders reach workers.
+    /// How orders are delivered to workers.
     pub order_delivery: OrderDelivery,
     /// The platform's interface, if there is one.
     pub cloud_api: Option<CloudApi>,
 }
 
 impl ProcessSettings {
-    /// Reads the text of a settings file. Required are `NodeId`, `Ip` and `PortRange`.
+    /// Parses the text of a settings file. `NodeId`, `Ip` and `PortRange` are required.
     ///
     /// # Errors
     ///
-    /// If the text cannot be read, a required field is missing, or an address, a port range or `Commands` is invalid.
+    /// If the text is not valid JSON, a required field is missing, or an address, a port range or `Commands`
+    /// is invalid.
     pub fn read(text: &str) -> Result<Self, SettingsError> {
         let document = parse(text)?;
         let fields = Fields::of(&document, Location::DOCUMENT)?;
@@ -187,7 +188,7 @@
     }
 }
 
-/// An address; none if the field is missing or empty.
+/// Reads an address; none if the field is missing or empty.
 fn address<T: FromStr>(fields: &Fields<'_>, field: &'static str) -> Result<Option<T>, SettingsError> {
     let Some(text) = fields.text(field)?.filter(|text| !text.is_empty()) else {
         return Ok(None);
@@ -220,7 +221,7 @@
         return Ok(ListenAddresses::default());
     };
     Ok(ListenAddresses {
-        front: address(&section, "Front")?,
+        clients: address(&section, "Front")?,
         readiness: address(&section, "Readiness")?,
         control: address(&section, "Control")?,
     })
@@ -279,7 +280,7 @@
     }
 }
 
-/// The platform's interface; none if the section or its address is missing or empty.
+/// Reads the section `CloudApi`; none if the section or its address is missing or empty.
 fn read_cloud_api(fields: &Fields<'_>) -> Result<Option<CloudApi>, SettingsError> {
     let Some(section) = fields.section("CloudApi")? else {
         return Ok(None);
--- a/crates/configuration/src/settings_bounds.rs
+++ b/crates/configuration/src/settings_bounds.rs
@@ -1,59 +1,59 @@
-//! Figures of the deployment's rules, from `Bounds` of the settings file.
+//! Numeric limits of the deployment's rules, from the section `Bounds` of the settings file.
 
 use crate::fields::Fields;
 use crate::json::JsonError;
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// Figures of the rules, all times in milliseconds. A figure that is missing gets that of the published
+/// Numeric limits of the rules, all times in milliseconds. A missing limit gets the value of the published
 /// example.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
-    /// How far the operator's list of machines lags.
+    /// How far the operator's list of machines lags behind.
     pub seed_lag_ms: u64,
-    /// After how long the address of a removed machine may be used again.
+    /// Minimum time until the address of a removed machine is reused.
     pub reuse_after_ms: u64,
-    /// How long a machine must be without faults to count as reachable.
+    /// Time without faults after which a machine counts as reachable.
     pub contact_ms: u64,
-    /// Within what time a request of the operator is to be acknowledged.
+    /// Time within which a request of the operator must be acknowledged.
     pub ack_ms: u64,
-    /// For how long after its start or return a machine counts as lost.
+    /// Time after its start or return during which a machine counts as lost.
     pub catch_up_ms: u64,
-    /// How long a worker serves on from the start of its drain.
+    /// How long a worker continues to serve after the start of its drain.
     pub drain_ms: u64,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub grace_ms: u64,
-    /// How late after a request its connection may still end without an answer.
+    /// Maximum time after a request at which its connection may end without an answer.
     pub loss_slack_ms: u64,
-    /// From a configuration's acknowledgement until everyone must act on it.
+    /// Time from the acknowledgement of a configuration until all processes must apply it.
     pub config_apply_ms: u64,
-    /// How long after an effect of a version an older one may still be acted on.
+    /// Time after the first effect of a version during which an older version may still be applied.
     pub rollback_slack_ms: u64,
-    /// What an unstable core adds to the bound of configuration.
+    /// Addition to `config_apply_ms` while the core is unstable.
     pub max_skew_ms: u64,
-    /// From the machines' return until requests are to be served again.
+    /// Time from the return of the machines until requests must be served again.
     pub recovery_ms: u64,
-    /// The longest lease that a worker grants to what runs there.
+    /// Longest lease that a worker accepts for its attempts.
     pub max_worker_lease_ms: u64,
-    /// The longest time that a stop takes.
+    /// Maximum duration of a stop.
     pub stop_ms: u64,
-    /// How long a member of a gang waits for the others.
+    /// How long a member of a gang waits for the other members.
     pub gang_ms: u64,
-    /// Within what time a cancelled job's tasks must no longer be started.
+    /// Time after a job's cancellation from which none of its tasks may be started.
     pub cancel_ms: u64,
-    /// From a job's acknowledgement until every machine must know it.
+    /// Time from a job's acknowledgement until every machine must know the job.
     pub visible_ms: u64,
-    /// How much before its due time a task may start.
+    /// How much earlier than its due time a task may start.
     pub early_ms: u64,
-    /// From the end of the traffic until jobs are asked for.
+    /// Time from the end of the traffic until the states of the jobs are read.
     pub finish_ms: u64,
-    /// For how long after its end the state of a job must be available.
+    /// Time after a job's end during which its state must be available.
     pub status_ms: u64,
-    /// How many times as long a task takes far from its data or its gang.
+    /// Factor by which a task takes longer when it runs far from its data or its gang.
     pub far_factor: f64,
-    /// Time of work between two checkpoints.
+    /// Work time between two checkpoints.
     pub save_ms: u64,
-    /// Time that resuming from a checkpoint takes.
+    /// Time for resuming from a checkpoint.
     pub restore_ms: u64,
 }
 
@@ -88,21 +88,22 @@
 }
 
 impl Bounds {
-    /// Reads the section; no section at all gives the defaults.
+    /// Reads the section; a missing section gives the defaults.
     pub(crate) fn read(section: Option<Fields<'_>>) -> Result<Self, JsonError> {
         let mut bounds = Bounds::default();
         let Some(section) = section else {
             return Ok(bounds);
         };
-        bounds.read_figures_in_s(&section)?;
-        bounds.read_figures_in_ms(&section)?;
+        bounds.read_seconds(&section)?;
+        bounds.read_milliseconds(&section)?;
         if let Some(factor) = section.number("far_x")? {
             bounds.far_factor = factor;
         }
         Ok(bounds)
     }
 
-    fn read_figures_in_s(&mut self, section: &Fields<'_>) -> Result<(), JsonError> {
+    /// Reads the limits that are given in seconds.
+    fn read_seconds(&mut self, section: &Fields<'_>) -> Result<(), JsonError> {
         for (field, target) in [
             ("SeedLagS", &mut self.seed_lag_ms),
             ("ReuseAfterS", &mut self.reuse_after_ms),
@@ -120,7 +121,8 @@
         Ok(())
     }
 
-    fn read_figures_in_ms(&mut self, section: &Fields<'_>) -> Result<(), JsonError> {
+    /// Reads the limits that are given in milliseconds.
+    fn read_milliseconds(&mut self, section: &Fields<'_>) -> Result<(), JsonError> {
         for (field, target) in [
             ("ContactMs", &mut self.contact_ms),
             ("AckMs", &mut self.ack_ms),
@@ -137,8 +139,8 @@
             ("early_ms", &mut self.early_ms),
             ("restore_ms", &mut self.restore_ms),
         ] {
-            if let Some(figure) = section.rounded_down(field)? {
-                *target = figure;
+            if let Some(milliseconds) = section.rounded_down(field)? {
+                *target = milliseconds;
             }
         }
         Ok(())
--- a/crates/configuration/src/version_check.rs
+++ b/crates/configuration/src/version_check.rs
@@ -1,25 +1,25 @@
-//! Whether a valid configuration may follow the current one.
+//! Checks whether a valid configuration may replace the current one.
 
 use quick_error::quick_error;
 
 use crate::operator_configuration::OperatorConfiguration;
 
 quick_error! {
-    /// Why a configuration may not follow the current one.
+    /// Why a configuration may not replace the current one.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum VersionError {
-        /// It builds on another version than the current one, or on none.
+        /// The configuration builds on another version than the current one, or on none.
         NotCurrent(builds_on: Option<u64>, current: u64) {
             display(
                 "the configuration builds on version {}, but {current} is current: read it, and send the change on top of it with If-Match: {current}",
                 builds_on.map_or_else(|| "(none)".to_owned(), |version| version.to_string())
             )
         }
-        /// Its number is not above that of the current one.
+        /// The version is not greater than the current one.
         NotNewer(version: u64, current: u64) {
             display("Version {version} does not exceed the current version {current}: choose a higher number")
         }
-        /// `If-Match` is not a version.
+        /// The `If-Match` header is not a version.
         BadIfMatch {
             display("If-Match must be the number of the version built on (0 for the first): correct the header")
         }
@@ -27,12 +27,13 @@
 }
 
 impl OperatorConfiguration {
-    /// Checks that this configuration may follow version `current` (0: none yet). `builds_on` is the version
-    /// in the `If-Match` header. An exact repeat of the current configuration must be recognised before.
+    /// Checks that this configuration may replace version `current` (0: no configuration yet). `builds_on` is
+    /// the version in the `If-Match` header. The caller must handle an exact repeat of the current
+    /// configuration before.
     ///
     /// # Errors
     ///
-    /// If it does not build on the current version, or its own is not above it.
+    /// If the configuration does not build on the current version, or its own version is not greater.
     pub fn check_against(&self, current: u64, builds_on: Option<u64>) -> Result<(), VersionError> {
         if builds_on != Some(current) {
             return Err(VersionError::NotCurrent(builds_on, current));
@@ -44,7 +45,7 @@
     }
 }
 
-/// Reads the value of an `If-Match` header: a version, bare or in quotes.
+/// Parses the value of an `If-Match` header: a version, with or without quotes.
 ///
 /// # Errors
 ///
--- a/crates/configuration/src/worker_calls.rs
+++ b/crates/configuration/src/worker_calls.rs
@@ -1,7 +1,7 @@
-//! Bodies of the calls to workers (`run-start`, `run-stop`, `hold`) and of their answers.
+//! Writes the bodies of calls to workers (`run-start`, `run-stop`, `hold`) and reads the answers.
 //!
-//! `hold` is the interface's name for a lease renewal. A task is given as the text `ID.K.STEP.INDEX`; the crate that owns
-//! the task's type parses it.
+//! `hold` is the API's name for a lease renewal. Tasks are identified by the text `ID.K.STEP.INDEX`, which
+//! the crate that owns the task type parses.
 
 use messages::job::EndKind;
 use quick_error::quick_error;
@@ -14,21 +14,22 @@
 const RUNNING: &str = "Running";
 const FINISHED: &str = "Finished";
 
-/// Bytes of a body beyond its texts: names of fields and numbers at their longest.
-const BODY_FRAME_BYTES: usize = 192;
+/// Upper bound of the size of a body without its strings: field names and numbers of maximum length, in
+/// bytes.
+const FIXED_BODY_BYTES: usize = 192;
 
 quick_error! {
     /// Why a worker's answer cannot be read.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum WorkerAnswerError {
-        /// The body, or a value in it, cannot be read.
+        /// The body is not valid JSON, or a value in it is missing or has the wrong type.
         Json(error: JsonError) {
-            from()
-            display("the worker's answer cannot be read ({error}): treat the call as unanswered and ask again")
+        from()
+        display("cannot read the worker's answer ({error}): treat the call as unanswered and retry")
         }
-        /// An entry of `Running` or `Finished` is not as the interface says.
+        /// An entry of `Running` or `Finished` is invalid.
         BadEntry(location: Location) {
-            display("{location} of the worker's answer is not an entry of its kind: treat the call as unanswered and ask again")
+        display("{location} of the worker's answer is invalid: treat the call as unanswered and retry")
         }
     }
 }
@@ -42,7 +43,7 @@
     pub attempt: u32,
     /// The task's text, as the client sent it.
     pub spec: &'a str,
-    /// Until when the worker's lease is extended, in milliseconds of the worker's clock.
+    /// End of the worker's lease, in milliseconds of the worker's clock.
     pub deadline_ms: u64,
     /// Term of the leader that sends the call.
     pub fencing_token: u64,
@@ -54,7 +55,7 @@
     /// The JSON text of the body.
     pub fn to_json(&self) -> String {
         let texts = self.task.len() + self.spec.len() + self.checkpoint.len();
-        let mut out = String::with_capacity(BODY_FRAME_BYTES + texts);
+        let mut out = String::with_capacity(FIXED_BODY_BYTES + texts);
         push_attempt(&mut out, self.task, self.attempt);
         out.push_str(",\"Spec\":");
         push_string(&mut out, self.spec);
@@ -84,7 +85,7 @@
 impl StopBody<'_> {
     /// The JSON text of the body.
     pub fn to_json(&self) -> String {
-        let mut out = String::with_capacity(BODY_FRAME_BYTES + self.task.len());
+        let mut out = String::with_capacity(FIXED_BODY_BYTES + self.task.len());
         push_attempt(&mut out, self.task, self.attempt);
         push_fencing_token(&mut out, self.fencing_token);
         out.push('}');
@@ -95,20 +96,20 @@
 /// Body of `POST /v1/hold`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseRenewalBody {
-    /// Until when the worker's lease is extended, in milliseconds of the worker's clock; none: it is not extended.
+    /// New end of the worker's lease, in milliseconds of the worker's clock; none: the lease is not extended.
     pub deadline_ms: Option<u64>,
     /// Term of the leader that sends the call.
     pub fencing_token: u64,
-    /// Ends up to this number are forgotten by the worker.
+    /// Acknowledged sequence number: the worker forgets the ends up to this one.
     pub last_seen: u64,
-    /// How long the answer may wait for an end, in milliseconds; none: not at all.
+    /// How long the worker may delay its answer until an attempt ends, in milliseconds; none: no delay.
     pub wait_ms: Option<u64>,
 }
 
 impl LeaseRenewalBody {
     /// The JSON text of the body.
     pub fn to_json(&self) -> String {
-        let mut out = String::with_capacity(BODY_FRAME_BYTES);
+        let mut out = String::with_capacity(FIXED_BODY_BYTES);
         out.push_str("{\"LastSeen\":");
         push_integer(&mut out, self.last_seen);
         push_fencing_token(&mut out, self.fencing_token);
@@ -137,7 +138,7 @@
     push_integer(out, fencing_token);
 }
 
-/// An attempt that runs on a worker.
+/// An attempt that is running on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningEntry {
     /// `ID.K.STEP.INDEX`.
@@ -150,16 +151,16 @@
     pub percent: u32,
 }
 
-/// An attempt that has ended on a worker and whose end is not acknowledged yet.
+/// An attempt that has ended on a worker and whose end is not yet acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishedEntry {
-    /// Rises from 1 in each incarnation of the worker.
+    /// Sequence number of the end, starting at 1 in each incarnation of the worker.
     pub sequence: u64,
     /// `ID.K.STEP.INDEX`.
     pub task: String,
     /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// How it ended; `END_UNKNOWN` for a value that is not known.
+    /// How the attempt ended; `END_UNKNOWN` for an unknown value.
     pub kind: EndKind,
     /// Checkpoint; empty: none.
     pub checkpoint: String,
@@ -170,18 +171,18 @@
 pub struct LeaseRenewalAnswer {
     /// The worker's clock, in milliseconds.
     pub now_ms: u64,
-    /// What runs there.
+    /// Attempts that are running on the worker.
     pub running: Vec<RunningEntry>,
-    /// Ends that are not acknowledged yet.
+    /// Attempts whose ends are not yet acknowledged.
     pub finished: Vec<FinishedEntry>,
 }
 
 impl LeaseRenewalAnswer {
-    /// Reads the body of a 200. A list that is missing or null is empty.
+    /// Parses the body of an answer with status 200. A list that is missing or null is empty.
     ///
     /// # Errors
     ///
-    /// If the body cannot be read, lacks `NowMs`, or an entry of a list is not as the interface says.
+    /// If the body is not valid JSON, lacks `NowMs`, or has an invalid list entry.
     pub fn read(body: &[u8]) -> Result<Self, WorkerAnswerError> {
         let mut document = parse_bytes(body)?;
         let fields = Fields::of(&document, Location::DOCUMENT)?;
@@ -198,7 +199,7 @@
     }
 }
 
-/// Takes a list out of the document, so that its texts need not be copied.
+/// Removes a list from the document, so that its strings need not be copied.
 fn take_list(document: &mut JsonValue, field: &str) -> Vec<JsonValue> {
     let JsonValue::Object(object) = document else {
         return Vec::new();
@@ -287,30 +288,31 @@
 pub enum RejectReason {
     /// The worker has seen a higher fencing token.
     StaleFencingToken,
-    /// The attempt is not above one that was stopped or ended there.
+    /// The attempt number is not greater than that of an attempt that was stopped or has ended on this
+    /// worker.
     SupersededAttempt,
-    /// The deadline had passed.
+    /// The deadline of the order had passed.
     DeadlinePassed,
     /// The worker lacks the capacity for the task.
     NoCapacity,
-    /// A reason that is not known.
+    /// An unknown reason.
     Other,
 }
 
-/// Answer to a start or a stop, or to any call that was rejected. Everything is optional: some answers have no
-/// body.
+/// Answer to a start or a stop, or to any rejected call. All fields are optional, because some answers have
+/// no body.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OrderAnswer {
     /// The worker's clock, in milliseconds.
     pub now_ms: Option<u64>,
-    /// Why the call was rejected, if it was.
+    /// Reason of the rejection, if the call was rejected.
     pub reason: Option<RejectReason>,
-    /// After how many milliseconds to retry, if the worker says so.
+    /// Time after which to retry in milliseconds, if the worker gives one.
     pub retry_after_ms: Option<u64>,
 }
 
 impl OrderAnswer {
-    /// Reads the body, which may be empty.
+    /// Parses the body, which may be empty.
     ///
     /// # Errors
     ///
--- a/crates/configuration/tests/job_body.rs
+++ b/crates/configuration/tests/job_body.rs
@@ -2,7 +2,7 @@
 
 mod documents;
 
-use configuration::job_body::{self, MAX_SPEC_CHARS, MAX_STEPS, MAX_TASKS, MAX_TIMES};
+use configuration::job_body::{self, MAX_REPEAT, MAX_SPEC_CHARS, MAX_STEPS, MAX_TASKS};
 use configuration::{job_id, JobError, JsonError};
 use documents::{changed, JOB};
 use messages::job::JobSpec;
@@ -74,9 +74,9 @@
 
 #[test]
 fn a_step_may_depend_on_earlier_ones_only() {
-    assert_eq!(error("[0]", "[1]"), JobError::NotEarlier(1, 1));
-    assert_eq!(error("[0]", "[0,2]"), JobError::NotEarlier(1, 2));
-    assert_eq!(error(r#""Count":3"#, r#""Count":3,"DependsOn":[0]"#), JobError::NotEarlier(0, 0));
+    assert_eq!(error("[0]", "[1]"), JobError::DependencyNotEarlier(1, 1));
+    assert_eq!(error("[0]", "[0,2]"), JobError::DependencyNotEarlier(1, 2));
+    assert_eq!(error(r#""Count":3"#, r#""Count":3,"DependsOn":[0]"#), JobError::DependencyNotEarlier(0, 0));
 }
 
 #[test]
@@ -98,10 +98,13 @@
     assert!(tasks(MAX_TASKS - 1).is_ok());
     assert_eq!(tasks(MAX_TASKS), Err(JobError::TooManyTasks(MAX_TASKS + 1)));
     let times = |count: u32| read(&format!(r#"{{"Stages":[{{"Count":1}}],"Repeat":{count}}}"#));
-    assert!(times(MAX_TIMES).is_ok());
-    assert_eq!(times(MAX_TIMES + 1), Err(JobError::TooManyTimes(MAX_TIMES + 1)));
-    assert_eq!(error(r#""Gpu":1"#, r#""Gpu":9007199254740992"#), JobError::TooLarge(1, "Gpu"));
-    assert_eq!(error(r#""IntervalMs":60000"#, r#""IntervalMs":9007199254740992"#), JobError::TooLate);
+    assert!(times(MAX_REPEAT).is_ok());
+    assert_eq!(times(MAX_REPEAT + 1), Err(JobError::RepeatTooLarge(MAX_REPEAT + 1)));
+    assert_eq!(error(r#""Gpu":1"#, r#""Gpu":9007199254740992"#), JobError::ResourceTooLarge(1, "Gpu"));
+    assert_eq!(
+        error(r#""IntervalMs":60000"#, r#""IntervalMs":9007199254740992"#),
+        JobError::LastOccurrenceTooLate
+    );
 }
 
 #[test]
--- a/crates/configuration/tests/operator_configuration.rs
+++ b/crates/configuration/tests/operator_configuration.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: what is valid, each kind of invalid one, and which may follow the current one.
+//! The operator's configuration: what is valid, each kind of invalid one, and which may follow the current
+//! one.
 
 mod documents;
 
@@ -42,7 +43,7 @@
     assert_eq!((express.stretch, express.rate_per_s), (1.5, Some(7.5)));
     let sorting = configuration.service("sorting").expect("a service");
     assert_eq!((sorting.health_check.as_str(), sorting.max_connections), ("/healthz", 32));
-    assert_eq!((sorting.protocol.as_str(), sorting.tls, sorting.guards), ("h1", false, true));
+    assert_eq!((sorting.protocol.as_str(), sorting.tls, sorting.enforces_capacity), ("h1", false, true));
     assert_eq!(configuration.services().count(), 2);
     let limits = HttpLimits {
         max_header_bytes: 8192,
@@ -60,7 +61,7 @@
     assert_eq!(parcels.kind, RouteKind::NonIdempotent);
     assert_eq!((parcels.target_latency_ms, parcels.priority, parcels.max_retries), (0, 0, 1));
     assert_eq!((parcels.stretch, parcels.rate_per_s), (1.0, None));
-    assert!(!configuration.service("couriers").expect("a service").guards);
+    assert!(!configuration.service("couriers").expect("a service").enforces_capacity);
     let without_limits = still_valid(r#""Limits""#, r#""Ignored""#);
     assert_eq!(*without_limits.limits(), HttpLimits::default());
     let zero_limit = still_valid(r#""MaxBodyBytes":100000"#, r#""MaxBodyBytes":0"#);
@@ -124,13 +125,13 @@
 
 #[test]
 fn the_same_host_and_prefix_twice_is_invalid() {
-    let same = ConfigurationError::SameHostAndPrefix("letters".into(), "express".into());
+    let same = ConfigurationError::DuplicateHostAndPrefix("letters".into(), "express".into());
     assert_eq!(error("/letters/express/", "/letters/"), same);
 }
 
 #[test]
 fn a_timeout_of_zero_is_invalid() {
-    let no_timeout = ConfigurationError::NoTimeout("letters".into());
+    let no_timeout = ConfigurationError::ZeroTimeout("letters".into());
     assert_eq!(error(r#""TimeoutMs":2500"#, r#""TimeoutMs":0"#), no_timeout);
     let missing = ConfigurationError::Json(JsonError::Missing(Location::entry("Routes", 0), "TimeoutMs"));
     assert_eq!(error(r#""TimeoutMs":2500,"#, ""), missing);
@@ -139,9 +140,9 @@
 
 #[test]
 fn no_weight_is_invalid() {
-    let service = ConfigurationError::NoWeight(Location::entry("Backends", 1));
+    let service = ConfigurationError::ZeroWeight(Location::entry("Backends", 1));
     assert_eq!(error(r#"{"Name":"couriers"}"#, r#"{"Name":"couriers","Weight":0}"#), service);
-    let route = ConfigurationError::NoWeight(Location::entry("Routes", 0));
+    let route = ConfigurationError::ZeroWeight(Location::entry("Routes", 0));
     assert_eq!(error(r#""Name":"letters""#, r#""Name":"letters","Weight":0.0"#), route);
     still_valid(r#"{"Name":"couriers"}"#, r#"{"Name":"couriers","Weight":0.5}"#);
 }
@@ -185,9 +186,9 @@
 
 #[test]
 fn same_names_are_invalid() {
-    let route = ConfigurationError::SameName(Location::entry("Routes", 1), "letters".into());
+    let route = ConfigurationError::DuplicateName(Location::entry("Routes", 1), "letters".into());
     assert_eq!(error(r#""Name":"express""#, r#""Name":"letters""#), route);
-    let service = ConfigurationError::SameName(Location::entry("Backends", 1), "sorting".into());
+    let service = ConfigurationError::DuplicateName(Location::entry("Backends", 1), "sorting".into());
     assert_eq!(error(r#"{"Name":"couriers"}"#, r#"{"Name":"sorting"}"#), service);
 }
 
--- a/crates/configuration/tests/settings.rs
+++ b/crates/configuration/tests/settings.rs
@@ -29,7 +29,7 @@
     assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("a", "north"));
     assert_eq!(settings.zones.get("b").map(String::as_str), Some("south"));
     assert_eq!(settings.listen.control.map(|address| address.port()), Some(9000));
-    assert_eq!((settings.listen.front, settings.listen.readiness), (None, None));
+    assert_eq!((settings.listen.clients, settings.listen.readiness), (None, None));
     assert_eq!(settings.port_range, 7000..=7015);
     assert_eq!(settings.seed_nodes.len(), 2);
     assert!(settings.bootstrap && settings.counts_for_quorum);
--- a/crates/ctl/src/configuration_diff.rs
+++ b/crates/ctl/src/configuration_diff.rs
@@ -121,7 +121,7 @@
         ("MaxConnections", service.max_connections.to_string()),
         ("Protocol", service.protocol.clone()),
         ("Tls", service.tls.to_string()),
-        ("Guards", service.guards.to_string()),
+        ("Guards", service.enforces_capacity.to_string()),
     ]
 }
 
--- a/crates/data-plane/src/options.rs
+++ b/crates/data-plane/src/options.rs
@@ -74,7 +74,7 @@
     ///
     /// The settings lack a listening address.
     pub fn from_settings(settings: &ProcessSettings) -> Result<Self, DataPlaneError> {
-        let client_address = settings.listen.front.ok_or(DataPlaneError::NoListenAddress("Front"))?;
+        let client_address = settings.listen.clients.ok_or(DataPlaneError::NoListenAddress("Front"))?;
         let readiness_address =
             settings.listen.readiness.ok_or(DataPlaneError::NoListenAddress("Readiness"))?;
         let upstream = UpstreamOptions {
--- a/crates/node/src/checks.rs
+++ b/crates/node/src/checks.rs
@@ -74,7 +74,7 @@
 
 fn data_plane_problems(settings: &ProcessSettings) -> Vec<String> {
     let mut problems = shared_problems(settings);
-    for (name, address) in [("Front", settings.listen.front), ("Readiness", settings.listen.readiness)] {
+    for (name, address) in [("Front", settings.listen.clients), ("Readiness", settings.listen.readiness)] {
         if address.is_none() {
             problems
                 .push(format!("ListenAddrs.{name} is missing: let the role serve edge in the deploy file"));
