--- a/crates/configuration/tests/documents/mod.rs
+++ b/crates/configuration/tests/documents/mod.rs
@@ -1,6 +1,6 @@
-//! Valid documents of each kind, and ways to change them.
+//! A valid example document of each kind, and a function to change it.
 
-#![allow(dead_code)] // each test file uses some of them
+#![allow(dead_code)] // Each test file uses only some of them.
 
 pub const CONFIGURATION: &str = r#"{"Version":12,
  "Routes":[
@@ -44,7 +44,7 @@
 
 pub const ORDER_ANSWER: &str = r#"{"NowMs":9002,"Reason":"room","RetryAfterMs":50}"#;
 
-/// `document` with `from`, which must be in it, replaced by `to`.
+/// Replaces the first `from` in `document` by `to`; panics if `from` is missing.
 pub fn changed(document: &str, from: &str, to: &str) -> String {
     assert!(document.contains(from), "{from} is not in the document");
     document.replacen(from, to, 1)
--- a/crates/configuration/tests/fuzz.rs
+++ b/crates/configuration/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Every reader gives a value or a typed error for any input: random bytes, and valid documents with changes.
+//! Every reader returns a value or a typed error for any input: random bytes, and mutated valid documents.
 
 mod documents;
 
@@ -10,8 +10,9 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const DOCUMENTS: [&str; 6] = [CONFIGURATION, LEASE_RENEWAL_ANSWER, INSTANCES, JOB, ORDER_ANSWER, SETTINGS];
+/// Number of random cases per property.
 const CASES: u64 = 2_000;
-/// What changes of documents are made of: fragments of the grammar, and numbers at bounds.
+/// Fragments for mutations: tokens of the JSON grammar, and numbers at limits.
 const FRAGMENTS: [&str; 22] = [
     "{",
     "}",
@@ -37,8 +38,8 @@
     "é",
 ];
 
-/// Hands `bytes` to every reader, and writes the errors out.
-fn read_by_all(bytes: &[u8]) {
+/// Passes `bytes` to every reader and formats the errors.
+fn read_with_all_readers(bytes: &[u8]) {
     let text = String::from_utf8_lossy(bytes);
     let errors = [
         OperatorConfiguration::read(bytes).err().map(|error| error.to_string()),
@@ -53,7 +54,7 @@
     assert!(errors.iter().flatten().all(|error| !error.is_empty()));
 }
 
-/// A valid document with some changes at random places.
+/// A valid document with one to four random changes.
 #[derive(Debug, Clone)]
 struct Mutated(Vec<u8>);
 
@@ -88,7 +89,7 @@
 #[test]
 fn random_bytes_never_panic() {
     fn holds(bytes: Vec<u8>) -> bool {
-        read_by_all(&bytes);
+        read_with_all_readers(&bytes);
         true
     }
     QuickCheck::new().tests(CASES).quickcheck(holds as fn(Vec<u8>) -> bool);
@@ -98,30 +99,30 @@
 fn random_fragments_of_documents_never_panic() {
     fn holds(choices: Vec<usize>) -> bool {
         let text: String = choices.iter().map(|choice| FRAGMENTS[choice % FRAGMENTS.len()]).collect();
-        read_by_all(text.as_bytes());
+        read_with_all_readers(text.as_bytes());
         true
     }
     QuickCheck::new().tests(CASES).quickcheck(holds as fn(Vec<usize>) -> bool);
 }
 
 #[test]
-fn changed_documents_never_panic() {
+fn mutated_documents_never_panic() {
     fn holds(document: Mutated) -> bool {
-        read_by_all(&document.0);
+        read_with_all_readers(&document.0);
         true
     }
     QuickCheck::new().tests(CASES).quickcheck(holds as fn(Mutated) -> bool);
 }
 
 #[test]
-fn every_value_of_a_document_may_be_anything() {
+fn replaced_values_never_panic() {
     for document in DOCUMENTS {
         for (position, _) in document.match_indices(':') {
             for value in ["null", "-1", "1e999", "0.5", "\"\"", "[]", "[[]]", "{}", "true", "1e15"] {
                 let rest = &document[position + 1..];
                 let end = rest.find([',', '}']).unwrap_or(rest.len());
                 let changed = format!("{}:{value}{}", &document[..position], &rest[end..]);
-                read_by_all(changed.as_bytes());
+                read_with_all_readers(changed.as_bytes());
             }
         }
     }
@@ -130,8 +131,8 @@
 #[test]
 fn deep_nesting_never_exhausts_the_stack() {
     for opening in ["[", "{\"a\":", "{", "[{\"a\":"] {
-        read_by_all(opening.repeat(300_000).as_bytes());
+        read_with_all_readers(opening.repeat(300_000).as_bytes());
     }
-    let hidden = format!("{{\"Spec\":\"\\\\\",\"x\":{}", "[".repeat(300_000));
-    read_by_all(hidden.as_bytes());
+    let after_escaped_backslash = format!("{{\"Spec\":\"\\\\\",\"x\":{}", "[".repeat(300_000));
+    read_with_all_readers(after_escaped_backslash.as_bytes());
 }
--- a/crates/configuration/tests/instances.rs
+++ b/crates/configuration/tests/instances.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_last_page_has_no_token() {
+fn last_page_has_no_token() {
     for text in
         [r#"{"Instances":[],"NextToken":null}"#, r#"{"Instances":[]}"#, r#"{"Instances":[],"NextToken":""}"#]
     {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_state_that_is_not_known_counts_as_draining() {
+fn unknown_state_counts_as_draining() {
     let state = |state: &str| {
         let text = format!(r#"{{"Instances":[{{"Id":"i","Backend":"s","Address":"a"{state}}}]}}"#);
         instances::read(text.as_bytes()).expect("valid").instances[0].draining
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_does_not_hide_the_others() {
+fn invalid_entries_are_counted_and_left_out() {
     let text = r#"{"Instances":[7,{"Id":"i"},{"Id":"j","Backend":"s","Address":"a"},
         {"Id":"k","Backend":"s","Address":"a","Available":{"Cpu":-1}}]}"#;
     let page = instances::read(text.as_bytes()).expect("valid");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_page_that_is_no_list_is_an_error() {
+fn page_without_a_list_is_an_error() {
     for text in ["", "[]", "{}", r#"{"Instances":null}"#, r#"{"Instances":{}}"#] {
         assert!(matches!(instances::read(text.as_bytes()), Err(InstancesError::Json(_))), "{text}");
     }
--- a/crates/configuration/tests/job_body.rs
+++ b/crates/configuration/tests/job_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of jobs and their identities.
+//! Job bodies and job IDs.
 
 mod documents;
 
@@ -40,21 +40,21 @@
 }
 
 #[test]
-fn everything_but_one_task_is_optional() {
+fn all_fields_except_one_task_are_optional() {
     let job = valid(r#"{"Stages":[{"Count":1}]}"#);
     assert_eq!(job.stages.len(), 1);
     assert_eq!((job.spec.as_str(), job.start_at_ms, job.interval_ms, job.repeat), ("", 0, 0, 0));
 }
 
 #[test]
-fn variants_of_valid_fields_are_accepted() {
+fn alternative_forms_of_fields_are_accepted() {
     assert_eq!(valid(r#"{"Stages":[{"Count":2.0,"Cpu":1e3}]}"#).stages[0].cpu, 1000);
     assert_eq!(valid(r#"{"Stages":[{"Count":1,"EstRuntimeMs":99.5}]}"#).stages[0].est_runtime_ms, 99);
     assert_eq!(valid(r#"{"Stages":[{"Count":1,"Constraints":["b"]}]}"#).stages[0].constraint, "b");
     assert_eq!(valid(r#"{"Stages":[{"Count":1,"Constraints":[]}]}"#).stages[0].constraint, "");
     assert_eq!(valid(r#"{"Stages":[{"Count":1,"Constraints":null}]}"#).stages[0].constraint, "");
-    let twice = r#"{"Stages":[{"Count":1},{"Count":1},{"Count":1,"DependsOn":[1,0,1]}]}"#;
-    assert_eq!(valid(twice).stages[2].depends_on, [0, 1]);
+    let duplicate = r#"{"Stages":[{"Count":1},{"Count":1},{"Count":1,"DependsOn":[1,0,1]}]}"#;
+    assert_eq!(valid(duplicate).stages[2].depends_on, [0, 1]);
 }
 
 #[test]
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_job_without_tasks_is_rejected() {
+fn job_without_tasks_is_rejected() {
     assert_eq!(read("{}"), Err(JobError::NoSteps));
     assert_eq!(read(r#"{"Stages":[]}"#), Err(JobError::NoSteps));
     assert_eq!(read(r#"{"Stages":null}"#), Err(JobError::NoSteps));
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn a_step_may_depend_on_earlier_ones_only() {
+fn dependency_on_the_same_or_a_later_step_is_rejected() {
     assert_eq!(error("[0]", "[1]"), JobError::DependencyNotEarlier(1, 1));
     assert_eq!(error("[0]", "[0,2]"), JobError::DependencyNotEarlier(1, 2));
     assert_eq!(error(r#""Count":3"#, r#""Count":3,"DependsOn":[0]"#), JobError::DependencyNotEarlier(0, 0));
 }
 
 #[test]
-fn a_spec_over_the_limit_in_characters_is_rejected() {
+fn spec_over_the_limit_in_characters_is_rejected() {
     let with_spec = |spec: String| read(&format!(r#"{{"Spec":"{spec}","Stages":[{{"Count":1}}]}}"#));
     assert!(with_spec("x".repeat(MAX_SPEC_CHARS)).is_ok());
     assert!(with_spec("é".repeat(MAX_SPEC_CHARS)).is_ok());
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn sizes_are_bounded() {
+fn sizes_over_the_limits_are_rejected() {
     let steps =
         |count: usize| read(&format!(r#"{{"Stages":[{}]}}"#, vec![r#"{"Count":1}"#; count].join(",")));
     assert!(steps(MAX_STEPS).is_ok());
@@ -97,9 +97,9 @@
     let tasks = |count: u64| read(&format!(r#"{{"Stages":[{{"Count":1}},{{"Count":{count}}}]}}"#));
     assert!(tasks(MAX_TASKS - 1).is_ok());
     assert_eq!(tasks(MAX_TASKS), Err(JobError::TooManyTasks(MAX_TASKS + 1)));
-    let times = |count: u32| read(&format!(r#"{{"Stages":[{{"Count":1}}],"Repeat":{count}}}"#));
-    assert!(times(MAX_REPEAT).is_ok());
-    assert_eq!(times(MAX_REPEAT + 1), Err(JobError::RepeatTooLarge(MAX_REPEAT + 1)));
+    let repeat = |count: u32| read(&format!(r#"{{"Stages":[{{"Count":1}}],"Repeat":{count}}}"#));
+    assert!(repeat(MAX_REPEAT).is_ok());
+    assert_eq!(repeat(MAX_REPEAT + 1), Err(JobError::RepeatTooLarge(MAX_REPEAT + 1)));
     assert_eq!(error(r#""Gpu":1"#, r#""Gpu":9007199254740992"#), JobError::ResourceTooLarge(1, "Gpu"));
     assert_eq!(
         error(r#""IntervalMs":60000"#, r#""IntervalMs":9007199254740992"#),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_identity_has_16_hex_digits() {
+fn job_id_has_16_lower_case_hex_digits() {
     assert_eq!(job_id::parse("00000000000000af"), Ok(0xaf));
     assert_eq!(job_id::parse("ffffffffffffffff"), Ok(u64::MAX));
     for bad in ["", "af", "00000000000000a", "00000000000000aff", "00000000000000AF", "000000000000000g"] {
@@ -155,11 +155,11 @@
 }
 
 quickcheck! {
-    fn an_identity_is_read_back_as_written(id: u64) -> bool {
+    fn formatted_job_id_parses_to_the_same_id(id: u64) -> bool {
         job_id::parse(&job_id::format(id)) == Ok(id)
     }
 
-    fn an_identity_is_written_back_as_read(text: String) -> bool {
+    fn parsed_job_id_formats_to_the_same_text(text: String) -> bool {
         job_id::parse(&text).map_or(true, |id| job_id::format(id) == text)
     }
 }
--- a/crates/configuration/tests/operator_configuration.rs
+++ b/crates/configuration/tests/operator_configuration.rs
@@ -1,5 +1,4 @@
-//! The operator's configuration: what is valid, each kind of invalid one, and which may follow the current
-//! one.
+//! The operator's configuration: valid and invalid documents, and which version may replace the current one.
 
 mod documents;
 
@@ -18,12 +17,12 @@
     read(CONFIGURATION).expect("the example is valid")
 }
 
-/// The error of the example with one change.
+/// Returns the error of the example with one change.
 fn error(from: &str, to: &str) -> ConfigurationError {
     read(&changed(CONFIGURATION, from, to)).expect_err("the change makes it invalid")
 }
 
-/// The example with one change that leaves it valid.
+/// Returns the example with one change that leaves it valid.
 fn still_valid(from: &str, to: &str) -> OperatorConfiguration {
     read(&changed(CONFIGURATION, from, to)).expect("the change leaves it valid")
 }
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn valid_variants_are_accepted() {
+fn alternative_valid_values_are_accepted() {
     still_valid(r#""Priority":1"#, r#""Priority":null"#);
     still_valid(r#""Priority":1"#, r#""Priority":1.0"#);
     still_valid(r#""Priority":1"#, r#""Priority":1,"Fresh":{"deep":[1,[2]]}"#);
@@ -79,32 +78,32 @@
     still_valid(r#""PathPrefix":"/letters/express/""#, r#""PathPrefix":"/letters""#);
     still_valid(r#""PathPrefix":"/letters/express/""#, r#""PathPrefix":"/Letters/""#);
     still_valid(r#""Version":12"#, r#""Version":9007199254740992"#);
-    let empty = read(r#"{"Version":1,"Routes":[],"Backends":[]}"#).expect("no routes are fine");
+    let empty = read(r#"{"Version":1,"Routes":[],"Backends":[]}"#).expect("empty lists are valid");
     assert!(empty.routes().is_empty());
 }
 
 #[test]
-fn a_truncated_body_is_invalid_at_every_length() {
+fn truncated_body_is_invalid_at_every_length() {
     for length in 0..CONFIGURATION.len() {
         let result = OperatorConfiguration::read(&CONFIGURATION.as_bytes()[..length]);
         let Err(ConfigurationError::Json(error)) = result else {
-            panic!("truncated to {length} bytes it was read");
+            panic!("the body truncated to {length} bytes was accepted");
         };
         assert!(matches!(error, JsonError::Malformed(_)), "{error}");
     }
 }
 
 #[test]
-fn bytes_behind_the_end_are_invalid() {
+fn trailing_bytes_are_invalid() {
     for tail in ["x", "}", "{}", ",", "\0"] {
         let result = read(&format!("{CONFIGURATION}{tail}"));
         assert!(matches!(result, Err(ConfigurationError::Json(JsonError::Malformed(_)))), "{tail:?}");
     }
-    read(&format!(" \r\n{CONFIGURATION}\t\n")).expect("white space around it is fine");
+    read(&format!(" \r\n{CONFIGURATION}\t\n")).expect("surrounding white space is valid");
 }
 
 #[test]
-fn invalid_utf_8_and_too_deep_nesting_are_invalid() {
+fn invalid_utf_8_and_deep_nesting_are_invalid() {
     let not_text = OperatorConfiguration::read(b"{\"Version\":\"\xff\"}");
     assert_eq!(not_text, Err(ConfigurationError::Json(JsonError::NotUtf8)));
     for opening in ["[", "{", "{\"a\":"] {
@@ -124,22 +123,22 @@
 }
 
 #[test]
-fn the_same_host_and_prefix_twice_is_invalid() {
+fn duplicate_host_and_prefix_is_invalid() {
     let same = ConfigurationError::DuplicateHostAndPrefix("letters".into(), "express".into());
     assert_eq!(error("/letters/express/", "/letters/"), same);
 }
 
 #[test]
-fn a_timeout_of_zero_is_invalid() {
-    let no_timeout = ConfigurationError::ZeroTimeout("letters".into());
-    assert_eq!(error(r#""TimeoutMs":2500"#, r#""TimeoutMs":0"#), no_timeout);
+fn zero_or_missing_timeout_is_invalid() {
+    let zero = ConfigurationError::ZeroTimeout("letters".into());
+    assert_eq!(error(r#""TimeoutMs":2500"#, r#""TimeoutMs":0"#), zero);
     let missing = ConfigurationError::Json(JsonError::Missing(Location::entry("Routes", 0), "TimeoutMs"));
     assert_eq!(error(r#""TimeoutMs":2500,"#, ""), missing);
     assert_eq!(error(r#""TimeoutMs":2500"#, r#""TimeoutMs":null"#), missing);
 }
 
 #[test]
-fn no_weight_is_invalid() {
+fn zero_weight_is_invalid() {
     let service = ConfigurationError::ZeroWeight(Location::entry("Backends", 1));
     assert_eq!(error(r#"{"Name":"couriers"}"#, r#"{"Name":"couriers","Weight":0}"#), service);
     let route = ConfigurationError::ZeroWeight(Location::entry("Routes", 0));
@@ -153,30 +152,30 @@
 }
 
 #[test]
-fn old_version_may_not_follow() {
+fn older_version_is_rejected() {
     assert_eq!(valid().check_against(13, Some(13)), Err(VersionError::NotNewer(12, 13)));
 }
 
 #[test]
-fn same_version_may_not_follow() {
+fn same_version_is_rejected() {
     assert_eq!(valid().check_against(12, Some(12)), Err(VersionError::NotNewer(12, 12)));
 }
 
 #[test]
-fn a_version_built_on_another_one_may_not_follow() {
+fn version_not_built_on_the_current_one_is_rejected() {
     assert_eq!(valid().check_against(7, Some(5)), Err(VersionError::NotCurrent(Some(5), 7)));
     assert_eq!(valid().check_against(7, Some(8)), Err(VersionError::NotCurrent(Some(8), 7)));
     assert_eq!(valid().check_against(7, None), Err(VersionError::NotCurrent(None, 7)));
 }
 
 #[test]
-fn a_newer_version_on_top_of_the_current_one_may_follow() {
+fn newer_version_built_on_the_current_one_is_accepted() {
     assert_eq!(valid().check_against(11, Some(11)), Ok(()));
     assert_eq!(valid().check_against(0, Some(0)), Ok(()));
 }
 
 #[test]
-fn if_match_is_a_number_bare_or_quoted() {
+fn if_match_is_a_number_with_or_without_quotes() {
     assert_eq!(parse_if_match("5"), Ok(5));
     assert_eq!(parse_if_match(" \"70\" "), Ok(70));
     for bad in ["", "\"", "\"\"", "+5", "-1", "5.0", "five", "99999999999999999999"] {
@@ -185,7 +184,7 @@
 }
 
 #[test]
-fn same_names_are_invalid() {
+fn duplicate_names_are_invalid() {
     let route = ConfigurationError::DuplicateName(Location::entry("Routes", 1), "letters".into());
     assert_eq!(error(r#""Name":"express""#, r#""Name":"letters""#), route);
     let service = ConfigurationError::DuplicateName(Location::entry("Backends", 1), "sorting".into());
@@ -245,14 +244,17 @@
 }
 
 #[test]
-fn errors_stay_short_whatever_they_quote() {
+fn error_texts_that_quote_the_body_are_short() {
     let long_key = format!("{{[{}]:1}}", "1,".repeat(50_000) + "1");
     let error = read(&long_key).expect_err("a key that is a list is invalid");
     assert!(error.to_string().len() < 1_000);
 }
 
 quickcheck! {
-    fn only_a_higher_version_on_top_of_the_current_one_follows(current: u64, builds_on: Option<u64>) -> bool {
+    fn only_newer_versions_built_on_the_current_one_are_accepted(
+        current: u64,
+        builds_on: Option<u64>
+    ) -> bool {
         let allowed = builds_on == Some(current) && current < 12;
         valid().check_against(current, builds_on).is_ok() == allowed
     }
--- a/crates/configuration/tests/routing.rs
+++ b/crates/configuration/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing by host and longest prefix.
+//! Routing by host and longest path prefix.
 
 mod documents;
 
@@ -12,7 +12,7 @@
     OperatorConfiguration::read(CONFIGURATION.as_bytes()).expect("the example is valid")
 }
 
-/// Name of the route and rest of the path.
+/// Returns the name of the route and the rest of the path.
 fn route(host: &str, path: &str) -> Option<(String, String)> {
     let configuration = example();
     let (route, rest) = configuration.route(host, path)?;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn longest_prefix_wins() {
     assert_eq!(route("post.example", "/letters/00af"), found("letters", "00af"));
     assert_eq!(route("post.example", "/letters/express/00af"), found("express", "00af"));
     assert_eq!(route("post.example", "/letters/expres"), found("letters", "expres"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn case_and_port_of_the_host_do_not_matter() {
+fn case_and_port_of_the_host_are_ignored() {
     for host in ["post.example", "POST.example", "post.example:80", "Post.Example:8080", " post.example "] {
         assert_eq!(route(host, "/letters/"), found("letters", ""), "{host}");
     }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_prefix_without_a_slash_at_its_end_matches_at_a_boundary() {
+fn prefix_without_trailing_slash_matches_only_at_a_boundary() {
     assert_eq!(route("parcels.example", "/in"), found("parcels", ""));
     assert_eq!(route("parcels.example", "/in/"), found("parcels", ""));
     assert_eq!(route("parcels.example", &format!("/in/{ID}")), found("parcels", ID));
@@ -60,13 +60,13 @@
 }
 
 #[test]
-fn a_query_is_left_out() {
+fn query_is_ignored() {
     assert_eq!(route("post.example", "/letters/00af?x=/letters/express/"), found("letters", "00af"));
     assert_eq!(route("parcels.example", "/in?x"), found("parcels", ""));
 }
 
 #[test]
-fn the_host_may_be_an_ipv6_address() {
+fn host_may_be_an_ipv6_address() {
     let text = r#"{"Version":1,"Backends":[{"Name":"s"}],"Routes":[
         {"Name":"r","Host":"[::1]:80","PathPrefix":"/","TimeoutMs":1,"Backend":"s"}]}"#;
     let configuration = OperatorConfiguration::read(text.as_bytes()).expect("valid");
@@ -75,7 +75,7 @@
     assert!(configuration.route("::1", "/x").is_none());
 }
 
-/// A configuration with one route for each of the prefixes `/` + segments + `/`.
+/// Creates a configuration with one route for each prefix.
 fn with_prefixes(prefixes: &[String]) -> Option<OperatorConfiguration> {
     let routes: Vec<String> = prefixes
         .iter()
@@ -90,7 +90,7 @@
     OperatorConfiguration::read(text.as_bytes()).ok()
 }
 
-/// A path over two letters, so that prefixes of each other are common.
+/// Creates a path from segments of two letters, so that paths are often prefixes of each other.
 fn path(shape: &[bool]) -> String {
     let mut path = String::from("/");
     for &is_first in shape.iter().take(5) {
@@ -100,21 +100,26 @@
 }
 
 quickcheck! {
-    fn the_route_is_the_longest_prefix_of_all(shapes: Vec<Vec<bool>>, wanted: Vec<bool>) -> TestResult {
+    fn route_has_the_longest_prefix(shapes: Vec<Vec<bool>>, request_shape: Vec<bool>) -> TestResult {
         let mut prefixes: Vec<String> = shapes.iter().map(|shape| path(shape)).collect();
         prefixes.sort();
         prefixes.dedup();
         let Some(configuration) = with_prefixes(&prefixes) else {
             return TestResult::failed();
         };
-        let wanted = path(&wanted) + ID;
-        let longest = prefixes.iter().filter(|prefix| wanted.starts_with(*prefix)).max_by_key(|prefix| prefix.len());
-        let expected = longest.map(|prefix| (prefix.as_str(), &wanted[prefix.len()..]));
-        let found = configuration.route("h", &wanted).map(|(route, rest)| (route.path_prefix.as_str(), rest));
+        let request_path = path(&request_shape) + ID;
+        let longest = prefixes
+            .iter()
+            .filter(|prefix| request_path.starts_with(*prefix))
+            .max_by_key(|prefix| prefix.len());
+        let expected = longest.map(|prefix| (prefix.as_str(), &request_path[prefix.len()..]));
+        let found = configuration
+            .route("h", &request_path)
+            .map(|(route, rest)| (route.path_prefix.as_str(), rest));
         TestResult::from_bool(found == expected)
     }
 
-    fn any_host_and_path_are_handled(host: String, path: String) -> bool {
+    fn any_host_and_path_are_routed_without_panic(host: String, path: String) -> bool {
         let configuration = example();
         configuration.route(&host, &path);
         configuration.route("post.example", &path);
--- a/crates/configuration/tests/settings.rs
+++ b/crates/configuration/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Reading of the settings file of a process.
 
 mod documents;
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn orders_may_be_delivered_in_answers_to_heartbeats() {
+fn order_delivery_is_read_and_unknown_values_are_errors() {
     let settings = valid(&changed(SETTINGS, r#""Commands":"rpc""#, r#""Commands":"heartbeat""#));
     assert_eq!(settings.order_delivery, OrderDelivery::Heartbeats);
     let unknown = error(r#""Commands":"rpc""#, r#""Commands":"post""#);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn required_fields_must_be_there() {
+fn missing_required_fields_are_errors() {
     for field in ["NodeId", "Ip", "PortRange"] {
         let result = error(&format!("\"{field}\":"), "\"Other\":");
         assert_eq!(result, SettingsError::Json(JsonError::Missing(Location::DOCUMENT, field)));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_truncated_file_is_an_error() {
+fn truncated_file_is_an_error() {
     for length in 0..SETTINGS.len() {
         let result = ProcessSettings::read(&SETTINGS[..length]);
         assert!(
--- a/crates/configuration/tests/worker_calls.rs
+++ b/crates/configuration/tests/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls to workers and of their answers.
+//! Bodies of calls to workers, and the workers' answers.
 
 mod documents;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn bodies_are_as_the_interface_says() {
+fn bodies_match_the_documented_json() {
     let start = StartBody {
         task: "00000000000000aa.0.1.7",
         attempt: 2,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_answer_to_a_lease_renewal_is_read() {
+fn lease_renewal_answer_is_read() {
     let answer = LeaseRenewalAnswer::read(LEASE_RENEWAL_ANSWER.as_bytes()).expect("the example is valid");
     assert_eq!(answer.now_ms, 9001);
     let running = RunningEntry {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn every_kind_of_end_is_read() {
+fn every_end_kind_is_read() {
     for (name, kind) in [
         ("done", EndKind::DONE),
         ("failed", EndKind::FAILED),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_answer_to_a_lease_renewal_must_be_complete() {
+fn incomplete_lease_renewal_answers_are_errors() {
     let missing = WorkerAnswerError::Json(JsonError::Missing(Location::DOCUMENT, "NowMs"));
     assert_eq!(LeaseRenewalAnswer::read(b"{}"), Err(missing));
     for (lists, location) in [
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_answer_to_an_order_is_read() {
+fn order_answer_is_read() {
     let expected =
         OrderAnswer { now_ms: Some(9002), reason: Some(RejectReason::NoCapacity), retry_after_ms: Some(50) };
     assert_eq!(OrderAnswer::read(ORDER_ANSWER.as_bytes()), Ok(expected));
@@ -149,12 +149,18 @@
 }
 
 quickcheck! {
-    fn a_start_is_read_back_as_written(spec: String, checkpoint: String, task: String, attempt: u32, small: u32) -> bool {
+    fn start_body_holds_the_given_values(
+        spec: String,
+        checkpoint: String,
+        task: String,
+        attempt: u32,
+        deadline_ms: u32
+    ) -> bool {
         let start = StartBody {
             task: &task,
             attempt,
             spec: &spec,
-            deadline_ms: u64::from(small),
+            deadline_ms: u64::from(deadline_ms),
             fencing_token: u64::from(attempt),
             checkpoint: &checkpoint,
         };
@@ -162,7 +168,7 @@
             ("TaskId", text(&task)),
             ("Attempt", number(attempt)),
             ("Spec", text(&spec)),
-            ("DeadlineMs", number(small)),
+            ("DeadlineMs", number(deadline_ms)),
             ("FenceToken", number(attempt)),
         ]);
         if !checkpoint.is_empty() {
@@ -171,19 +177,24 @@
         parse(&start.to_json()) == expected
     }
 
-    fn every_short_text_arrives_as_it_is(bytes: Vec<u8>) -> bool {
+    fn ascii_spec_is_preserved(bytes: Vec<u8>) -> bool {
         let spec: String = bytes.iter().map(|byte| char::from(byte % 128)).collect();
         let start = StartBody { task: "t", attempt: 1, spec: &spec, deadline_ms: 0, fencing_token: 0, checkpoint: "" };
         parse(&start.to_json())["Spec"] == text(&spec)
     }
 
-    fn a_stop_is_read_back_as_written(task: String, attempt: u32, fencing_token: u32) -> bool {
+    fn stop_body_holds_the_given_values(task: String, attempt: u32, fencing_token: u32) -> bool {
         let stop = StopBody { task: &task, attempt, fencing_token: u64::from(fencing_token) };
         let expected = object([("TaskId", text(&task)), ("Attempt", number(attempt)), ("FenceToken", number(fencing_token))]);
         parse(&stop.to_json()) == expected
     }
 
-    fn a_lease_renewal_is_read_back_as_written(deadline_ms: Option<u32>, fencing_token: u32, last_seen: u32, wait_ms: Option<u32>) -> bool {
+    fn lease_renewal_body_holds_the_given_values(
+        deadline_ms: Option<u32>,
+        fencing_token: u32,
+        last_seen: u32,
+        wait_ms: Option<u32>
+    ) -> bool {
         let lease_renewal = LeaseRenewalBody {
             deadline_ms: deadline_ms.map(u64::from),
             fencing_token: u64::from(fencing_token),
@@ -196,11 +207,13 @@
         parse(&lease_renewal.to_json()) == expected
     }
 
-    fn lists_are_read_as_a_worker_writes_them(entries: Vec<(String, u32, String, u8)>) -> bool {
+    fn running_list_is_read_as_written(entries: Vec<(String, u32, String, u8)>) -> bool {
         let quoted = |value: &str| text(value).stringify().expect("a text can be written");
         let running: Vec<String> = entries
             .iter()
-            .map(|(task, attempt, saved, percent)| format!("[{},{attempt},{},{percent}]", quoted(task), quoted(saved)))
+            .map(|(task, attempt, checkpoint, percent)| {
+                format!("[{},{attempt},{},{percent}]", quoted(task), quoted(checkpoint))
+            })
             .collect();
         let body = format!(r#"{{"NowMs":5,"Running":[{}],"Finished":[]}}"#, running.join(","));
         let expected: Vec<RunningEntry> = entries
