--- a/crates/admin/src/configuration.rs
+++ b/crates/admin/src/configuration.rs
@@ -1,23 +1,23 @@
-//! Configurations that were taken.
+//! The history of accepted configurations.
 
 use serde::{Deserialize, Serialize};
 
-/// One configuration that was taken.
+/// One accepted configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ConfigurationVersion {
-    /// Its `Version`.
+    /// The `Version` of the configuration.
     pub version: u64,
-    /// The version that it was built on; 0 for the first.
+    /// The version that it was built on; 0 for the first one.
     pub builds_on: u64,
-    /// Hash of its bytes (FNV-1a, 128 bits), hex.
+    /// FNV-1a hash of its bytes, 128 bits in hex.
     pub digest: String,
 }
 
-/// All configurations that are remembered, the oldest first; the last one is in force.
+/// All accepted configurations that are kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ConfigurationHistory {
-    /// In the order in which they were taken.
+    /// In the order of their acceptance; the last one is in force.
     pub versions: Vec<ConfigurationVersion>,
 }
--- a/crates/admin/src/jobs.rs
+++ b/crates/admin/src/jobs.rs
@@ -1,18 +1,18 @@
-//! One job: where its attempts are, how they ended, what its steps wait for.
+//! The report on a job: where its attempts run, how past attempts ended, and what its steps wait for.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How far an attempt has come.
+/// The phase of an attempt that occupies a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptPhase {
     /// The intent to start is not yet durable.
     Proposed,
-    /// The worker was, or is being, told; it has not listed the attempt.
+    /// The start order was sent or is being sent; the worker has not listed the attempt yet.
     Ordered,
-    /// The worker lists it.
+    /// The worker lists the attempt as running.
     Running,
-    /// A stop was asked for.
+    /// A stop was requested.
     Stopping,
 }
 
@@ -22,65 +22,65 @@
 pub struct AttemptReport {
     /// The task, `ID.K.STEP.INDEX`.
     pub task: String,
-    /// Number of the start.
+    /// Number of the attempt.
     pub attempt: u32,
     /// The worker's incarnation.
     pub instance: String,
-    /// Where the worker is.
+    /// Address of the worker.
     pub address: String,
-    /// How far it has come.
+    /// Phase of the attempt.
     pub phase: AttemptPhase,
-    /// How long it is known to run, in milliseconds.
+    /// For how long the attempt has been known to run, in milliseconds.
     pub running_for_ms: Option<u64>,
-    /// Share of its work that is done, in percent.
+    /// Completed share of the work, in percent.
     pub percent: u32,
-    /// How long ago it last got further, in milliseconds.
+    /// Time since the last progress, in milliseconds.
     pub quiet_for_ms: u64,
-    /// Whether a checkpoint of it is known.
+    /// Whether a checkpoint of the attempt is known.
     pub saved: bool,
-    /// Workers that are avoided since the task failed or stood still there.
+    /// Workers that are avoided because the task failed or stalled there.
     pub avoided: Vec<String>,
 }
 
-/// An attempt that is over.
+/// An attempt that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PastAttempt {
     /// The task, `ID.K.STEP.INDEX`.
     pub task: String,
-    /// Number of the start.
+    /// Number of the attempt.
     pub attempt: u32,
     /// The worker's incarnation.
     pub instance: String,
-    /// How it ended: the worker's word, or why it surely does not run.
+    /// How the attempt ended, as reported by the worker, or why it is certain that it no longer runs.
     pub how: String,
-    /// How long ago that was, in milliseconds.
+    /// Time since its end, in milliseconds.
     pub ended_ago_ms: u64,
-    /// How long it was known to run, in milliseconds.
+    /// For how long the attempt was known to run, in milliseconds.
     pub ran_for_ms: Option<u64>,
-    /// Share of its work that was done, in percent.
+    /// Completed share of the work, in percent.
     pub percent: u32,
 }
 
-/// Why a task may not start on a worker.
+/// Why a task cannot start on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all_fields = "PascalCase")]
 pub enum Obstacle {
-    /// The worker may take no starts.
+    /// The worker currently accepts no starts.
     NotUsable,
-    /// It does not have the label that is asked for.
+    /// The worker lacks the required label.
     LacksLabel {
-        /// The label.
+        /// The required label.
         label: String,
     },
-    /// Even empty it has too little.
+    /// The total capacity of the worker is too small for the task.
     TooSmall,
-    /// Too little of it is free now.
+    /// The free capacity of the worker is currently too small.
     #[serde(rename = "NoRoom")]
     NoCapacity,
-    /// As many tasks of the step are there as may be.
+    /// The worker already runs the maximum number of tasks of the step.
     AntiAffinity,
-    /// None: the task may start there when its turn comes.
+    /// No obstacle: the task can start there when its turn comes.
     None,
 }
 
@@ -97,15 +97,15 @@
     }
 }
 
-/// How many workers have an obstacle.
+/// The number of workers with the same obstacle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ObstacleCount {
-    /// The first obstacle that each of them has.
+    /// The first obstacle that applies to each of these workers.
     pub obstacle: Obstacle,
-    /// How many workers.
+    /// Number of workers.
     pub workers: u32,
-    /// One of them.
+    /// One of these workers.
     pub example: String,
 }
 
@@ -113,73 +113,73 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all_fields = "PascalCase")]
 pub enum Waiting {
-    /// Nothing: its tasks are done.
+    /// Nothing: all its tasks are done.
     Done,
-    /// Ends of its attempts: no task waits for a start.
+    /// The end of its attempts: no task waits for a start.
     Attempts,
-    /// Its time of day.
+    /// Its due time.
     DueTime {
-        /// In milliseconds since 1970.
+        /// The due time, in milliseconds since 1970.
         at_ms: u64,
     },
-    /// Other steps whose tasks must all be done.
+    /// The completion of other steps.
     Steps {
-        /// Their numbers.
+        /// Numbers of these steps.
         steps: Vec<u32>,
     },
-    /// A worker.
+    /// A worker on which its tasks can start.
     Worker {
-        /// Tasks that wait.
+        /// Number of tasks that wait.
         tasks: u32,
-        /// What stands against the workers of the service.
+        /// Obstacles on the workers of the service.
         obstacles: Vec<ObstacleCount>,
     },
 }
 
-/// One step at one of the job's times.
+/// A step in one occurrence of a repeated job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct StepReport {
-    /// Which of the job's repeats, counted from 0.
+    /// Number of the occurrence, counted from 0.
     pub time: u32,
     /// Number of the step.
     pub step: u32,
-    /// Its tasks.
+    /// Number of its tasks.
     pub count: u32,
-    /// Its tasks that are done.
+    /// Number of its tasks that are done.
     pub done: u32,
-    /// Its attempts that may be running.
+    /// Number of its attempts that may be running.
     pub active: u32,
-    /// The most failed runs of any of its tasks, or of its gang.
+    /// Maximum number of failed runs of any of its tasks, or of its gang.
     pub failures: u32,
-    /// What it waits for.
+    /// What the step waits for.
     pub waiting: Waiting,
 }
 
-/// One job.
+/// The report on a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct JobReport {
-    /// Its identity, 16 hex digits.
+    /// Job ID, 16 hex digits.
     pub id: String,
     /// `pending`, `running`, `completed`, `failed` or `cancelled`.
     pub state: String,
-    /// Host and path prefix under which it was submitted.
+    /// Host and path prefix of the queue to which the job was submitted.
     pub queue: String,
-    /// The service whose workers run it; empty once it has ended.
+    /// The service whose workers run the job; empty once it has ended.
     pub service: String,
-    /// Its priority.
+    /// Priority of the job.
     pub priority: u32,
-    /// Failed runs of one task with which the job fails.
+    /// Number of failed runs of a single task with which the job fails.
     pub max_retries: u32,
-    /// When it was accepted, in milliseconds since 1970; 0 once it has ended.
+    /// Time of acceptance, in milliseconds since 1970; 0 once the job has ended.
     pub accepted_at_ms: u64,
-    /// When it ended, in milliseconds since 1970; 0 while it is open.
+    /// Time of the end, in milliseconds since 1970; 0 while the job is open.
     pub ended_at_ms: u64,
-    /// Steps of the open times, the earliest first; a bounded number of them.
+    /// Steps of the open occurrences, the earliest first; limited in number.
     pub steps: Vec<StepReport>,
     /// Attempts that occupy workers.
     pub attempts: Vec<AttemptReport>,
-    /// The newest attempts that are over, as far as this leader remembers.
+    /// The most recent attempts that have ended, as far as this leader knows them.
     pub past_attempts: Vec<PastAttempt>,
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Documents of the administrators' interface: written by core processes, read by the command line.
+//! Documents of the admin API: core processes write them, and the command line reads them.
 //!
-//! They are JSON objects with the field names below in `PascalCase`. Identities of processes and jobs are texts of
-//! hex digits, since not every reader of JSON keeps 64 bits of a number.
+//! The documents are JSON objects with the field names below in `PascalCase`. Identities of processes and
+//! jobs are strings of hex digits, because not every JSON reader preserves 64-bit numbers.
 
 #![warn(missing_docs)]
 
@@ -22,10 +22,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request was not carried out.
+/// The document of a rejected request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ErrorReport {
-    /// What is wrong and what to do about it.
+    /// What is wrong and how to correct it.
     pub error: String,
 }
--- a/crates/admin/src/queues.rs
+++ b/crates/admin/src/queues.rs
@@ -1,99 +1,99 @@
-//! Queues and deficits of mQoS.
+//! The report on the queues and deficits of the mQoS scheduler.
 
 use crate::workers::ResourceAmounts;
 use serde::{Deserialize, Serialize};
 
-/// Shares of the whole of each resource.
+/// Shares of the total amount of each resource.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ResourceShares {
-    /// Of all processor time.
+    /// Share of the total processor time.
     pub cpu: f64,
-    /// Of all memory.
+    /// Share of the total memory.
     pub mem_mb: f64,
-    /// Of all devices.
+    /// Share of the total number of GPUs.
     pub gpu: f64,
 }
 
-/// The step that is first in its plan.
+/// The first step in the queue of a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct FirstStep {
-    /// The job, 16 hex digits.
+    /// Job ID, 16 hex digits.
     pub job: String,
-    /// Which of the job's repeats, counted from 0.
+    /// Number of the occurrence of a repeated job, counted from 0.
     pub time: u32,
     /// Number of the step.
     pub step: u32,
-    /// Its tasks that wait.
+    /// Number of its tasks that wait.
     pub waiting_tasks: u32,
-    /// How long it has been first without a start, in milliseconds.
+    /// For how long the step has been first without a start, in milliseconds.
     pub first_for_ms: u64,
-    /// Whether there is no room for it now.
+    /// Whether no worker currently has capacity for the step.
     #[serde(rename = "NoRoom")]
     pub no_capacity: bool,
 }
 
-/// One plan: the jobs of one priority.
+/// A plan: the jobs of one priority.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PlanReport {
-    /// The priority; the last plan stands for all lower ones.
+    /// The priority. The last plan also holds all lower priorities.
     pub priority: u32,
-    /// Its weight in the round robin.
+    /// Weight of the plan in the deficit round robin.
     pub weight: f64,
-    /// What it may still take of each resource before its next quantum.
+    /// Deficit counters: how much of each resource the plan may still use before its next quantum.
     pub deficits: ResourceShares,
-    /// Steps that wait.
+    /// Number of steps that wait.
     pub waiting_steps: u32,
-    /// Tasks that wait.
+    /// Number of tasks that wait.
     pub waiting_tasks: u64,
-    /// Steps among them for which there is no room now.
+    /// Number of waiting steps for which no worker currently has capacity.
     #[serde(rename = "StepsWithoutRoom")]
     pub steps_without_capacity: u32,
-    /// The first step.
+    /// The first step that waits.
     pub first: Option<FirstStep>,
 }
 
-/// Room that is kept free for a large step.
+/// Capacity of a worker that is reserved for a large step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ReservedCapacity {
-    /// The job, 16 hex digits.
+    /// Job ID, 16 hex digits.
     pub job: String,
     /// Number of the step.
     pub step: u32,
-    /// The worker on which room is kept.
+    /// The worker whose capacity is reserved.
     pub instance: String,
-    /// How much is kept so far.
+    /// The amounts reserved so far.
     pub held: ResourceAmounts,
 }
 
-/// Workers and queues of one service.
+/// The workers and queues of one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct QueueReport {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its workers.
+    /// Number of its workers.
     pub workers: u32,
-    /// Those that may take starts.
+    /// Number of its workers that accept starts.
     pub usable_workers: u32,
-    /// What these have together.
+    /// Total resources of the usable workers.
     pub total: ResourceAmounts,
-    /// What of that is not reserved.
+    /// Resources of the usable workers that are not reserved.
     pub free: ResourceAmounts,
-    /// Plans in which something waits or a deficit is open.
+    /// Plans with waiting steps or a non-zero deficit.
     pub plans: Vec<PlanReport>,
-    /// Room that is kept for a step that found none for long.
+    /// Capacity reserved for a step that has found none for a long time.
     #[serde(rename = "KeptRoom")]
     pub reserved_capacity: Option<ReservedCapacity>,
 }
 
-/// All services.
+/// The report on all services.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Queues {
-    /// In order of their names.
+    /// The services in the order of their names.
     pub services: Vec<QueueReport>,
 }
--- a/crates/admin/src/status.rs
+++ b/crates/admin/src/status.rs
@@ -1,95 +1,95 @@
-//! One core process as a member of the group.
+//! The status of a core process, and the answers to its commands.
 
 use serde::{Deserialize, Serialize};
 
-/// What a core process does in its group.
+/// The role of a core process in its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProcessRole {
-    /// It leads, and its lease is in force.
+    /// The leader, with a valid lease.
     Leader,
-    /// It was elected but cannot confirm, or not yet, that it leads.
+    /// Elected as leader, but without a valid lease at the moment.
     LeaderWithoutLease,
-    /// A voter that follows.
+    /// A voter that is not the leader.
     Follower,
-    /// It replicates the log and has no vote yet.
+    /// A member that replicates the log and does not vote yet.
     Learner,
-    /// It is not a member: it asks to join.
+    /// Not a member; it asks to join.
     Joining,
 }
 
-/// A member as the answering process knows it.
+/// A member of the group as known to the answering process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MemberEntry {
-    /// Its identity, hex.
+    /// Identity in hex.
     pub id: String,
-    /// Where it listens for other processes.
+    /// Peer address.
     pub address: String,
-    /// Where its operator's API is.
+    /// `Control` address, where the operator's API is served.
     pub control: String,
-    /// Whether it votes.
+    /// Whether the member votes.
     pub voter: bool,
 }
 
-/// The state of one core process.
+/// The status of a core process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ProcessStatus {
     /// `NodeId` of its settings.
     pub node_name: String,
-    /// Its identity, hex.
+    /// Identity in hex.
     pub id: String,
-    /// What it does in the group.
+    /// Role in the group.
     pub role: ProcessRole,
-    /// The newest term it knows.
+    /// The highest term that the process knows.
     pub term: u64,
-    /// The leader it knows of, hex; none while there is an election.
+    /// Identity of the known leader in hex; none during an election.
     pub leader: Option<String>,
     /// The leader's `Control` address.
     pub leader_control: Option<String>,
-    /// How much longer its lease lasts, in milliseconds; 0 unless it leads.
+    /// Remaining time of its leader lease in milliseconds; 0 unless it leads.
     pub lease_left_ms: u64,
-    /// Entries of the log up to here are committed, as far as it knows.
+    /// Index of the last log entry that the process knows to be committed.
     pub commit_index: u64,
-    /// Entries up to here are applied.
+    /// Index of the last applied log entry.
     pub applied_index: u64,
-    /// The last entry of its log.
+    /// Index of the last entry in its log.
     pub last_index: u64,
-    /// The last entry that its newest snapshot covers.
+    /// Index of the last entry that its newest snapshot covers.
     pub snapshot_index: u64,
-    /// The configuration in force, as far as it has applied the log; 0 for none.
+    /// Version of the configuration in force at `applied_index`; 0 for none.
     pub configuration_version: u64,
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub open_jobs: u64,
-    /// Jobs that are known, ended ones included.
+    /// Number of known jobs, including ended ones.
     pub known_jobs: u64,
-    /// Whether it was asked to stop.
+    /// Whether the process was asked to stop.
     pub stopping: bool,
-    /// Why it knows no leader that takes commands, in the words of its log; none if it knows one.
+    /// Why the process knows no leader that accepts commands, worded as in its log; none if it knows one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leadership_obstacle: Option<String>,
     /// All members, voters and learners.
     pub members: Vec<MemberEntry>,
 }
 
-/// Leadership is being handed over.
+/// The answer to a request to transfer leadership.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TransferStart {
-    /// The leader that gives it away, hex.
+    /// Identity of the leader that transfers leadership, in hex.
     pub from: String,
-    /// Its term; the next leader's is higher.
+    /// Term of that leader; the term of the next leader is higher.
     pub term: u64,
 }
 
-/// A snapshot was asked for.
+/// The answer to a request to take a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SnapshotStart {
-    /// The process that takes it, hex.
+    /// Identity of the process that takes the snapshot, in hex.
     pub id: String,
-    /// The last entry that it will cover.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// False if the newest snapshot covers all entries already, so that none is taken.
+    /// Whether a snapshot was started; false if the newest snapshot already covers all entries.
     pub begun: bool,
 }
--- a/crates/admin/src/workers.rs
+++ b/crates/admin/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers as the leader sees them.
+//! The report on the workers that the leader knows.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -11,40 +11,41 @@
     pub cpu: u64,
     /// Memory in MB.
     pub mem_mb: u64,
-    /// Devices.
+    /// Number of GPUs.
     pub gpu: u64,
 }
 
-/// Why a worker may take no starts.
+/// Why a worker accepts no starts at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all_fields = "PascalCase")]
 pub enum WorkerObstacle {
-    /// The platform's newest list does not show it.
+    /// The worker is missing in the platform's newest list.
     NotListed,
-    /// It is about to end.
+    /// The worker is draining.
     Draining {
-        /// The least time that is left, in milliseconds.
+        /// Minimum remaining time, in milliseconds.
         left_ms: u64,
     },
-    /// It does not answer calls.
+    /// The worker does not answer calls.
     Unreachable,
-    /// It refuses calls as unhealthy.
+    /// The worker rejects calls because it is unhealthy.
     Unhealthy,
-    /// This incarnation of it has ended.
+    /// This incarnation of the worker has ended.
     #[serde(rename = "LifeOver")]
     IncarnationEnded,
-    /// It has just refused a start.
+    /// The worker has recently rejected a start.
     RefusedStart {
-        /// When it is tried again, in milliseconds from now.
+        /// Time until it is tried again, in milliseconds.
         left_ms: u64,
     },
-    /// Attempts of several jobs failed or stood still there, more often than on its peers.
+    /// The worker is ejected: attempts of several jobs failed or stalled there, more often than on other
+    /// workers.
     #[serde(rename = "Convicted")]
     Ejected {
-        /// When it is tried again, in milliseconds from now.
+        /// Time until it is tried again, in milliseconds.
         left_ms: u64,
     },
-    /// Ejected before: one attempt at a time until one ends well.
+    /// The worker is on probation after an ejection: it gets one attempt at a time until one succeeds.
     OnProbation,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// One incarnation of a worker.
+/// The report on one incarnation of a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WorkerReport {
@@ -73,35 +74,35 @@
     pub instance: String,
     /// `ip:port`.
     pub address: String,
-    /// The service whose tasks it runs.
+    /// The service whose tasks the worker runs.
     pub service: String,
-    /// Where it stands; empty before the first list.
+    /// Zone of the worker; empty before the platform's first list.
     pub zone: String,
-    /// Its labels, the rack among them.
+    /// Labels of the worker, among them its rack.
     pub labels: Vec<String>,
-    /// Whether it may take starts now.
+    /// Whether the worker accepts starts at the moment.
     pub usable: bool,
-    /// Why not, if it may not.
+    /// Why the worker accepts no starts; empty if it is usable.
     pub obstacles: Vec<WorkerObstacle>,
-    /// All that it has.
+    /// Total resources of the worker.
     pub capacity: ResourceAmounts,
-    /// What is not reserved.
+    /// Resources that are not reserved.
     pub free: ResourceAmounts,
-    /// Attempts that occupy it.
+    /// Number of attempts that occupy the worker.
     pub attempts: u32,
-    /// Pace beside its peers in percent, 100 at most.
+    /// Speed relative to other workers, in percent, at most 100.
     pub pace_percent: u32,
-    /// Share of good ends among the newest, in percent.
+    /// Share of successful ends among the most recent ones, in percent.
     pub trust_percent: u32,
-    /// Failed or stalled attempts since the last good end.
+    /// Number of failed or stalled attempts since the last successful one.
     #[serde(rename = "BadInARow")]
     pub consecutive_failures: u32,
 }
 
-/// All workers that the leader knows.
+/// The report on all workers that the leader knows.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Workers {
-    /// In the order in which they became known.
+    /// The workers in the order in which the leader learned of them.
     pub workers: Vec<WorkerReport>,
 }
--- a/crates/admin/tests/golden_documents.rs
+++ b/crates/admin/tests/golden_documents.rs
@@ -1,8 +1,8 @@
-//! Every document of the administrators' interface is read and written as it always was: the command line and the core
-//! process may be of two versions.
+//! The JSON form of every document of the admin API does not change: the command line and the core process
+//! may have different versions.
 //!
-//! Each file in `golden/` is a list of one document's examples, with every field and every variant. A field of a type
-//! may be renamed if its name in the file stays; the files must not change.
+//! Each file in `golden/` is a list of examples of one document, with every field and every variant. A field
+//! of a type may be renamed if its name in the file stays; the files must not change.
 
 use admin::{
     paths, ConfigurationHistory, ErrorReport, JobReport, ProcessStatus, Queues, SnapshotStart, TransferStart,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn documents_of_a_process_are_as_they_were() {
+fn process_documents_match_the_golden_files() {
     assert_golden::<ProcessStatus>(include_str!("golden/process_status.json"));
     assert_golden::<TransferStart>(include_str!("golden/transfer_start.json"));
     assert_golden::<SnapshotStart>(include_str!("golden/snapshot_start.json"));
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn documents_of_the_leader_are_as_they_were() {
+fn leader_documents_match_the_golden_files() {
     assert_golden::<JobReport>(include_str!("golden/job_report.json"));
     assert_golden::<Queues>(include_str!("golden/queues.json"));
     assert_golden::<Workers>(include_str!("golden/workers.json"));
 }
 
 #[test]
-fn paths_are_as_they_were() {
+fn paths_do_not_change() {
     let paths = [
         paths::STATUS,
         paths::WORKERS,
