--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -24,12 +24,12 @@
   snapshot            let the first process that answers take a snapshot now
 
 Exit codes: 0 done, 1 refused or invalid, 2 no clear answer, 64 the command line is not understood.";
-/// How long a command asks for a clear answer if none is given.
-const DEFAULT_WAIT_LIMIT: Duration = Duration::from_secs(5);
-/// The longest time that may be asked for.
-const MAX_WAIT_LIMIT_S: u64 = 600;
+/// Default timeout of a command.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum timeout of a command, in seconds.
+const MAX_TIMEOUT_S: u64 = 600;
 
-/// What is to be done.
+/// A command on a running group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     Members,
@@ -40,7 +40,7 @@
     },
     ConfigPut {
         file: PathBuf,
-        /// The version that it builds on; the one in force if not given.
+        /// The version that the file builds on; if none, the version in force.
         builds_on: Option<u64>,
     },
     ConfigHistory,
@@ -57,29 +57,33 @@
     Snapshot,
 }
 
-/// A command and how it is carried out.
+/// A command and its common options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arguments {
-    /// What is to be done.
+    /// The command.
     pub command: Command,
     /// `Control` addresses of core processes, tried in this order.
     pub control: Vec<SocketAddr>,
-    /// Print documents as they are in place of tables.
+    /// Whether to print the unchanged documents instead of tables.
     pub json: bool,
-    /// How long to ask for a clear answer.
-    pub wait_limit: Duration,
+    /// How long to retry until a process gives a clear answer.
+    pub timeout: Duration,
 }
 
-/// What the words ask for.
+/// The action that the command line selects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// Print this text.
+    /// Print this help text.
     Help(String),
-    /// Carry out a command.
+    /// Run a command.
     Run(Arguments),
 }
 
-/// Reads the words after `ctl`.
+/// Parses the words after `ctl`.
+///
+/// # Errors
+///
+/// [`CtlError::Usage`] if they are invalid.
 pub fn read(words: &[String]) -> Result<Request, CtlError> {
     let options = options();
     let matches = options.parse(words).map_err(|error| CtlError::Usage(error.to_string()))?;
@@ -91,8 +95,8 @@
         return Err(CtlError::Usage("--on is for config put only".to_owned()));
     }
     let control = read_addresses(&matches.opt_strs("control"))?;
-    let wait_limit = read_wait_limit(matches.opt_str("timeout"))?;
-    Ok(Request::Run(Arguments { command, control, json: matches.opt_present("json"), wait_limit }))
+    let timeout = read_timeout(matches.opt_str("timeout"))?;
+    Ok(Request::Run(Arguments { command, control, json: matches.opt_present("json"), timeout }))
 }
 
 fn options() -> Options {
@@ -132,7 +136,7 @@
         ["transfer"] => Command::Transfer,
         ["snapshot"] => Command::Snapshot,
         [] => return Err(CtlError::Usage("a command must be given".to_owned())),
-        _ => return Err(CtlError::Usage(format!("{:?} is no command", words.join(" ")))),
+        _ => return Err(CtlError::Usage(format!("{:?} is not a command", words.join(" ")))),
     })
 }
 
@@ -140,14 +144,14 @@
     let Some(text) = text else { return Ok(None) };
     text.parse()
         .map(Some)
-        .map_err(|_| CtlError::Usage(format!("{text:?} is no version, give a whole number")))
+        .map_err(|_| CtlError::Usage(format!("{text:?} is not a version, give a whole number")))
 }
 
 fn read_addresses(lists: &[String]) -> Result<Vec<SocketAddr>, CtlError> {
     let texts = lists.iter().flat_map(|list| list.split(',')).filter(|text| !text.is_empty());
     let addresses: Result<Vec<SocketAddr>, CtlError> = texts
         .map(|text| {
-            text.parse().map_err(|_| CtlError::Usage(format!("{text:?} is no address, give ip:port")))
+            text.parse().map_err(|_| CtlError::Usage(format!("{text:?} is not an address, give ip:port")))
         })
         .collect();
     let addresses = addresses?;
@@ -157,12 +161,10 @@
     Ok(addresses)
 }
 
-fn read_wait_limit(text: Option<String>) -> Result<Duration, CtlError> {
-    let Some(text) = text else { return Ok(DEFAULT_WAIT_LIMIT) };
+fn read_timeout(text: Option<String>) -> Result<Duration, CtlError> {
+    let Some(text) = text else { return Ok(DEFAULT_TIMEOUT) };
     match text.parse() {
-        Ok(seconds) if (1..=MAX_WAIT_LIMIT_S).contains(&seconds) => Ok(Duration::from_secs(seconds)),
-        _ => Err(CtlError::Usage(format!(
-            "--timeout {text:?} is not between 1 and {MAX_WAIT_LIMIT_S} seconds"
-        ))),
+        Ok(seconds) if (1..=MAX_TIMEOUT_S).contains(&seconds) => Ok(Duration::from_secs(seconds)),
+        _ => Err(CtlError::Usage(format!("--timeout {text:?} is not between 1 and {MAX_TIMEOUT_S} seconds"))),
     }
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to core processes: tries one address after another, follows the leader.
+//! HTTP client for core processes: tries one address after another and follows redirects to the leader.
 
 use crate::error::CtlError;
 use admin::ErrorReport;
@@ -15,45 +15,45 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::timeout;
 
-/// The longest time for one call.
+/// Timeout for opening a connection, and for the exchange on it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after all addresses were tried.
+/// Pause between attempts after all addresses have failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Redirections that are followed in a row.
-const MAX_REDIRECTIONS: usize = 2;
-/// The longest answer that is read.
+/// Maximum number of consecutive redirects to follow.
+const MAX_REDIRECTS: usize = 2;
+/// Maximum size of an answer body, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// What is asked of a process.
+/// A request to a core process.
 #[derive(Debug, Clone)]
 pub struct Call {
     method: Method,
     path: String,
     if_match: Option<u64>,
     body: Bytes,
-    /// Whether it may be sent again although it may already have taken effect.
+    /// Whether the call may be sent again after it may have taken effect.
     idempotent: bool,
 }
 
 impl Call {
-    /// Asks for a document.
+    /// A call that reads a document.
     pub fn get(path: impl Into<String>) -> Self {
         let (method, path) = (Method::GET, path.into());
         Call { method, path, if_match: None, body: Bytes::new(), idempotent: true }
     }
 
-    /// Gives an order that is to be carried out once.
+    /// A call that starts an action and must not be repeated.
     pub fn post(path: impl Into<String>) -> Self {
         Call { method: Method::POST, idempotent: false, ..Call::get(path) }
     }
 
-    /// Gives the configuration; the same one counts once, however often it is sent.
+    /// A call that sends the configuration. Repeating it has no further effect.
     pub fn put(path: impl Into<String>, if_match: u64, body: Vec<u8>) -> Self {
         Call { method: Method::PUT, if_match: Some(if_match), body: body.into(), ..Call::get(path) }
     }
 }
 
-/// A clear answer.
+/// An answer of a core process.
 #[derive(Debug)]
 pub struct Answer {
     status: StatusCode,
@@ -63,12 +63,12 @@
 }
 
 impl Answer {
-    /// Reads the document in the body.
+    /// Parses the document in the body.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, CtlError> {
-        serde_json::from_slice(&self.body).map_err(|error| CtlError::Answer(error.to_string()))
+        serde_json::from_slice(&self.body).map_err(|error| CtlError::UnreadableAnswer(error.to_string()))
     }
 
-    /// The reason that a refusal gives.
+    /// The reason of a rejection, or its status if the body holds none.
     fn error_text(&self) -> String {
         match serde_json::from_slice::<ErrorReport>(&self.body) {
             Ok(report) => report.error,
@@ -77,44 +77,49 @@
     }
 }
 
-/// Why one address gave no clear answer.
+/// Why an address gave no clear answer.
 enum Failure {
-    /// Surely nothing was done: another address may be tried.
+    /// The call was certainly not carried out, so another address may be tried.
     NotDone(String),
     /// The call may have been carried out.
     Interrupted(String),
 }
 
-/// Calls to a group of core processes.
+/// Client for a group of core processes.
 pub struct Client {
     runtime: Runtime,
     addresses: Vec<SocketAddr>,
-    wait_limit: Duration,
+    timeout: Duration,
 }
 
 impl Client {
-    /// A client that tries these addresses for that long.
-    pub fn new(addresses: Vec<SocketAddr>, wait_limit: Duration) -> Result<Self, CtlError> {
+    /// Creates a client that tries `addresses` in order, and retries until `timeout`.
+    pub fn new(addresses: Vec<SocketAddr>, timeout: Duration) -> Result<Self, CtlError> {
         let runtime = Builder::new_current_thread().enable_all().build().map_err(CtlError::Runtime)?;
-        Ok(Client { runtime, addresses, wait_limit })
+        Ok(Client { runtime, addresses, timeout })
     }
 
-    /// How long to ask for a clear answer.
-    pub fn wait_limit(&self) -> Duration {
-        self.wait_limit
+    /// How long to retry until a process gives a clear answer.
+    pub fn timeout(&self) -> Duration {
+        self.timeout
     }
 
-    /// Makes a call until an address gives a clear answer.
+    /// Tries all addresses repeatedly until one gives a clear answer.
+    ///
+    /// # Errors
+    ///
+    /// The call was rejected, the timeout expired, or the outcome of a call that must not be repeated is
+    /// unknown.
     pub fn call(&self, call: &Call) -> Result<Answer, CtlError> {
-        let deadline = Instant::now() + self.wait_limit;
+        let deadline = Instant::now() + self.timeout;
         self.runtime.block_on(async {
             loop {
                 let mut last = String::new();
                 for address in &self.addresses {
-                    match follow(*address, call).await {
-                        Ok(answer) => return clear(answer),
+                    match send_with_redirects(*address, call).await {
+                        Ok(answer) => return check_status(answer),
                         Err(Failure::Interrupted(reason)) if !call.idempotent => {
-                            return Err(CtlError::Unsure(reason))
+                            return Err(CtlError::OutcomeUnknown(reason))
                         }
                         Err(Failure::Interrupted(reason) | Failure::NotDone(reason)) => last = reason,
                     }
@@ -127,34 +132,35 @@
         })
     }
 
-    /// Makes a call to one process once, without following it elsewhere; `None` if it gives no clear answer.
+    /// Makes a call to one process once, without following redirects; `None` unless it succeeds.
     pub fn call_one(&self, address: SocketAddr, call: &Call) -> Option<Answer> {
         let answer = self.runtime.block_on(send(address, call)).ok()?;
         answer.status.is_success().then_some(answer)
     }
 
-    /// Waits a moment before the next query.
+    /// Waits for `RETRY_PAUSE` before the next attempt.
     pub fn pause(&self) {
         std::thread::sleep(RETRY_PAUSE);
     }
 }
 
-/// An answer that is no success is a refusal.
-fn clear(answer: Answer) -> Result<Answer, CtlError> {
+/// Returns a successful answer; turns any other into a rejection.
+fn check_status(answer: Answer) -> Result<Answer, CtlError> {
     if answer.status.is_success() {
         return Ok(answer);
     }
     Err(CtlError::Refused(answer.error_text()))
 }
 
-/// Makes the call at an address and where that one points to.
-async fn follow(first: SocketAddr, call: &Call) -> Result<Answer, Failure> {
+/// Makes the call at an address and follows its redirects.
+async fn send_with_redirects(first: SocketAddr, call: &Call) -> Result<Answer, Failure> {
     let mut address = first;
-    for _ in 0..=MAX_REDIRECTIONS {
+    for _ in 0..=MAX_REDIRECTS {
         let answer = send(address, call).await?;
         if answer.status == StatusCode::TEMPORARY_REDIRECT {
             let target = answer.location.as_deref().and_then(address_of);
-            address = target.ok_or_else(|| Failure::NotDone(format!("{address} points to no address")))?;
+            address = target
+                .ok_or_else(|| Failure::NotDone(format!("{address} redirects without a valid address")))?;
             continue;
         }
         if answer.status.is_server_error() {
@@ -164,10 +170,10 @@
         }
         return Ok(answer);
     }
-    Err(Failure::NotDone("redirections without an end: the group is electing a leader".to_owned()))
+    Err(Failure::NotDone("too many redirects: the group is electing a leader".to_owned()))
 }
 
-/// The address in `http://ip:port/path`.
+/// Extracts the address from a URL such as `http://ip:port/path`.
 fn address_of(location: &str) -> Option<SocketAddr> {
     let rest = location.strip_prefix("http://")?;
     rest.split('/').next()?.parse().ok()
@@ -179,13 +185,13 @@
     let stream = match connected {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(not_done(error.to_string())),
-        Err(_) => return Err(not_done("no connection in time".to_owned())),
+        Err(_) => return Err(not_done("connecting timed out".to_owned())),
     };
     let request = request_of(address, call).map_err(|error| not_done(error.to_string()))?;
     match timeout(CALL_TIMEOUT, exchange(stream, request)).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(reason)) => Err(Failure::Interrupted(format!("{address}: {reason}"))),
-        Err(_) => Err(Failure::Interrupted(format!("{address}: no answer in time"))),
+        Err(_) => Err(Failure::Interrupted(format!("{address}: the answer timed out"))),
     }
 }
 
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command asks and prints.
+//! Runs the commands: makes the calls and prints the answers.
 
 use crate::arguments::{Arguments, Command};
 use crate::client::{Call, Client};
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Carries out a command.
+/// Runs a command and writes its output to `out`.
 pub fn run(arguments: &Arguments, client: &Client, out: &mut dyn Write) -> Result<(), CtlError> {
     let json = arguments.json;
     match &arguments.command {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A member, and the status that it reports itself if it answers.
+/// A member as listed by the first process, and the status that the member itself reports if it answers.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct MemberLine {
@@ -44,7 +44,8 @@
     status: Option<ProcessStatus>,
 }
 
-/// Asks every member that the first process knows of for its own state.
+/// Prints the status of every member. Asks the first process that answers for the list of members, then each
+/// member for its status.
 fn members(client: &Client, json: bool, out: &mut dyn Write) -> Result<(), CtlError> {
     let first: ProcessStatus = client.call(&Call::get(paths::STATUS))?.read()?;
     let lines: Vec<MemberLine> = first
@@ -54,7 +55,7 @@
             let address: Option<SocketAddr> = member.control.parse().ok();
             let answer = address.and_then(|address| client.call_one(address, &Call::get(paths::STATUS)));
             let status = answer.and_then(|answer| answer.read::<ProcessStatus>().ok());
-            // Another identity at its address is not this member.
+            // Ignores the answer of another process that now uses the address.
             let status = status.filter(|status| status.id == member.id);
             MemberLine { id: member.id.clone(), control: member.control.clone(), voter: member.voter, status }
         })
@@ -106,7 +107,7 @@
     }
 }
 
-/// The leader's own status; the first process that answers names the leader.
+/// Returns the status that the leader reports. The first process that answers names the leader.
 fn find_leader(client: &Client) -> Result<ProcessStatus, CtlError> {
     let first: ProcessStatus = client.call(&Call::get(paths::STATUS))?.read()?;
     if first.role == ProcessRole::Leader {
@@ -116,12 +117,12 @@
     let answer = control.and_then(|control| client.call_one(control, &Call::get(paths::STATUS)));
     let status: Option<ProcessStatus> = answer.and_then(|answer| answer.read().ok());
     status.filter(|status| status.role == ProcessRole::Leader).ok_or_else(|| {
-        CtlError::Unreachable(format!("{} knows of no leader that confirms that it leads", first.node_name))
+        CtlError::Unreachable(format!("{} knows no leader that confirms its leadership", first.node_name))
     })
 }
 
 fn leader(client: &Client, json: bool, out: &mut dyn Write) -> Result<(), CtlError> {
-    let status = wait_for(client, find_leader)?;
+    let status = retry(client, find_leader)?;
     if json {
         return output::json(&status, out);
     }
@@ -138,12 +139,9 @@
     output::table(&table, out)
 }
 
-/// Retries the query while there is no clear answer, up to the command's wait limit.
-fn wait_for<T>(
-    client: &Client,
-    mut query: impl FnMut(&Client) -> Result<T, CtlError>,
-) -> Result<T, CtlError> {
-    let deadline = Instant::now() + client.wait_limit();
+/// Retries the query until it gets a clear answer or the command's timeout expires.
+fn retry<T>(client: &Client, mut query: impl FnMut(&Client) -> Result<T, CtlError>) -> Result<T, CtlError> {
+    let deadline = Instant::now() + client.timeout();
     loop {
         match query(client) {
             Err(CtlError::Unreachable(_)) if Instant::now() < deadline => client.pause(),
@@ -282,7 +280,7 @@
 /// Transfers leadership and waits until another process leads.
 fn transfer(client: &Client, json: bool, out: &mut dyn Write) -> Result<(), CtlError> {
     let start: TransferStart = client.call(&Call::post(paths::TRANSFER))?.read()?;
-    let next = wait_for(client, |client| {
+    let next = retry(client, |client| {
         let leader = find_leader(client)?;
         if leader.id == start.from && leader.term == start.term {
             return Err(CtlError::Unreachable(format!("{} still leads", leader.node_name)));
--- a/crates/ctl/src/configuration_diff.rs
+++ b/crates/ctl/src/configuration_diff.rs
@@ -1,11 +1,11 @@
-//! What one configuration changes of another.
+//! Computes the differences between two configurations.
 
 use configuration::{HttpLimits, OperatorConfiguration, Route, Service};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What became of a part of the configuration.
+/// The kind of a difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum ChangeKind {
     Added,
@@ -13,19 +13,19 @@
     Changed,
 }
 
-/// One difference.
+/// One difference between two configurations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Change {
-    /// What became of it.
+    /// Whether the part was added, dropped or changed.
     pub kind: ChangeKind,
     /// `Version`, `Limits`, `Routes NAME` or `Backends NAME`.
     pub part: String,
-    /// The field that changed; empty for a whole part.
+    /// The field that changed; empty if the whole part was added or dropped.
     pub field: String,
-    /// What it was; empty if added.
+    /// The old value; empty if the part was added.
     pub before: String,
-    /// What it would be; empty if dropped.
+    /// The new value; empty if the part was dropped.
     pub after: String,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// Fields of a part with their values as text.
+/// The fields of a part with their values as text.
 type FieldTexts = Vec<(&'static str, String)>;
 
-/// The differences from `before` (none: no configuration yet) to `after`, in a fixed order.
+/// Returns the differences from `before` (`None`: no configuration yet) to `after`, in a fixed order.
 pub fn compare(before: Option<&OperatorConfiguration>, after: &OperatorConfiguration) -> Vec<Change> {
     let mut changes = Vec::new();
     let version = before.map_or(0, OperatorConfiguration::version);
@@ -72,7 +72,7 @@
     after: BTreeMap<&str, FieldTexts>,
     changes: &mut Vec<Change>,
 ) {
-    let whole = |kind, name: &str, before: String, after: String| Change {
+    let part_change = |kind, name: &str, before: String, after: String| Change {
         kind,
         part: format!("{section} {name}"),
         field: String::new(),
@@ -80,12 +80,12 @@
         after,
     };
     for (name, fields) in before.iter().filter(|(name, _)| !after.contains_key(*name)) {
-        changes.push(whole(ChangeKind::Dropped, name, join(fields), String::new()));
+        changes.push(part_change(ChangeKind::Dropped, name, join(fields), String::new()));
     }
     for (name, fields) in &after {
         match before.get(name) {
             Some(earlier) => compare_fields(&format!("{section} {name}"), earlier, fields, changes),
-            None => changes.push(whole(ChangeKind::Added, name, String::new(), join(fields))),
+            None => changes.push(part_change(ChangeKind::Added, name, String::new(), join(fields))),
         }
     }
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what was asked.
+//! Errors of the commands, and their exit codes.
 
 use quick_error::quick_error;
 use std::io;
@@ -9,32 +9,32 @@
 const EXIT_USAGE: u8 = 64;
 
 quick_error! {
-    /// Why a command did not do what was asked.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum CtlError {
-        /// The command line is not understood.
+        /// The command line is invalid.
         Usage(reason: String) {
             display("{reason}: see sprucehatch-node ctl --help")
         }
-        /// The group refused, and why.
+        /// The group rejected the command for this reason.
         Refused(text: String) {
             display("refused: {text}")
         }
-        /// No process gave a clear answer.
+        /// No process gave a clear answer in time. Holds the last failure.
         Unreachable(last: String) {
-            display("no process gave a clear answer (the last: {last}): give other addresses with --control, or see whether a majority of the core runs")
+        display("no process gave a clear answer (last failure: {last}): give other addresses with --control, or check that a majority of the core is running")
         }
-        /// The order may have been carried out.
-        Unsure(reason: String) {
-            display("the order was sent, but its answer was lost ({reason}): see with `ctl leader` whether it was carried out before it is given again")
+        /// The command was sent and may have been carried out.
+        OutcomeUnknown(reason: String) {
+        display("the command was sent, but its answer was lost ({reason}): check with `ctl leader` whether it was carried out before you repeat it")
         }
-        /// An answer is not of this version.
-        Answer(reason: String) {
-            display("the answer cannot be read ({reason}): use the command line of the version that runs")
+        /// An answer is not a document of this version.
+        UnreadableAnswer(reason: String) {
+        display("the answer cannot be read ({reason}): use the command line of the version that the core runs")
         }
         /// A file cannot be read.
         ReadFile(path: PathBuf, error: io::Error) {
-            display("{} cannot be read ({error}): name a readable file", path.display())
+            display("{} cannot be read ({error}): check the path and the permissions", path.display())
         }
         /// A file holds an invalid configuration.
         InvalidFile(path: PathBuf, text: String) {
@@ -46,23 +46,24 @@
         }
         /// The runtime cannot start.
         Runtime(error: io::Error) {
-            display("the command cannot start ({error}): see whether descriptors run out")
+            display("cannot start the runtime ({error}): check the limit on file descriptors")
         }
-        /// What was found cannot be printed.
+        /// The output cannot be written.
         Output(error: io::Error) {
-            display("the output cannot be written ({error}): see where it is directed to")
+        display("cannot write the output ({error}): check where the output is directed to")
         }
     }
 }
 
 impl CtlError {
-    /// The exit code: 1 refused or invalid, 2 unreachable or unsure, 64 usage.
+    /// The exit code: 1 rejected or invalid, 2 unreachable or outcome unknown, 64 usage.
     pub fn exit_code(&self) -> u8 {
         match self {
             CtlError::Usage(_) => EXIT_USAGE,
-            CtlError::Unreachable(_) | CtlError::Unsure(_) | CtlError::Answer(_) | CtlError::Runtime(_) => {
-                EXIT_UNREACHABLE
-            }
+            CtlError::Unreachable(_)
+            | CtlError::OutcomeUnknown(_)
+            | CtlError::UnreadableAnswer(_)
+            | CtlError::Runtime(_) => EXIT_UNREACHABLE,
             CtlError::Refused(_)
             | CtlError::ReadFile(..)
             | CtlError::InvalidFile(..)
--- a/crates/ctl/src/inspect.rs
+++ b/crates/ctl/src/inspect.rs
@@ -1,4 +1,4 @@
-//! The data folder of a core process, looked at while the process is down; nothing is changed.
+//! Inspects the data folder of a core process that is down, without changing the folder.
 
 use crate::error::CtlError;
 use crate::output;
@@ -11,7 +11,7 @@
 use std::path::Path;
 use storage::{FileContent, FileDirectory, InspectedFile, InspectedLog, SegmentHealth, StoredEntry};
 
-/// A file as it is reported.
+/// One file in the report.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct FileLine {
@@ -21,7 +21,7 @@
     content: String,
 }
 
-/// What a start would find.
+/// The log that a start would recover.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct LogReport {
@@ -41,7 +41,7 @@
     leftovers: Vec<String>,
 }
 
-/// The newest snapshot.
+/// The newest snapshot in the report.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct SnapshotReport {
@@ -59,11 +59,11 @@
 struct Report {
     files: Vec<FileLine>,
     log: Option<LogReport>,
-    /// Why a start would fail; none if it would not.
+    /// Why a start would fail; none if it would succeed.
     error: Option<String>,
 }
 
-/// Inspects a data folder and writes what was found; an error if a start on it would fail.
+/// Inspects a data folder and writes a report.
 ///
 /// # Errors
 ///
@@ -87,8 +87,8 @@
     error.map_or(Ok(()), |error| Err(CtlError::Damaged(path.to_owned(), error)))
 }
 
-/// Writes the newest configuration on the disk, byte for byte as the operator sent it. Its last entries may not have
-/// been committed: then it is one that was on its way.
+/// Writes the unchanged bytes of the newest configuration on the disk. The last log entries may be
+/// uncommitted, so this may be a configuration that was never acknowledged.
 ///
 /// # Errors
 ///
@@ -109,8 +109,8 @@
     }
 }
 
-/// The state that the log leads to. Entries that cannot be read are skipped, as by the processes themselves; a snapshot
-/// that cannot be read is an error, as for them.
+/// Replays the log and returns the resulting state. Skips unreadable entries and fails on an unreadable
+/// snapshot, like a core process.
 fn replay(log: &InspectedLog) -> Result<State, String> {
     let mut state = match &log.snapshot {
         Some(snapshot) => {
@@ -192,15 +192,15 @@
     }
 }
 
-/// The newest members that the log tells of; the last entries of it may not be committed.
+/// Returns the members in the newest membership of the log, which may be uncommitted.
 fn members(log: &InspectedLog) -> Vec<String> {
     let is_membership = |entry: &&StoredEntry| i32::from(entry.kind) == EntryKind::MEMBERSHIP as i32;
     let newest = log.entries.iter().rfind(is_membership).map(|entry| entry.payload.as_slice());
     let bytes = newest.or(log.snapshot.as_ref().map(|snapshot| snapshot.membership.as_slice()));
     let membership = bytes.and_then(|bytes| decode::<Membership>(bytes).ok()).unwrap_or_default();
     let text = |member: &messages::peer::Member| {
-        let vote = if member.voter { "voter" } else { "learner" };
-        format!("{:x} {} {vote}", member.id, member.address)
+        let role = if member.voter { "voter" } else { "learner" };
+        format!("{:x} {} {role}", member.id, member.address)
     };
     membership.members.iter().map(text).collect()
 }
--- a/crates/ctl/src/job_text.rs
+++ b/crates/ctl/src/job_text.rs
@@ -1,4 +1,4 @@
-//! A job's report as text for the terminal.
+//! Formats the report on a job as text for the terminal.
 
 use crate::error::CtlError;
 use crate::output;
@@ -6,7 +6,7 @@
 use admin::{AttemptPhase, AttemptReport, JobReport, ObstacleCount, PastAttempt, StepReport, Waiting};
 use std::io::Write;
 
-/// Writes the report of a job.
+/// Writes the report on a job.
 pub fn write(report: &JobReport, out: &mut dyn Write) -> Result<(), CtlError> {
     output::line(&headline(report), out)?;
     if !report.steps.is_empty() {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command line on a running group.
+//! The operators' command line for a running group of core processes.
 //!
-//! Each command makes a few calls to the `Control` addresses it is given, follows redirections to the leader, and
-//! prints a table, or the documents as they are with `--json`.
+//! Each command calls the given `Control` addresses, follows redirects to the leader, and prints a table or,
+//! with `--json`, the unchanged documents.
 
 #![warn(missing_docs)]
 
@@ -21,16 +21,17 @@
 use client::Client;
 use std::io::Write;
 
-/// Runs one command; `arguments` follow the word `ctl`. What it finds is written to `out`.
+/// Runs one command and writes its output to `out`. `arguments` are the words after `ctl`.
 ///
 /// # Errors
 ///
-/// A [`CtlError`] if the command line is not understood, the group refuses or gives no clear answer, or `out` fails.
+/// A [`CtlError`] if the command line is invalid, the group rejects the command or gives no clear answer, or
+/// `out` fails.
 pub fn run(arguments: &[String], out: &mut dyn Write) -> Result<(), CtlError> {
     let arguments = match arguments::read(arguments)? {
         arguments::Request::Help(text) => return out.write_all(text.as_bytes()).map_err(CtlError::Output),
         arguments::Request::Run(arguments) => arguments,
     };
-    let client = Client::new(arguments.control.clone(), arguments.wait_limit)?;
+    let client = Client::new(arguments.control.clone(), arguments.timeout)?;
     commands::run(&arguments, &client, out)
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Writes bodies, documents, lines and tables to a command's output.
+//! Writes response bodies, JSON documents, lines and tables to the output of a command.
 
 use crate::client::Answer;
 use crate::error::CtlError;
@@ -6,18 +6,18 @@
 use serde::Serialize;
 use std::io::Write;
 
-/// Writes an answer's body as it is.
+/// Writes the body of an answer unchanged.
 pub fn body(answer: &Answer, out: &mut dyn Write) -> Result<(), CtlError> {
     out.write_all(&answer.body).and_then(|()| out.write_all(b"\n")).map_err(CtlError::Output)
 }
 
-/// Writes a document of this program.
+/// Writes a document as JSON.
 pub fn json(document: &impl Serialize, out: &mut dyn Write) -> Result<(), CtlError> {
     let bytes = serde_json::to_vec(document).map_err(|error| CtlError::Output(error.into()))?;
     out.write_all(&bytes).and_then(|()| out.write_all(b"\n")).map_err(CtlError::Output)
 }
 
-/// Writes one line.
+/// Writes one line of text.
 pub fn line(text: &str, out: &mut dyn Write) -> Result<(), CtlError> {
     writeln!(out, "{text}").map_err(CtlError::Output)
 }
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,18 +1,18 @@
-//! Tables of plain text.
+//! Plain-text tables.
 
 use std::io::{self, Write};
 
-/// Space between two columns.
-const GAP: usize = 2;
+/// Number of spaces between two columns.
+const COLUMN_GAP: usize = 2;
 
-/// Rows under a head, each column as wide as its widest text.
+/// A table with a header row. Each column is as wide as its widest text.
 #[derive(Debug, Clone)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these columns.
+    /// Creates a table with these column headers.
     pub fn new(head: &[&str]) -> Self {
         Table { rows: vec![head.iter().map(|text| (*text).to_owned()).collect()] }
     }
@@ -22,7 +22,7 @@
         self.rows.push(row);
     }
 
-    /// Writes the table; nothing but spaces between columns, so that other tools can read it.
+    /// Writes the table. Columns are separated only by spaces, so that other tools can read them.
     pub fn write(&self, out: &mut dyn Write) -> io::Result<()> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column: usize| {
@@ -34,7 +34,7 @@
             let mut line = String::new();
             for (text, width) in row.iter().zip(&widths) {
                 line.push_str(text);
-                let padding = width - text.chars().count() + GAP;
+                let padding = width - text.chars().count() + COLUMN_GAP;
                 line.extend(std::iter::repeat_n(' ', padding));
             }
             writeln!(out, "{}", line.trim_end())?;
--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands against a real group on loopback.
+//! The `ctl` commands against a real group on loopback.
 
 #[path = "../../control/tests/support/mod.rs"]
 mod support;
@@ -19,7 +19,7 @@
 const FIRST: &str = r#"{"Version":3,"Routes":[{"PathPrefix":"/a/","Name":"r1","Host":"h.example","RouteType":"non_idempotent","TimeoutMs":3000,"TargetLatencyMs":1000,"Priority":1,"Backend":"s","MaxRetries":3,"Stretch":2.2}],"Backends":[{"Name":"s","HealthCheck":"/healthz","MaxConnections":64,"Protocol":"h1","Tls":false,"Guards":true}]}"#;
 const JOB: u64 = 0x5c0e_7a21_d94b_36f8;
 
-/// Runs a command on all machines of the site; gives what it prints.
+/// Runs a command with the `Control` addresses of all machines of the site; returns its output.
 fn ctl(site: &Site, words: &[&str]) -> Result<String, CtlError> {
     let addresses: Vec<String> = (0..3).map(|machine| site.control(machine).to_string()).collect();
     let mut arguments: Vec<String> = words.iter().map(|word| (*word).to_owned()).collect();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_member_that_is_down_is_shown_as_such() {
+fn member_that_is_down_is_shown_without_answer() {
     let site = Site::new("ctl-down", 3);
     let mut processes = site.found();
     document(&site, &["leader"]);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn configurations_are_checked_put_shown_compared_and_remembered() {
+fn config_commands_check_put_show_compare_and_list_versions() {
     let site = Site::new("ctl-config", 3);
     let processes = site.found();
     let first = file(&site, "first.json", FIRST);
@@ -121,12 +121,12 @@
     assert_eq!(changes.lines().count(), 2, "{changes}");
 
     ctl(&site, &["config", "put", &second]).expect("taken");
-    ctl(&site, &["config", "put", &second, "--on", "3"]).expect("the same order counts once");
+    ctl(&site, &["config", "put", &second, "--on", "3"]).expect("a repeated change succeeds");
     let history = document(&site, &["config", "history"]);
     let versions = history["Versions"].as_array().expect("a list");
     let pairs: Vec<(u64, u64)> = versions
         .iter()
-        .map(|taken| (taken["Version"].as_u64().unwrap(), taken["BuildsOn"].as_u64().unwrap()))
+        .map(|accepted| (accepted["Version"].as_u64().unwrap(), accepted["BuildsOn"].as_u64().unwrap()))
         .collect();
     assert_eq!(pairs, [(3, 0), (7, 3)]);
     assert!(ctl(&site, &["config", "history"]).expect("history").contains("BUILDS ON"));
@@ -145,19 +145,19 @@
 }
 
 #[test]
-fn a_snapshot_is_taken_when_asked_for() {
+fn snapshot_command_takes_a_snapshot() {
     let site = Site::new("ctl-snapshot", 3);
     let processes = site.found();
     ctl(&site, &["config", "put", &file(&site, "first.json", FIRST)]).expect("taken");
     let start = document(&site, &["snapshot"]);
     assert_eq!(start["Begun"], true, "{start}");
     let index = start["Index"].as_u64().expect("an index");
-    // It becomes durable by and by; then it is the newest.
+    // The snapshot is written in the background. Waits until the process reports it as its newest.
     loop {
         let members = document(&site, &["members"]);
         let members = members.as_array().expect("a list").clone();
-        let taker = members.iter().find(|member| member["Id"] == start["Id"]).expect("a member");
-        if taker["Status"]["SnapshotIndex"].as_u64() >= Some(index) {
+        let member = members.iter().find(|member| member["Id"] == start["Id"]).expect("a member");
+        if member["Status"]["SnapshotIndex"].as_u64() >= Some(index) {
             break;
         }
     }
@@ -165,11 +165,11 @@
 }
 
 #[test]
-fn every_process_gives_its_metrics() {
+fn every_process_serves_its_metrics() {
     let site = Site::new("ctl-metrics", 3);
     let processes = site.found();
     ctl(&site, &["config", "put", &file(&site, "first.json", FIRST)]).expect("taken");
-    let mut led = 0;
+    let mut leaders = 0;
     for machine in 0..3 {
         let arguments = ["metrics", "--control", &site.control(machine).to_string()].map(str::to_owned);
         let mut out = Vec::new();
@@ -184,14 +184,14 @@
             let count = line.strip_prefix("sprucehatch_commit_latency_seconds_count ");
             count.is_some_and(|count| count != "0")
         };
-        led += u32::from(text.lines().any(committed));
+        leaders += u32::from(text.lines().any(committed));
     }
-    assert!(led >= 1, "whoever led when the configuration was taken has measured its commit");
+    assert!(leaders >= 1, "the leader that accepted the configuration has measured its commit");
     stop(processes);
 }
 
 #[test]
-fn the_disk_of_a_stopped_process_is_inspected() {
+fn inspect_reads_the_disk_of_a_stopped_process() {
     let site = Site::new("ctl-inspect", 3);
     let processes = site.found();
     ctl(&site, &["config", "put", &file(&site, "first.json", FIRST)]).expect("taken");
@@ -221,7 +221,7 @@
         let text = String::from_utf8(out).expect("text");
         assert!(text.contains("A start would find") && text.contains(&identity), "{text}");
     }
-    assert!(holders >= 2, "what was acknowledged is on a majority of the disks");
+    assert!(holders >= 2, "an acknowledged configuration is on a majority of the disks");
 }
 
 fn submit(watcher: &mut Watcher, request_id: u64) -> Outcome {
@@ -237,7 +237,7 @@
     }
 }
 
-/// Submits the job at whichever machine leads.
+/// Submits the job to all machines in turn until the leader accepts it.
 fn submit_until_accepted(site: &Site) {
     let mut watchers: Vec<Watcher> = (0..3).map(|machine| site.watch(machine)).collect();
     for request_id in 1.. {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn workers_queues_and_jobs_are_explained() {
+fn workers_queues_and_jobs_are_shown() {
     let platform = Platform::start(&[("i-1", "127.0.0.1:9", "s")]);
     let site = Site::new("ctl-jobs", 3).with_platform(platform.address());
     let processes = site.found();
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_group_that_is_down_is_unreachable() {
+fn group_that_is_down_is_unreachable() {
     let free = gateway_test_support::reserved_address();
     let arguments = ["members", "--control", &free.to_string(), "--timeout", "1"].map(str::to_owned);
     let outcome = ctl::run(&arguments, &mut Vec::new());
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn command_lines_that_are_not_understood_point_to_the_help() {
+fn invalid_command_lines_refer_to_the_help() {
     let lines: [&[&str]; 7] = [
         &[],
         &["members"],
--- a/crates/ctl/tests/platform/mod.rs
+++ b/crates/ctl/tests/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform: gives the same list to whoever asks.
+//! A fake platform that answers every request with the same list of instances.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,7 +9,8 @@
 }
 
 impl Platform {
-    /// Lists instances, each given by identity, address and service. Its thread ends with the test's process.
+    /// Starts a platform that lists `instances`, each given as identity, address and service. Its thread runs
+    /// until the test process ends.
     pub fn start(instances: &[(&str, &str, &str)]) -> Self {
         let entries: Vec<String> = instances
             .iter()
@@ -36,7 +37,7 @@
     }
 }
 
-/// Answers each request on a connection: all of them have a head only.
+/// Answers each request on a connection. Requests have no body, so an empty line ends each one.
 fn serve(mut stream: TcpStream, page: &str) {
     let Ok(reader) = stream.try_clone() else { return };
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}", page.len());
