--- a/crates/configuration/src/instances.rs
+++ b/crates/configuration/src/instances.rs
@@ -15,8 +15,8 @@
     pub enum InstancesError {
         /// The page is not a list of instances.
         Json(error: JsonError) {
-        from()
-        display("cannot read the platform's list of instances ({error}): keep the previous list and retry")
+            from()
+            display("cannot read the platform's list of instances ({error}): keep the previous list and retry")
         }
     }
 }
--- a/crates/configuration/src/job_error.rs
+++ b/crates/configuration/src/job_error.rs
@@ -48,7 +48,7 @@
         }
         /// `Repeat` is greater than `MAX_REPEAT`.
         RepeatTooLarge(repeat: u32) {
-        display("Repeat is {repeat}, at most {MAX_REPEAT} is taken: hand the job in anew for the rest")
+            display("Repeat is {repeat}, at most {MAX_REPEAT} is taken: hand the job in anew for the rest")
         }
         /// The last occurrence is due at a time beyond 2^53 ms.
         LastOccurrenceTooLate {
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -23,7 +23,7 @@
         }
         /// A text is not a valid address.
         BadAddress(location: Location, field: &'static str, text: String) {
-        display("{field} of {location} is {text}, which is not an address: give an IPv4 address, with a port unless the field is Ip")
+            display("{field} of {location} is {text}, which is not an address: give an IPv4 address, with a port unless the field is Ip")
         }
         /// `PortRange` is not a pair of ports in ascending order.
         BadPortRange {
--- a/crates/configuration/src/worker_calls.rs
+++ b/crates/configuration/src/worker_calls.rs
@@ -24,12 +24,12 @@
     pub enum WorkerAnswerError {
         /// The body is not valid JSON, or a value in it is missing or has the wrong type.
         Json(error: JsonError) {
-        from()
-        display("cannot read the worker's answer ({error}): treat the call as unanswered and retry")
+            from()
+            display("cannot read the worker's answer ({error}): treat the call as unanswered and retry")
         }
         /// An entry of `Running` or `Finished` is invalid.
         BadEntry(location: Location) {
-        display("{location} of the worker's answer is invalid: treat the call as unanswered and retry")
+            display("{location} of the worker's answer is invalid: treat the call as unanswered and retry")
         }
     }
 }
--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -136,7 +136,7 @@
         ["transfer"] => Command::Transfer,
         ["snapshot"] => Command::Snapshot,
         [] => return Err(CtlError::Usage("a command must be given".to_owned())),
-        _ => return Err(CtlError::Usage(format!("{:?} is not a command", words.join(" ")))),
+        _ => return Err(CtlError::Usage(format!("{:?} is no command", words.join(" ")))),
     })
 }
 
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -22,15 +22,15 @@
         }
         /// No process gave a clear answer in time. Holds the last failure.
         Unreachable(last: String) {
-        display("no process gave a clear answer (last failure: {last}): give other addresses with --control, or check that a majority of the core is running")
+            display("no process gave a clear answer (last failure: {last}): give other addresses with --control, or check that a majority of the core is running")
         }
         /// The command was sent and may have been carried out.
         OutcomeUnknown(reason: String) {
-        display("the command was sent, but its answer was lost ({reason}): check with `ctl leader` whether it was carried out before you repeat it")
+            display("the command was sent, but its answer was lost ({reason}): check with `ctl leader` whether it was carried out before you repeat it")
         }
         /// An answer is not a document of this version.
         UnreadableAnswer(reason: String) {
-        display("the answer cannot be read ({reason}): use the command line of the version that the core runs")
+            display("the answer cannot be read ({reason}): use the command line of the version that the core runs")
         }
         /// A file cannot be read.
         ReadFile(path: PathBuf, error: io::Error) {
@@ -50,7 +50,7 @@
         }
         /// The output cannot be written.
         Output(error: io::Error) {
-        display("cannot write the output ({error}): check where the output is directed to")
+            display("cannot write the output ({error}): check where the output is directed to")
         }
     }
 }
--- a/crates/data-plane/src/clients.rs
+++ b/crates/data-plane/src/clients.rs
@@ -1,4 +1,4 @@
-//! Registry of the open client connections: counts them, tracks which are idle, and requests that they close.
+//! Registry of the open client connections: counts them, tracks which are idle, and sends close requests.
 
 use crate::options::ClientLimits;
 use std::cell::{Cell, RefCell};
@@ -70,7 +70,7 @@
         self.is_idle() || self.is_overdue(Instant::now())
     }
 
-    /// Waits until the registry requests that the connection closes.
+    /// Waits for a close request.
     pub async fn close_requested(&self) {
         self.close_request.notified().await;
     }
@@ -153,8 +153,8 @@
         connection
     }
 
-    /// Waits until another connection may be accepted. At the limit, requests that the connection that has
-    /// been idle for the longest time closes.
+    /// Waits until another connection may be accepted. At the limit, sends a close request to the connection
+    /// that has been idle for the longest time.
     pub async fn capacity_available(&self) {
         while self.len() >= self.limits.max_connections {
             let idle = self.all().into_iter().filter(|connection| connection.is_idle());
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Requests that connections whose current activity exceeds its timeout close.
+    /// Sends a close request to each connection whose current activity exceeds its timeout.
     pub fn sweep(&self) {
         let now = Instant::now();
         for connection in self.all() {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Requests that all idle connections close.
+    /// Sends a close request to all idle connections.
     pub fn close_idle(&self) {
         for connection in self.all() {
             if connection.is_idle() {
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -22,7 +22,7 @@
         }
         /// The environment variable with the path of the settings file is not set.
         NoSettingsPath {
-        display("SPRUCEHATCH_CONFIG is not set: set it to the path of the settings file")
+            display("SPRUCEHATCH_CONFIG is not set: set it to the path of the settings file")
         }
         /// The settings file cannot be read.
         ReadSettings(path: PathBuf, error: io::Error) {
@@ -42,11 +42,11 @@
         }
         /// Standard output cannot be written.
         Output(error: io::Error) {
-        display("cannot write to standard output ({error}): check where the output is directed to")
+            display("cannot write to standard output ({error}): check where the output is directed to")
         }
         /// The log specification is invalid.
         LogSpecification(reason: String) {
-        display("--log is invalid ({reason}): give a level or a list such as info,control=debug; see --help")
+            display("--log is invalid ({reason}): give a level or a list such as info,control=debug; see --help")
         }
         /// The logger cannot be set up.
         Logger(reason: String) {
@@ -64,7 +64,7 @@
         }
         /// The path of the program's executable cannot be determined.
         OwnPath(error: io::Error) {
-        display("cannot determine the path of the executable ({error}): start the program by its path")
+            display("cannot determine the path of the executable ({error}): start the program by its path")
         }
         /// The runtime cannot start.
         Runtime(error: io::Error) {
