--- a/crates/data-plane/src/upstream/state.rs
+++ b/crates/data-plane/src/upstream/state.rs
@@ -22,9 +22,9 @@
 
 /// Forwards clients' requests to the leader of the core. Times are nanoseconds of the steady clock.
 ///
-/// Each request gets exactly one [`UpstreamOutput::Answer`]. A request that was sent and got no reply may
-/// have been carried out. Its client then gets the answer that the outcome is unknown, unless the request
-/// only reads.
+/// Each request that is not abandoned gets exactly one [`UpstreamOutput::Answer`]. A request that was sent
+/// and got no reply may have been carried out. Its client then gets the answer that the outcome is unknown,
+/// unless the request only reads.
 #[derive(Debug)]
 pub struct Upstream {
     pub(super) options: UpstreamOptions,
