--- a/crates/gateway-cli/src/lab/play.rs
+++ b/crates/gateway-cli/src/lab/play.rs
@@ -6,7 +6,7 @@
 use crate::setup::Setup;
 use crate::table::table;
 use clap::Args;
-use gateway_simulation::report::Fares;
+use gateway_simulation::report::FleetStats;
 use gateway_simulation::stats::{spread, FIGURES};
 use gateway_simulation::{play_all, Breach, Report, Scenario, CATALOGUE};
 use program_support::config::Errors;
@@ -113,23 +113,23 @@
 
 /// How the fleet fares in each phase of a scenario; at the end of the last fault, how long until all is served again.
 fn by_phase(scenario: &Scenario, reports: &[&Report]) -> Vec<Vec<String>> {
-    let end = scenario.last_fault();
+    let end = scenario.last_fault_end_s();
     let phases = scenario.phases().into_iter().map(|(name, from, to)| {
-        let all: Vec<Fares> = reports.iter().map(|r| r.fares(from, to)).collect();
-        let each = |of: fn(&Fares) -> f64| spread(all.iter().map(of).collect());
+        let all: Vec<FleetStats> = reports.iter().map(|r| r.fleet_stats(from, to)).collect();
+        let each = |of: fn(&FleetStats) -> f64| spread(all.iter().map(of).collect());
         let recovered = end.filter(|end| end.round() as usize == from).map(|end| {
             // One that never did counts as the rest of the play.
             let rest = scenario.seconds - end;
-            spread(reports.iter().map(|r| r.recovered(end).unwrap_or(rest)).collect())
+            spread(reports.iter().map(|r| r.recovery_time_s(end).unwrap_or(rest)).collect())
         });
         vec![
             scenario.name.clone(),
             name,
             each(|f| f.goodput),
             each(|f| f.attempts),
-            each(|f| f.away),
-            each(|f| f.vain),
-            each(|f| f64::from(f.most)),
+            each(|f| f.rejected_per_s),
+            each(|f| f.futile_per_s),
+            each(|f| f64::from(f.max_futile_per_server)),
             recovered.unwrap_or_default(),
         ]
     });
--- a/crates/gateway-cli/src/trial.rs
+++ b/crates/gateway-cli/src/trial.rs
@@ -8,7 +8,7 @@
 use gateway_process_trial::process::Program;
 use gateway_process_trial::{quantile, Figures, Played};
 use gateway_simulation::page::{Line, Page};
-use gateway_simulation::report::FARES;
+use gateway_simulation::report::FLEET_STATS_COLUMNS;
 use gateway_simulation::stats::FIGURES;
 use gateway_simulation::{Report, Scenario};
 use program_support::config::Errors;
@@ -187,16 +187,16 @@
     row("connections to servers, most in a second", format!("{opened}, {most}"), None);
     for (name, from, to) in scenario.phases() {
         let quotas = |report: &Report| {
-            let [beyond, room] = report.quotas(from, to);
+            let [beyond, room] = report.quota_shares(from, to);
             format!("{beyond:.3}, {room:.3}")
         };
         row(&format!("{name}: beyond quota, refused with room"), quotas(&f.report), lab.map(quotas));
-        let fares = |report: &Report| report.fares(from, to).to_string();
-        row(&format!("{name}: {FARES}"), fares(&f.report), lab.map(fares));
+        let fares = |report: &Report| report.fleet_stats(from, to).to_string();
+        row(&format!("{name}: {FLEET_STATS_COLUMNS}"), fares(&f.report), lab.map(fares));
     }
     let recovered = |report: &Report| {
-        let after = scenario.last_fault()?;
-        report.recovered(after).map(|s| format!("{s:.1}"))
+        let after = scenario.last_fault_end_s()?;
+        report.recovery_time_s(after).map(|s| format!("{s:.1}"))
     };
     row("full service after the last fault, s", beside(recovered(&f.report)), lab.and_then(recovered));
     let spread = |all: &[u64]| format!("{}, {}", quantile(all, 0.5), quantile(all, 1.0));
--- a/crates/gateway-process-trial/src/figures.rs
+++ b/crates/gateway-process-trial/src/figures.rs
@@ -45,7 +45,7 @@
 impl Figures {
     pub fn away(&mut self, second: Option<usize>) {
         self.report.turned_away += 1;
-        count(&mut self.report.flow, second, flow::AWAY);
+        count(&mut self.report.flow, second, flow::REJECTED);
     }
 
     /// Sums up.
--- a/crates/gateway-process-trial/src/ledger.rs
+++ b/crates/gateway-process-trial/src/ledger.rs
@@ -83,17 +83,17 @@
                 }
                 Seen::Asked { id, class, gateway } => {
                     let deadline = now + SOCKETS + settings.classes[class].deadline;
-                    oracle.asked(id, class, deadline, gateway, now);
+                    oracle.request_received(id, class, deadline, gateway, now);
                 }
                 Seen::Sent { id, server, gateway } => {
                     let place = (scenario.zone_of_server(server) as u32, scenario.cell_of_server(server));
                     let told = told.get(&(gateway, server)).copied();
-                    oracle.sent(id, &format!("s-{server}"), place, told, now)?;
+                    oracle.attempt_sent(id, &format!("s-{server}"), place, told, now)?;
                 }
-                Seen::Over { id, ending, .. } => oracle.over(id, ending, now),
-                Seen::Answered { id, refused } => oracle.answered(id, refused, now)?,
-                Seen::Excused { id } => oracle.excuse(id),
-                Seen::Due { id } => oracle.due(id, now)?,
+                Seen::Over { id, ending, .. } => oracle.attempt_ended(id, ending, now),
+                Seen::Answered { id, refused } => oracle.final_answer_sent(id, refused, now)?,
+                Seen::Excused { id } => oracle.waive_deadline(id),
+                Seen::Due { id } => oracle.deadline_reached(id, now)?,
                 Seen::Told { gateway, server, wanted: true } => {
                     told.insert((gateway, server), None);
                 }
@@ -101,18 +101,18 @@
                     // Told so twice, it was told so the first time.
                     told.entry((gateway, server)).or_insert(None).get_or_insert(now);
                 }
-                Seen::Fell { server, told } => Oracle::fell(&format!("s-{server}"), told, now)?,
+                Seen::Fell { server, told } => Oracle::server_collapsed(&format!("s-{server}"), told, now)?,
                 Seen::Drawn { plan, customer } => {
                     let p = &scenario.plans[plan];
                     if p.ceiling_rate > 0.0 {
                         let slack = CEILING.0 + p.ceiling_rate * CEILING.1;
                         let number = (plan as u32) << 24 | customer;
                         let ceiling = (p.ceiling_rate, p.ceiling_burst, slack);
-                        oracle.drawn(number, 1.0, ceiling, now)?;
+                        oracle.ceiling_units_taken(number, 1.0, ceiling, now)?;
                     }
                 }
                 Seen::Invented { id, server } => {
-                    oracle.sent(id, &format!("s-{server}"), (0, 0), Some(None), now)?;
+                    oracle.attempt_sent(id, &format!("s-{server}"), (0, 0), Some(None), now)?;
                 }
             }
         }
--- a/crates/gateway-process-trial/src/ledger/tests.rs
+++ b/crates/gateway-process-trial/src/ledger/tests.rs
@@ -4,7 +4,7 @@
 use gateway_simulation::Rule;
 
 const MS: Time = 1_000_000;
-const AT: Time = gateway_simulation::units::START;
+const AT: Time = gateway_simulation::units::START_NS;
 
 /// Of the catalogue's `calm`: classes look (safe), file (keyed, by zone), book (unsafe).
 fn rule(seen: &[(u64, Seen)]) -> Option<Rule> {
--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -30,7 +30,7 @@
 use gateway_protocol::list::State;
 use gateway_simulation::link::Link;
 use gateway_simulation::scenario::{Fault, Scenario, Trouble};
-use gateway_simulation::units::{ns, MS, SECOND, START};
+use gateway_simulation::units::{ns, MS, SECOND, START_NS};
 use gateway_simulation::Breach;
 use program_support::config::Errors;
 use rand::Rng;
@@ -176,7 +176,7 @@
         for n in 0..scenario.faults.len() {
             tasks.spawn_local(self.clone().strike(n));
         }
-        let end = world.clock.at(START + ns(scenario.seconds, SECOND));
+        let end = world.clock.at(START_NS + ns(scenario.seconds, SECOND));
         while Instant::now() < end {
             sleep((end - Instant::now()).min(Duration::from_millis(100))).await;
             if let Some(what) = world.broken.borrow_mut().take() {
@@ -327,8 +327,8 @@
         let world = &self.world;
         let fault = &world.scenario.faults[number];
         let (begin, end) = (ns(fault.at_s, SECOND), ns(fault.at_s + fault.for_s, SECOND));
-        sleep_until(world.clock.at(START + begin)).await;
-        let struck = world.scenario.strikes(fault, &mut *world.rng.borrow_mut());
+        sleep_until(world.clock.at(START_NS + begin)).await;
+        let struck = world.scenario.fault_targets(fault, &mut *world.rng.borrow_mut());
         let Some(net) = world.net.get() else { return };
         let span = Duration::from_secs_f64(fault.for_s);
         let each = span / struck.len().max(1) as u32;
@@ -336,7 +336,7 @@
             Trouble::Kill => struck.iter().for_each(|n| self.server_down(*n)),
             Trouble::Silent => struck.iter().for_each(|n| net.server(*n, |s| s.silent = true)),
             Trouble::Slow => {
-                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slow = fault.factor);
+                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = fault.factor);
             }
             Trouble::Fail => struck.iter().for_each(|n| world.stand_ins[*n].fails.set(fault.factor)),
             Trouble::Refuse => {
@@ -351,7 +351,7 @@
             }
             Trouble::Cut | Trouble::Reset | Trouble::Delay => {
                 if let Some(Ok(link)) = Link::of(fault, &world.scenario) {
-                    let struck = link.strike(&world.scenario, &mut *world.rng.borrow_mut());
+                    let struck = link.resolve(&world.scenario, &mut *world.rng.borrow_mut());
                     net.begin(number, fault.kind, struck, fault.factor);
                 }
             }
@@ -377,11 +377,13 @@
             Trouble::Flood => world.flood.set(world.flood.get() * fault.factor),
             Trouble::MeterDown => world.meter_down.set(world.meter_down.get() + 1),
         }
-        sleep_until(world.clock.at(START + end)).await;
+        sleep_until(world.clock.at(START_NS + end)).await;
         match fault.kind {
             Trouble::Kill => struck.iter().for_each(|n| self.server_up(*n)),
             Trouble::Silent => struck.iter().for_each(|n| net.server(*n, |s| s.silent = false)),
-            Trouble::Slow => struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slow = 1.0),
+            Trouble::Slow => {
+                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0)
+            }
             Trouble::Fail => struck.iter().for_each(|n| world.stand_ins[*n].fails.set(0.0)),
             Trouble::Refuse => {
                 struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().refusing = false);
--- a/crates/gateway-process-trial/src/net.rs
+++ b/crates/gateway-process-trial/src/net.rs
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::net::relay::{listen, Gate, Relay, Ways};
 use crate::wire::Ends;
-use gateway_simulation::link::Struck;
+use gateway_simulation::link::AffectedLinks;
 use gateway_simulation::scenario::Trouble;
 use program_support::config::Errors;
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
 pub struct Net<E> {
     gates: Vec<Rc<Gate>>,
     /// Faults on links by number, with their milliseconds.
-    faults: RefCell<Vec<(usize, Trouble, Struck, f64)>>,
+    faults: RefCell<Vec<(usize, Trouble, AffectedLinks, f64)>>,
     servers: RefCell<Vec<Presence>>,
     list_silent: Cell<u32>,
     ends: Rc<E>,
@@ -73,7 +73,7 @@
         Ok(net)
     }
 
-    pub fn begin(&self, number: usize, kind: Trouble, struck: Struck, factor: f64) {
+    pub fn begin(&self, number: usize, kind: Trouble, struck: AffectedLinks, factor: f64) {
         self.faults.borrow_mut().push((number, kind, struck, factor));
         self.refresh();
     }
@@ -121,8 +121,8 @@
         for (_, kind, struck, factor) in self.faults.borrow().iter() {
             for (way, out) in [(0, true), (1, false)] {
                 let hit = match gate.target {
-                    Target::Server(n) => struck.server(gate.gateway, n, out),
-                    Target::List => struck.list(gate.gateway, out),
+                    Target::Server(n) => struck.affects_server(gate.gateway, n, out),
+                    Target::List => struck.affects_list(gate.gateway, out),
                 };
                 match kind {
                     Trouble::Cut if hit => ways.cut[way] = true,
--- a/crates/gateway-process-trial/src/net/tests.rs
+++ b/crates/gateway-process-trial/src/net/tests.rs
@@ -62,7 +62,7 @@
 
     fn strike(&self, number: usize, kind: Trouble, words: &str, factor: f64) {
         let link = Link::parse(words, &self.scenario).unwrap();
-        let struck = link.strike(&self.scenario, &mut rand_chacha::ChaCha8Rng::seed_from_u64(1));
+        let struck = link.resolve(&self.scenario, &mut rand_chacha::ChaCha8Rng::seed_from_u64(1));
         self.net.begin(number, kind, struck, factor);
     }
 
--- a/crates/gateway-process-trial/src/serving.rs
+++ b/crates/gateway-process-trial/src/serving.rs
@@ -5,7 +5,7 @@
 use crate::world::World;
 use bytes::Bytes;
 use gateway_decisions::{Ending, Time};
-use gateway_simulation::server::Taken;
+use gateway_simulation::server::Admission;
 use gateway_simulation::units::{ns, MS};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -115,17 +115,17 @@
     let knows = world.knows(wire.gateway, n, stand_in.boot_ms.get());
     stand_in.work.set([all + work as f64, told + if knows { work as f64 } else { 0.0 }]);
     let (now, key) = (world.clock.now(), world.number());
-    let taken = stand_in.model.borrow_mut().take(key, work + handshake, now);
-    if stand_in.model.borrow().fallen && !stand_in.fell.replace(true) {
+    let taken = stand_in.model.borrow_mut().admit(key, work + handshake, now);
+    if stand_in.model.borrow().collapsed && !stand_in.fell.replace(true) {
         let [all, told] = stand_in.work.get();
         world.figures.borrow_mut().report.fallen += 1;
         world.note(now, Seen::Fell { server: n, told: told / all.max(1.0) });
     }
     let (sender, done) = oneshot::channel();
     match taken {
-        Taken::Away => return away(),
-        Taken::Begun(at) => drop(spawn_local(work_on(world.clone(), n, key, at))),
-        Taken::Waits => {}
+        Admission::Rejected => return away(),
+        Admission::Started(at) => drop(spawn_local(work_on(world.clone(), n, key, at))),
+        Admission::Queued => {}
     }
     stand_in.waiting.borrow_mut().insert(key, sender);
     if done.await.is_err() {
@@ -149,7 +149,7 @@
         if stand_in.life.get() != life {
             return;
         }
-        let next = stand_in.model.borrow_mut().done(world.clock.now());
+        let next = stand_in.model.borrow_mut().complete(world.clock.now());
         // Who has left does not wait any more.
         let waits = stand_in.waiting.borrow_mut().remove(&key);
         waits.map(|sender| sender.send(()));
--- a/crates/gateway-process-trial/src/world.rs
+++ b/crates/gateway-process-trial/src/world.rs
@@ -15,10 +15,10 @@
 use crate::world::state::{GatewayProcess, OpenRequest};
 use gateway_decisions::Time;
 use gateway_simulation::customer::Customer;
-use gateway_simulation::report::Vain;
+use gateway_simulation::report::FutileAttempts;
 use gateway_simulation::scenario::Scenario;
 use gateway_simulation::server::Server;
-use gateway_simulation::units::{ns, SECOND, START};
+use gateway_simulation::units::{ns, SECOND, START_NS};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -41,7 +41,7 @@
     announcers: RefCell<HashMap<usize, JoinHandle<()>>>,
     pub gateways: Vec<GatewayProcess>,
     pub figures: RefCell<Figures>,
-    vain: RefCell<Vain>,
+    vain: RefCell<FutileAttempts>,
     pub flood: Cell<f64>,
     pub meter_down: Cell<u32>,
     pub broken: RefCell<Option<String>>,
@@ -54,14 +54,14 @@
 impl World {
     pub fn new(scenario: &Scenario, seed: u64, addresses: Addresses) -> Rc<Self> {
         let customers =
-            scenario.plans.iter().map(|p| vec![Customer::new(p.depth, START); p.customers as usize]);
+            scenario.plans.iter().map(|p| vec![Customer::new(p.depth, START_NS); p.customers as usize]);
         Rc::new(World {
             clock: Clock::default(),
             addresses,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             net: OnceCell::new(),
             stand_ins: (0..scenario.servers.count)
-                .map(|_| StandIn::new(Server::new(scenario.build())))
+                .map(|_| StandIn::new(Server::new(scenario.server_parameters())))
                 .collect(),
             service: Service::new(scenario.list.clone(), unix_ms()),
             registry: OnceCell::new(),
@@ -100,7 +100,8 @@
 
     /// Whether what happens at this time counts.
     pub fn counts(&self, at: Time) -> bool {
-        at >= START + ns(self.scenario.uncounted_s, SECOND) && at < START + ns(self.scenario.seconds, SECOND)
+        at >= START_NS + ns(self.scenario.uncounted_s, SECOND)
+            && at < START_NS + ns(self.scenario.seconds, SECOND)
     }
 
     pub fn refused(&self, what: String) {
--- a/crates/gateway-process-trial/src/world/clients.rs
+++ b/crates/gateway-process-trial/src/world/clients.rs
@@ -6,10 +6,10 @@
 use crate::world::World;
 use bytes::Bytes;
 use gateway_decisions::Time;
-use gateway_simulation::customer::Asked;
+use gateway_simulation::customer::ClientRequest;
 use gateway_simulation::report::{add, count};
 use gateway_simulation::scenario::Runs;
-use gateway_simulation::units::{ns, MS, SECOND, SLACK, START};
+use gateway_simulation::units::{ns, ANSWER_SLACK_NS, MS, SECOND, START_NS};
 use http_body_util::Full;
 use hyper::{Method, Request};
 use rand::Rng;
@@ -21,7 +21,7 @@
 /// A request that a client has sent, once the answer is there or will not be.
 struct Exchange {
     id: u64,
-    asked: Asked,
+    asked: ClientRequest,
     at: Time,
     second: Option<usize>,
     counted: bool,
@@ -34,7 +34,7 @@
     /// Requests of a plan's customers, at random times, until it is dropped.
     pub async fn arrivals(self: Rc<Self>, plan: usize) {
         let p = &self.scenario.plans[plan];
-        let mut at = self.clock.at(START);
+        let mut at = self.clock.at(START_NS);
         loop {
             let rate = f64::from(p.customers) * p.demand * self.flood.get();
             if rate <= 0.0 {
@@ -49,7 +49,7 @@
                 let mut rng = self.rng.borrow_mut();
                 (rng.random_range(0..p.customers), self.scenario.class(rng.random()))
             };
-            spawn_local(self.clone().ask(Asked { plan, class, customer, repeats: 0 }));
+            spawn_local(self.clone().ask(ClientRequest { plan, class, customer, repeats: 0 }));
         }
     }
 
@@ -66,10 +66,10 @@
     }
 
     /// One request, and what its client does after it.
-    pub(super) async fn ask(self: Rc<Self>, asked: Asked) {
+    pub(super) async fn ask(self: Rc<Self>, asked: ClientRequest) {
         let mut asked = asked;
         while let Some(advice) = self.once(asked).await {
-            let again = self.scenario.clients.returns(asked.repeats, advice, &mut *self.rng.borrow_mut());
+            let again = self.scenario.clients.retry_delay(asked.repeats, advice, &mut *self.rng.borrow_mut());
             let Some(after) = again else { return };
             sleep(Duration::from_nanos(after)).await;
             asked.repeats += 1;
@@ -77,7 +77,7 @@
     }
 
     /// Asks once: the advice if it was not served.
-    async fn once(&self, asked: Asked) -> Option<Time> {
+    async fn once(&self, asked: ClientRequest) -> Option<Time> {
         let (plan, class) = (&self.scenario.plans[asked.plan], &self.scenario.classes[asked.class]);
         let (now, second, id) = (self.clock.now(), self.clock.second(), self.number());
         let counted = self.counts(now);
@@ -100,7 +100,7 @@
         let open = OpenRequest { asked, gateway, work, first: true, within: false, counted, ended: false };
         self.open.borrow_mut().insert(id, open);
         let request = self.request(id, asked, deadline - now);
-        let wait = deadline + SLACK + SOCKETS - now;
+        let wait = deadline + ANSWER_SLACK_NS + SOCKETS - now;
         let limit = Duration::from_nanos(leaves.unwrap_or(wait));
         let reply = match request {
             Ok(request) => timeout(limit, place.idle.ask(self.addresses.gateway(gateway), request)).await,
@@ -139,13 +139,14 @@
                 leaves.is_none().then_some(0)
             }
         };
-        self.note(deadline + SLACK + 1, Seen::Due { id });
+        self.note(deadline + ANSWER_SLACK_NS + 1, Seen::Due { id });
         advice
     }
 
-    fn count_asked(&self, asked: Asked, now: Time, second: Option<usize>, counted: bool) {
+    fn count_asked(&self, asked: ClientRequest, now: Time, second: Option<usize>, counted: bool) {
         let (plan, class) = (&self.scenario.plans[asked.plan], &self.scenario.classes[asked.class]);
-        let within = self.customers.borrow_mut()[asked.plan][asked.customer as usize].within(plan, now);
+        let within =
+            self.customers.borrow_mut()[asked.plan][asked.customer as usize].is_within_quota(plan, now);
         let mut figures = self.figures.borrow_mut();
         count(&mut figures.report.seconds, second, 0);
         count(&mut figures.report.quota, second, 2);
@@ -186,8 +187,8 @@
         let Exchange { id, asked, second, counted, first, .. } = *exchange;
         let plan = &self.scenario.plans[asked.plan];
         self.note(at, Seen::Answered { id, refused });
-        let room =
-            first && self.customers.borrow_mut()[asked.plan][asked.customer as usize].has_room(plan, at);
+        let room = first
+            && self.customers.borrow_mut()[asked.plan][asked.customer as usize].has_half_quota(plan, at);
         let report = &mut self.figures.borrow_mut().report;
         if refused && room {
             count(&mut report.quota, second, 3);
@@ -208,7 +209,12 @@
         }
     }
 
-    fn request(&self, id: u64, asked: Asked, wait: Time) -> hyper::http::Result<Request<Full<Bytes>>> {
+    fn request(
+        &self,
+        id: u64,
+        asked: ClientRequest,
+        wait: Time,
+    ) -> hyper::http::Result<Request<Full<Bytes>>> {
         let (plan, class) = (&self.scenario.plans[asked.plan], &self.scenario.classes[asked.class]);
         let account = (asked.plan as u64) << 24 | u64::from(asked.customer);
         let first = self.scenario.first_gateway(asked.customer);
--- a/crates/gateway-process-trial/src/world/servers.rs
+++ b/crates/gateway-process-trial/src/world/servers.rs
@@ -10,7 +10,7 @@
 use gateway_protocol::list::State;
 use gateway_protocol::registration::{Announcement, REGISTRATIONS_PATH};
 use gateway_simulation::report::{count, flow};
-use gateway_simulation::units::{METER, START};
+use gateway_simulation::units::{METER_PERIOD_NS, START_NS};
 use hyper::Method;
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
         if request.first {
             let plan = &self.scenario.plans[asked.plan];
             let customer = &mut self.customers.borrow_mut()[asked.plan][asked.customer as usize];
-            request.within = customer.take(plan, self.clock.now());
+            request.within = customer.charge(plan, self.clock.now());
             self.note(at, Seen::Drawn { plan: asked.plan, customer: asked.customer });
             count(&mut figures.report.flow, second, flow::FIRST);
             count(&mut figures.report.quota, second, 0);
@@ -68,7 +68,7 @@
     }
 
     pub async fn meter(self: Rc<Self>) {
-        let mut every = interval(Duration::from_nanos(METER));
+        let mut every = interval(Duration::from_nanos(METER_PERIOD_NS));
         // The first comes at once, and nothing was used before.
         every.tick().await;
         loop {
@@ -76,7 +76,7 @@
             self.sample();
             let on = self.meter_down.get() == 0;
             for (plan, customers) in self.scenario.plans.iter().zip(self.customers.borrow_mut().iter_mut()) {
-                customers.iter_mut().for_each(|customer| customer.meter(plan, on));
+                customers.iter_mut().for_each(|customer| customer.end_meter_period(plan, on));
             }
         }
     }
@@ -86,7 +86,7 @@
         let now = self.clock.now();
         let cores = &mut self.figures.borrow_mut().report.cores;
         // A tick may be late, but not by half a second.
-        if now < START + cores.len() as Time * 2 * METER + METER {
+        if now < START_NS + cores.len() as Time * 2 * METER_PERIOD_NS + METER_PERIOD_NS {
             return;
         }
         let silent = |n| self.net.get().is_some_and(|net| net.is_silent(n));
--- a/crates/gateway-process-trial/src/world/state.rs
+++ b/crates/gateway-process-trial/src/world/state.rs
@@ -3,7 +3,7 @@
 use crate::client::Idle;
 use crate::process::Program;
 use gateway_decisions::Time;
-use gateway_simulation::customer::Asked;
+use gateway_simulation::customer::ClientRequest;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
@@ -24,7 +24,7 @@
 
 /// A request as long as it may matter.
 pub struct OpenRequest {
-    pub asked: Asked,
+    pub asked: ClientRequest,
     pub gateway: usize,
     pub work: Time,
     pub first: bool,
--- a/crates/gateway-simulation/src/link.rs
+++ b/crates/gateway-simulation/src/link.rs
@@ -61,8 +61,12 @@
     }
 
     /// Draws those that are meant by a part.
-    pub fn strike(&self, scenario: &Scenario, rng: &mut impl Rng) -> Struck {
-        Struck { from: self.from.draw(scenario, rng), to: self.to.draw(scenario, rng), both: self.both }
+    pub fn resolve(&self, scenario: &Scenario, rng: &mut impl Rng) -> AffectedLinks {
+        AffectedLinks {
+            from: self.from.draw(scenario, rng),
+            to: self.to.draw(scenario, rng),
+            both: self.both,
+        }
     }
 }
 
@@ -163,13 +167,13 @@
 
 /// The ways that a fault strikes in one play.
 #[derive(Clone, Debug)]
-pub struct Struck {
+pub struct AffectedLinks {
     from: Ends,
     to: Ends,
     both: bool,
 }
 
-impl Struck {
+impl AffectedLinks {
     fn way(&self, gateway: usize, out: bool, other: impl Fn(&Ends) -> bool) -> bool {
         let one = self.from.gateways[gateway] && other(&self.to);
         let back = other(&self.from) && self.to.gateways[gateway];
@@ -180,12 +184,12 @@
     }
 
     /// Whether the way from a gateway to a server is struck, or the way back.
-    pub fn server(&self, gateway: usize, server: usize, out: bool) -> bool {
+    pub fn affects_server(&self, gateway: usize, server: usize, out: bool) -> bool {
         self.way(gateway, out, |ends| ends.servers[server])
     }
 
     /// The same of the list.
-    pub fn list(&self, gateway: usize, out: bool) -> bool {
+    pub fn affects_list(&self, gateway: usize, out: bool) -> bool {
         self.way(gateway, out, |ends| ends.list)
     }
 }
--- a/crates/gateway-simulation/src/link/tests.rs
+++ b/crates/gateway-simulation/src/link/tests.rs
@@ -8,28 +8,38 @@
     Scenario::from_value(crate::find("calm").unwrap()).unwrap()
 }
 
-fn strike(words: &str) -> Struck {
+fn strike(words: &str) -> AffectedLinks {
     let (scenario, mut rng) = (scenario(), ChaCha8Rng::seed_from_u64(1));
-    Link::parse(words, &scenario).unwrap().strike(&scenario, &mut rng)
+    Link::parse(words, &scenario).unwrap().resolve(&scenario, &mut rng)
 }
 
 #[test]
 fn a_line_names_the_ways_that_are_struck() {
     // Gateways and servers are of zones a, b, c in turn.
     let struck = strike("zone a except n3 -> zone b");
-    assert!(struck.server(0, 1, true) && !struck.server(0, 1, false), "one way");
-    assert!(!struck.server(3, 1, true) && !struck.server(0, 0, true) && !struck.server(2, 1, true));
+    assert!(struck.affects_server(0, 1, true) && !struck.affects_server(0, 1, false), "one way");
     assert!(
-        struck.server(1, 0, false) && !struck.server(1, 0, true),
+        !struck.affects_server(3, 1, true)
+            && !struck.affects_server(0, 0, true)
+            && !struck.affects_server(2, 1, true)
+    );
+    assert!(
+        struck.affects_server(1, 0, false) && !struck.affects_server(1, 0, true),
         "a's servers do not reach b's gateways"
     );
     let struck = strike("servers <- n1, n2");
-    assert!(struck.server(1, 5, true) && struck.server(2, 0, true) && !struck.server(0, 0, true));
+    assert!(
+        struck.affects_server(1, 5, true)
+            && struck.affects_server(2, 0, true)
+            && !struck.affects_server(0, 0, true)
+    );
     let struck = strike("gateways <-> list");
-    assert!(struck.list(7, true) && struck.list(7, false) && !struck.server(7, 0, true));
+    assert!(
+        struck.affects_list(7, true) && struck.affects_list(7, false) && !struck.affects_server(7, 0, true)
+    );
     let struck = strike("50% of gateways -> s-4");
-    let hit = (0..30).filter(|n| struck.server(*n, 4, true)).count();
-    assert_eq!((hit, (0..30).any(|n| struck.server(n, 3, true))), (15, false));
+    let hit = (0..30).filter(|n| struck.affects_server(*n, 4, true)).count();
+    assert_eq!((hit, (0..30).any(|n| struck.affects_server(n, 3, true))), (15, false));
 }
 
 #[test]
--- a/crates/gateway-simulation/src/oracle.rs
+++ b/crates/gateway-simulation/src/oracle.rs
@@ -1,6 +1,6 @@
 //! Checks each rule as a play goes, from what goes out and what was told, knowing nothing of why.
 
-use crate::units::{GRACE, SLACK, START};
+use crate::units::{ANSWER_SLACK_NS, DRAIN_GRACE_NS, START_NS};
 use gateway_decisions::{Effect, Ending, Group, Time};
 use std::collections::HashMap;
 use std::fmt;
@@ -82,7 +82,7 @@
 
 /// Since the begin of the play.
 fn seconds(at: Time) -> f64 {
-    at.saturating_sub(START) as f64 / 1e9
+    at.saturating_sub(START_NS) as f64 / 1e9
 }
 
 impl Oracle {
@@ -95,7 +95,7 @@
     }
 
     /// A client's request has come to a gateway.
-    pub fn asked(&mut self, id: u64, class: usize, deadline: Time, gateway: usize, now: Time) {
+    pub fn request_received(&mut self, id: u64, class: usize, deadline: Time, gateway: usize, now: Time) {
         let trace =
             vec![format!("{:.6} request {id:x} of class {class} comes to gateway {gateway}", seconds(now))];
         let case = Case {
@@ -114,7 +114,7 @@
 
     /// An attempt goes out. `told` is what the gateway was last told of the server: none if the list never named it,
     /// else since when it is to get nothing new.
-    pub fn sent(
+    pub fn attempt_sent(
         &mut self,
         id: u64,
         server: &str,
@@ -176,7 +176,7 @@
             None => {
                 return Self::breach(Rule::Listed, now, format!("{server} was never listed there"), trace)
             }
-            Some(Some(since)) if now > since + GRACE => {
+            Some(Some(since)) if now > since + DRAIN_GRACE_NS => {
                 let what = format!("{server} was told to get nothing new at {:.6}", seconds(since));
                 return Self::breach(Rule::Drains, now, what, trace);
             }
@@ -189,7 +189,7 @@
     }
 
     /// An attempt is over for its gateway.
-    pub fn over(&mut self, id: u64, ending: Ending, now: Time) {
+    pub fn attempt_ended(&mut self, id: u64, ending: Ending, now: Time) {
         let Some(case) = self.cases.get_mut(&id) else { return };
         case.trace.push(format!("{:.6} attempt ends: {ending:?}", seconds(now)));
         case.out = None;
@@ -199,7 +199,7 @@
     }
 
     /// The final answer; a refusal if `refused`.
-    pub fn answered(&mut self, id: u64, refused: bool, now: Time) -> Checked {
+    pub fn final_answer_sent(&mut self, id: u64, refused: bool, now: Time) -> Checked {
         let Some(case) = self.cases.get_mut(&id) else {
             return Self::breach(
                 Rule::Invented,
@@ -217,7 +217,7 @@
             seconds(now),
             if refused { ": refused" } else { "" }
         ));
-        if now > case.deadline + SLACK && !case.excused {
+        if now > case.deadline + ANSWER_SLACK_NS && !case.excused {
             let what = format!("{id:x} is answered after its time, {:.6}", seconds(case.deadline));
             return Self::breach(Rule::OneAnswer, now, what, &case.trace);
         }
@@ -236,19 +236,19 @@
     }
 
     /// Its gateway stands still while the request is open.
-    pub fn excuse(&mut self, id: u64) {
+    pub fn waive_deadline(&mut self, id: u64) {
         if let Some(case) = self.cases.get_mut(&id) {
             case.excused = true;
         }
     }
 
     /// Nobody waits for the request any more, or its gateway is gone.
-    pub fn left(&mut self, id: u64) {
+    pub fn request_abandoned(&mut self, id: u64) {
         self.cases.remove(&id);
     }
 
     /// The time of a request is over, with its slack.
-    pub fn due(&mut self, id: u64, now: Time) -> Checked {
+    pub fn deadline_reached(&mut self, id: u64, now: Time) -> Checked {
         if self.cases.get(&id).is_some_and(|case| case.excused && !case.ended) {
             // Its gateway may still end it when it goes on.
             return Ok(());
@@ -263,7 +263,7 @@
 
     /// A request's first attempt takes its units from the customer's ceiling, which fills by `rate` up to `burst`.
     /// `slack` is what it may fall below 0.
-    pub fn drawn(
+    pub fn ceiling_units_taken(
         &mut self,
         customer: u32,
         units: f64,
@@ -281,7 +281,7 @@
     }
 
     /// A cold server was pushed over; `told` is the part of its late work that came from gateways that knew of its start.
-    pub fn fell(server: &str, told: f64, now: Time) -> Checked {
+    pub fn server_collapsed(server: &str, told: f64, now: Time) -> Checked {
         if told >= 2.0 / 3.0 {
             let part = told * 100.0;
             return Self::breach(
--- a/crates/gateway-simulation/src/report.rs
+++ b/crates/gateway-simulation/src/report.rs
@@ -69,35 +69,38 @@
     /// The first attempts of their requests.
     pub const FIRST: usize = 1;
     /// Attempts that were turned away.
-    pub const AWAY: usize = 2;
+    pub const REJECTED: usize = 2;
     /// Attempts at servers that serve nothing: dead, silent, cut off or refusing.
-    pub const VAIN: usize = 3;
+    pub const FUTILE: usize = 3;
     /// The most of these at one server.
-    pub const MOST: usize = 4;
+    pub const MAX_FUTILE_PER_SERVER: usize = 4;
 }
 
 /// How a fleet fares over some seconds, against what its servers could do.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fares {
+pub struct FleetStats {
     /// Work served in time, as a part of what could have been: what was wanted, or what the servers had capacity for.
     pub goodput: f64,
     /// Attempts for each first one.
     pub attempts: f64,
     /// Attempts a second that were turned away.
-    pub away: f64,
+    pub rejected_per_s: f64,
     /// Attempts a second at servers that serve nothing, and the most at one of them in any second.
-    pub vain: f64,
-    pub most: u32,
+    pub futile_per_s: f64,
+    pub max_futile_per_server: u32,
 }
 
-/// What [`Fares`] words, in its order.
-pub const FARES: &str =
+/// What [`FleetStats`] words, in its order.
+pub const FLEET_STATS_COLUMNS: &str =
     "goodput of possible, attempts a first one, turned away a second, in vain, most at one";
 
-impl fmt::Display for Fares {
+impl fmt::Display for FleetStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fares { goodput, attempts, away, vain, most } = self;
-        write!(f, "{goodput:.3}, {attempts:.3}, {away:.0}, {vain:.0}, {most}")
+        let FleetStats { goodput, attempts, rejected_per_s, futile_per_s, max_futile_per_server } = self;
+        write!(
+            f,
+            "{goodput:.3}, {attempts:.3}, {rejected_per_s:.0}, {futile_per_s:.0}, {max_futile_per_server}"
+        )
     }
 }
 
@@ -109,23 +112,26 @@
     }
 
     /// Of the seconds from `from` to before `to`.
-    pub fn fares(&self, from: usize, to: usize) -> Fares {
+    pub fn fleet_stats(&self, from: usize, to: usize) -> FleetStats {
         let seconds = from..to.min(self.flow.len());
         let sum = |what: usize| seconds.clone().map(|n| f64::from(self.flow[n][what])).sum::<f64>();
         let useful = seconds.clone().map(|n| self.useful(n));
         let [served, possible] = useful.fold([0.0; 2], |sum, one| [sum[0] + one[0], sum[1] + one[1]]);
         let span = seconds.len().max(1) as f64;
-        Fares {
+        FleetStats {
             goodput: served / possible.max(1.0),
             attempts: sum(flow::ATTEMPTS) / sum(flow::FIRST).max(1.0),
-            away: sum(flow::AWAY) / span,
-            vain: sum(flow::VAIN) / span,
-            most: seconds.map(|n| self.flow[n][flow::MOST]).max().unwrap_or(0),
+            rejected_per_s: sum(flow::REJECTED) / span,
+            futile_per_s: sum(flow::FUTILE) / span,
+            max_futile_per_server: seconds
+                .map(|n| self.flow[n][flow::MAX_FUTILE_PER_SERVER])
+                .max()
+                .unwrap_or(0),
         }
     }
 
     /// How long after `from`, in seconds, until 95% of what could be done in a second is served in time.
-    pub fn recovered(&self, from: f64) -> Option<f64> {
+    pub fn recovery_time_s(&self, from: f64) -> Option<f64> {
         let mut after = from.ceil() as usize..self.work.len().min(self.cores.len());
         let well = after.find(|n| {
             let [served, possible] = self.useful(*n);
@@ -134,7 +140,7 @@
         well.map(|n| n as f64 + 1.0 - from)
     }
     /// Of the seconds from `from` to before `to`: units beyond quota of those sent, and tries refused with half of the quota.
-    pub fn quotas(&self, from: usize, to: usize) -> [f64; 2] {
+    pub fn quota_shares(&self, from: usize, to: usize) -> [f64; 2] {
         let sum = self.quota.iter().take(to).skip(from).fold([0_u64; 4], |mut sum, second| {
             sum.iter_mut().zip(second).for_each(|(sum, n)| *sum += u64::from(*n));
             sum
@@ -164,21 +170,21 @@
 
 /// Counts attempts at servers that serve nothing, by second and server.
 #[derive(Default)]
-pub struct Vain {
+pub struct FutileAttempts {
     second: Option<usize>,
     at: BTreeMap<usize, u32>,
 }
 
-impl Vain {
+impl FutileAttempts {
     pub fn count(&mut self, flow: &mut Vec<[u32; 5]>, second: Option<usize>, server: usize) {
         if self.second != second {
             (self.second, self.at) = (second, BTreeMap::new());
         }
-        count(flow, second, flow::VAIN);
+        count(flow, second, flow::FUTILE);
         let here = self.at.entry(server).or_default();
         *here += 1;
         if let Some(second) = second {
-            flow[second][flow::MOST] = flow[second][flow::MOST].max(*here);
+            flow[second][flow::MAX_FUTILE_PER_SERVER] = flow[second][flow::MAX_FUTILE_PER_SERVER].max(*here);
         }
     }
 }
--- a/crates/gateway-simulation/src/report/tests.rs
+++ b/crates/gateway-simulation/src/report/tests.rs
@@ -11,24 +11,28 @@
         flow: vec![[100, 100, 0, 0, 0], [120, 80, 0, 6, 4], [90, 80, 0, 2, 1], [100; 5]],
         ..Report::default()
     };
-    let fares = report.fares(1, 3);
-    assert_eq!((fares.goodput, fares.vain, fares.most), (2400.0 / 3000.0, 4.0, 4));
-    assert_eq!(fares.attempts, 210.0 / 160.0);
-    assert_eq!((report.recovered(1.5), report.recovered(3.5)), (Some(2.5), None));
+    let fleet_stats = report.fleet_stats(1, 3);
+    assert_eq!(
+        (fleet_stats.goodput, fleet_stats.futile_per_s, fleet_stats.max_futile_per_server),
+        (2400.0 / 3000.0, 4.0, 4)
+    );
+    assert_eq!(fleet_stats.attempts, 210.0 / 160.0);
+    assert_eq!((report.recovery_time_s(1.5), report.recovery_time_s(3.5)), (Some(2.5), None));
 }
 
 #[test]
 fn attempts_in_vain_are_counted_by_server_within_each_second() {
-    let (mut vain, mut flow) = (Vain::default(), Vec::new());
+    let (mut vain, mut flow) = (FutileAttempts::default(), Vec::new());
     for (second, server) in [(0, 1), (0, 2), (0, 1), (1, 1), (1, 2)] {
         vain.count(&mut flow, Some(second), server);
     }
-    let counts: Vec<[u32; 2]> = flow.iter().map(|f| [f[flow::VAIN], f[flow::MOST]]).collect();
+    let counts: Vec<[u32; 2]> =
+        flow.iter().map(|f| [f[flow::FUTILE], f[flow::MAX_FUTILE_PER_SERVER]]).collect();
     assert_eq!(counts, [[3, 2], [2, 1]]);
 }
 
 #[test]
 fn shares_are_of_the_seconds_that_are_named() {
     let report = Report { quota: vec![[9, 9, 9, 9], [10, 1, 20, 5], [0; 4]], ..Report::default() };
-    assert_eq!((report.quotas(1, 3), report.quotas(2, 3)), ([0.1, 0.25], [0.0, 0.0]));
+    assert_eq!((report.quota_shares(1, 3), report.quota_shares(2, 3)), ([0.1, 0.25], [0.0, 0.0]));
 }
--- a/crates/gateway-simulation/src/scenario.rs
+++ b/crates/gateway-simulation/src/scenario.rs
@@ -79,7 +79,7 @@
     }
 
     /// Those that a fault strikes, in a random order: gateways, or servers.
-    pub fn strikes(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<usize> {
+    pub fn fault_targets(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<usize> {
         let zone = fault.zone.as_ref().and_then(|z| self.zones.iter().position(|name| name == z));
         let (count, of): (u32, fn(&Self, usize) -> usize) = match fault.kind {
             Trouble::Restart | Trouble::Rolling | Trouble::Pause | Trouble::Hangup => {
@@ -111,7 +111,7 @@
     }
 
     /// When the last fault ends, in seconds.
-    pub fn last_fault(&self) -> Option<f64> {
+    pub fn last_fault_end_s(&self) -> Option<f64> {
         self.faults.iter().map(|f| f.at_s + f.for_s).reduce(f64::max)
     }
 
--- a/crates/gateway-simulation/src/scenario/load.rs
+++ b/crates/gateway-simulation/src/scenario/load.rs
@@ -140,7 +140,7 @@
 
 impl Clients {
     /// After how long one that was not served asks again: never if it has asked often enough.
-    pub fn returns(&self, repeats: u32, advice: Time, rng: &mut impl Rng) -> Option<Time> {
+    pub fn retry_delay(&self, repeats: u32, advice: Time, rng: &mut impl Rng) -> Option<Time> {
         if repeats >= self.repeats {
             return None;
         }
--- a/crates/gateway-simulation/src/scenario/settings.rs
+++ b/crates/gateway-simulation/src/scenario/settings.rs
@@ -1,15 +1,15 @@
 //! What a scenario means for the models: the settings of its gateways, and its servers' figures.
 
 use crate::scenario::{Repeats, Runs, Scenario};
-use crate::server::Build;
-use crate::units::{ns, METER, MS, SECOND, SLACK};
+use crate::server::ServerParameters;
+use crate::units::{ns, ANSWER_SLACK_NS, METER_PERIOD_NS, MS, SECOND};
 use gateway_decisions::{Class, Effect, Group, Plan, Settings};
 
 impl Scenario {
     /// The servers' figures, for their models.
-    pub fn build(&self) -> Build {
+    pub fn server_parameters(&self) -> ServerParameters {
         let s = &self.servers;
-        Build {
+        ServerParameters {
             cores: s.cores,
             waiting: s.waiting,
             cold: ns(s.cold_s, SECOND),
@@ -56,12 +56,12 @@
             retry_after: true,
             max_retry_after: ns(2.0, SECOND),
             try_limit: self.gateways.tries,
-            meter_period: METER,
+            meter_period: METER_PERIOD_NS,
             warm_up_time: ns(self.servers.cold_s, SECOND),
             warm_up_from: self.servers.cold_from,
             overload_tolerance: ns(self.servers.fall_s, SECOND),
             overload_multiple: self.servers.fall_multiple,
-            answer_slack: SLACK,
+            answer_slack: ANSWER_SLACK_NS,
             cross_zone_price: self.network.crossing_price,
             tick: ns(self.gateways.tick_ms, MS),
             connection_idle_time: ns(self.servers.idle_s, SECOND),
--- a/crates/gateway-simulation/src/server.rs
+++ b/crates/gateway-simulation/src/server.rs
@@ -5,12 +5,12 @@
 
 /// What a server makes of a request that comes in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It is worked on, and done then.
-    Begun(Time),
-    Waits,
+    Started(Time),
+    Queued,
     /// The waiting room is full, or the server wants nothing new.
-    Away,
+    Rejected,
 }
 
 /// A server's own state. Who reaches it, and whether it answers, is the world's business.
@@ -31,17 +31,17 @@
     pressure: f64,
     pressed: Time,
     /// It was sent more than it bears, cold, and does nothing any more.
-    pub fallen: bool,
+    pub collapsed: bool,
     pub draining: bool,
     /// It turns all away at once, whatever room it has.
     pub refusing: bool,
     /// How much longer it takes than usual.
-    pub slow: f64,
+    pub slowdown: f64,
 }
 
 /// The figures of a server's model. Times in nanoseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Build {
+pub struct ServerParameters {
     pub cores: u32,
     pub waiting: u32,
     pub cold: Time,
@@ -51,7 +51,7 @@
 }
 
 impl Server {
-    pub fn new(build: Build) -> Self {
+    pub fn new(build: ServerParameters) -> Self {
         Server {
             cores: build.cores,
             waiting: build.waiting as usize,
@@ -64,10 +64,10 @@
             fall_multiple: build.fall_multiple,
             pressure: 0.0,
             pressed: 0,
-            fallen: false,
+            collapsed: false,
             draining: false,
             refusing: false,
-            slow: 1.0,
+            slowdown: 1.0,
         }
     }
 
@@ -75,7 +75,7 @@
     pub fn restart(&mut self, now: Time) {
         (self.busy, self.pressure, self.pressed) = (0, 0.0, now);
         self.queue.clear();
-        (self.started, self.fallen, self.draining) = (Some(now), false, false);
+        (self.started, self.collapsed, self.draining) = (Some(now), false, false);
     }
 
     /// The part of its capacity that it has now: it climbs evenly from a cold start.
@@ -90,10 +90,10 @@
 
     /// The work that it can do now, in warm cores, and the part of it that is in use.
     pub fn cores(&self, now: Time) -> [f64; 2] {
-        let each = if self.fallen || self.refusing {
+        let each = if self.collapsed || self.refusing {
             0.0
         } else {
-            self.warmth(now) / self.slow.max(f64::MIN_POSITIVE)
+            self.warmth(now) / self.slowdown.max(f64::MIN_POSITIVE)
         };
         [f64::from(self.cores) * each, f64::from(self.busy) * each]
     }
@@ -104,24 +104,24 @@
     }
 
     /// An attempt comes in with so much work. All that comes presses, also what is turned away.
-    pub fn take(&mut self, attempt: u64, work: Time, now: Time) -> Taken {
+    pub fn admit(&mut self, attempt: u64, work: Time, now: Time) -> Admission {
         self.press(work, now);
-        if self.fallen || self.draining || self.refusing {
-            return Taken::Away;
+        if self.collapsed || self.draining || self.refusing {
+            return Admission::Rejected;
         }
         if self.busy < self.cores {
             self.busy += 1;
-            return Taken::Begun(now + self.time(work, now));
+            return Admission::Started(now + self.time(work, now));
         }
         if self.queue.len() >= self.waiting {
-            return Taken::Away;
+            return Admission::Rejected;
         }
         self.queue.push_back((attempt, work));
-        Taken::Waits
+        Admission::Queued
     }
 
     /// One is done. What waited longest begins: the attempt, and when it is done.
-    pub fn done(&mut self, now: Time) -> Option<(u64, Time)> {
+    pub fn complete(&mut self, now: Time) -> Option<(u64, Time)> {
         match self.queue.pop_front() {
             Some((attempt, work)) => Some((attempt, now + self.time(work, now))),
             None => {
@@ -132,7 +132,7 @@
     }
 
     fn time(&self, work: Time, now: Time) -> Time {
-        (work as f64 * self.slow / self.warmth(now)) as Time
+        (work as f64 * self.slowdown / self.warmth(now)) as Time
     }
 
     /// Within any span of `fall` a cold server bears the multiple of what it can do in that span.
@@ -142,7 +142,7 @@
         self.pressure = (self.pressure - bears * (now - self.pressed) as f64).max(0.0) + work as f64;
         self.pressed = now;
         if warmth < 1.0 && self.pressure > bears * self.fall as f64 {
-            self.fallen = true;
+            self.collapsed = true;
         }
     }
 }
--- a/crates/gateway-simulation/src/units.rs
+++ b/crates/gateway-simulation/src/units.rs
@@ -12,10 +12,10 @@
 }
 
 /// When a play begins, as Unix time: any time that is not 0, which means long ago.
-pub const START: Time = 1_000_000 * 1_000_000_000;
+pub const START_NS: Time = 1_000_000 * 1_000_000_000;
 /// How often the meter tells.
-pub const METER: Time = 500_000_000;
+pub const METER_PERIOD_NS: Time = 500_000_000;
 /// How long past its deadline a request may have its final answer.
-pub const SLACK: Time = 8_000_000;
+pub const ANSWER_SLACK_NS: Time = 8_000_000;
 /// How long after it was told draining or gone a server may be sent to.
-pub const GRACE: Time = 500_000_000;
+pub const DRAIN_GRACE_NS: Time = 500_000_000;
--- a/crates/gateway-simulation/src/world.rs
+++ b/crates/gateway-simulation/src/world.rs
@@ -8,12 +8,12 @@
 mod list;
 mod state;
 
-use crate::customer::{Asked, Customer};
-use crate::link::Struck;
+use crate::customer::{ClientRequest, Customer};
+use crate::link::AffectedLinks;
 use crate::oracle::{Allowed, Breach, Oracle};
-use crate::report::{times, Report, Vain};
+use crate::report::{times, FutileAttempts, Report};
 use crate::scenario::Scenario;
-use crate::units::{ns, METER, SECOND, START};
+use crate::units::{ns, METER_PERIOD_NS, SECOND, START_NS};
 pub use crate::world::decider::Decider;
 use crate::world::decider::Maker;
 use crate::world::state::{Attempt, Due, GatewayState, HeldRequest, ServerState};
@@ -64,11 +64,11 @@
     meter_down: bool,
     list_down: Option<Time>,
     /// Faults on links, by their numbers.
-    links: Vec<(usize, Struck)>,
+    links: Vec<(usize, AffectedLinks)>,
     struck: Vec<Vec<usize>>,
     oracle: Oracle,
     report: Report,
-    vain: Vain,
+    vain: FutileAttempts,
     times: Histogram<u64>,
     worth: [f64; 2],
     work: [f64; 2],
@@ -77,7 +77,7 @@
 
 impl<'a> World<'a> {
     fn new(scenario: &'a Scenario, seed: u64, maker: Maker<'a>) -> Self {
-        let build = scenario.build();
+        let build = scenario.server_parameters();
         let count = scenario.servers.count as usize;
         let servers: Vec<ServerState> = (0..count).map(|n| ServerState::new(scenario, n, build)).collect();
         let settings = scenario.settings(0, 0);
@@ -87,9 +87,9 @@
         let mut world = World {
             oracle: Oracle::new(allowed.collect(), scenario.gateways.tries),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            now: START,
-            end: START + ns(scenario.seconds, SECOND),
-            counted_from: START + ns(scenario.uncounted_s, SECOND),
+            now: START_NS,
+            end: START_NS + ns(scenario.seconds, SECOND),
+            counted_from: START_NS + ns(scenario.uncounted_s, SECOND),
             planned: 0,
             queue: BinaryHeap::new(),
             due: Vec::new(),
@@ -100,7 +100,7 @@
             customers: scenario
                 .plans
                 .iter()
-                .map(|p| vec![Customer::new(p.depth, START); p.customers as usize])
+                .map(|p| vec![Customer::new(p.depth, START_NS); p.customers as usize])
                 .collect(),
             requests: HashMap::new(),
             attempts: HashMap::new(),
@@ -116,7 +116,7 @@
                 seconds: vec![[0; 2]; seconds],
                 ..Report::default()
             },
-            vain: Vain::default(),
+            vain: FutileAttempts::default(),
             times: times(),
             worth: [0.0; 2],
             work: [0.0; 2],
@@ -129,7 +129,7 @@
             world.plan_arrival(plan);
         }
         world.plan_faults();
-        world.plan(START + METER, Due::Meter);
+        world.plan(START_NS + METER_PERIOD_NS, Due::Meter);
         world
     }
 
@@ -138,7 +138,7 @@
             let zone = self.scenario.zone_of_gateway(n);
             let seed = self.rng.random();
             let settings = self.scenario.settings(n as u32, zone as u32);
-            let decider = (self.maker)(settings, seed, START);
+            let decider = (self.maker)(settings, seed, START_NS);
             self.gateways.push(GatewayState::new(zone, decider, self.servers.len()));
             self.tell_whole_list(n);
         }
@@ -146,7 +146,7 @@
 
     fn plan_faults(&mut self) {
         for (n, fault) in self.scenario.faults.iter().enumerate() {
-            let at = START + ns(fault.at_s, SECOND);
+            let at = START_NS + ns(fault.at_s, SECOND);
             self.plan(at, Due::Begin { fault: n });
             self.plan(at + ns(fault.for_s, SECOND), Due::Finish { fault: n });
         }
@@ -198,7 +198,7 @@
                 self.plan_arrival(plan);
                 let customer = self.rng.random_range(0..self.scenario.plans[plan].customers);
                 let class = self.scenario.class(self.rng.random());
-                self.ask(Asked { plan, class, customer, repeats: 0 });
+                self.ask(ClientRequest { plan, class, customer, repeats: 0 });
             }
             Due::Again { asked } => self.ask(asked),
             Due::Round { gateway, life } => self.round(gateway, life)?,
@@ -209,7 +209,7 @@
             Due::Expire { attempt } => self.expire(attempt)?,
             Due::Leave { request } => self.client_leaves(request),
             Due::Over { request } => {
-                self.oracle.due(request, self.now)?;
+                self.oracle.deadline_reached(request, self.now)?;
                 self.requests.remove(&request);
             }
             Due::Tell { gateway, life, server, health, started } => {
@@ -227,6 +227,6 @@
     }
 
     fn second(&self) -> Option<usize> {
-        Some(((self.now - START) / 1_000_000_000) as usize)
+        Some(((self.now - START_NS) / 1_000_000_000) as usize)
     }
 }
--- a/crates/gateway-simulation/src/world/attempts.rs
+++ b/crates/gateway-simulation/src/world/attempts.rs
@@ -1,11 +1,11 @@
 //! Attempts: on their way to a server, in its hands, and their end.
 
-use crate::customer::Asked;
+use crate::customer::ClientRequest;
 use crate::oracle::{Breach, Oracle};
 use crate::report::{self, flow};
 use crate::scenario::{Fault, Trouble};
-use crate::server::Taken;
-use crate::units::{ns, MS, SECOND, START};
+use crate::server::Admission;
+use crate::units::{ns, MS, SECOND, START_NS};
 use crate::world::state::{Attempt, Due};
 use crate::world::World;
 use gateway_decisions::{AttemptEnd, Ending, Event, Name, Time, Via};
@@ -27,7 +27,7 @@
         let known = self.numbers.get(server).copied();
         let told = known.and_then(|n| self.gateways[gateway].told[n]);
         let place = known.map_or((0, 0), |n| (self.servers[n].zone as u32, self.servers[n].cell));
-        self.oracle.sent(id, server, place, told, now)?;
+        self.oracle.attempt_sent(id, server, place, told, now)?;
         let cut_off = known.is_some_and(|n| self.cut_off(gateway, n, true));
         let (Some(n), Some(held)) = (known, self.requests.get_mut(&id)) else { return Ok(()) };
         let (asked, counted, number, deadline) = (held.asked, held.counted, held.attempts, held.deadline);
@@ -38,7 +38,7 @@
         let first = held.within.is_none();
         if first {
             let customer = &mut self.customers[asked.plan][asked.customer as usize];
-            let within = customer.take(&self.scenario.plans[asked.plan], now);
+            let within = customer.charge(&self.scenario.plans[asked.plan], now);
             held.within = Some(within);
             self.passed(asked, counted, within)?;
         }
@@ -61,7 +61,7 @@
     }
 
     /// A request is sent for the first time, within its customer's quota or not.
-    fn passed(&mut self, asked: Asked, counted: bool, within: bool) -> Result<(), Box<Breach>> {
+    fn passed(&mut self, asked: ClientRequest, counted: bool, within: bool) -> Result<(), Box<Breach>> {
         let (plan, second) = (&self.scenario.plans[asked.plan], self.second());
         report::count(&mut self.report.quota, second, 0);
         if !within {
@@ -74,7 +74,12 @@
         if plan.ceiling_rate > 0.0 {
             let slack = CEILING_UNITS + plan.ceiling_rate * CEILING_S;
             let number = (asked.plan as u32) << 24 | asked.customer;
-            self.oracle.drawn(number, 1.0, (plan.ceiling_rate, plan.ceiling_burst, slack), self.now)?;
+            self.oracle.ceiling_units_taken(
+                number,
+                1.0,
+                (plan.ceiling_rate, plan.ceiling_burst, slack),
+                self.now,
+            )?;
         }
         Ok(())
     }
@@ -137,7 +142,7 @@
         server: usize,
         out: bool,
     ) -> impl Iterator<Item = &Fault> {
-        let of = self.links.iter().filter(move |(_, link)| link.server(gateway, server, out));
+        let of = self.links.iter().filter(move |(_, link)| link.affects_server(gateway, server, out));
         of.map(|(n, _)| &self.scenario.faults[*n]).filter(move |fault| fault.kind == kind)
     }
 
@@ -179,20 +184,20 @@
         server.work[0] += work as f64;
         server.work[1] += if told { work as f64 } else { 0.0 };
         let handshake = if fresh { ns(self.scenario.servers.handshake_ms, MS) } else { 0 };
-        let taken = server.model.take(key, work + handshake, self.now);
-        if server.model.fallen && !server.reported {
+        let taken = server.model.admit(key, work + handshake, self.now);
+        if server.model.collapsed && !server.reported {
             server.reported = true;
             let (name, part) = (server.name.clone(), server.work[1] / server.work[0].max(1.0));
             self.report.fallen += 1;
-            Oracle::fell(&name, part, self.now)?;
+            Oracle::server_collapsed(&name, part, self.now)?;
         }
         let (server, life) = (n, self.servers[n].life);
         match taken {
-            Taken::Begun(at) => self.plan(at, Due::Done { server, life, attempt: key }),
-            Taken::Waits => {}
-            Taken::Away => {
+            Admission::Started(at) => self.plan(at, Due::Done { server, life, attempt: key }),
+            Admission::Queued => {}
+            Admission::Rejected => {
                 let second = self.second();
-                report::count(&mut self.report.flow, second, flow::AWAY);
+                report::count(&mut self.report.flow, second, flow::REJECTED);
                 self.plan(self.now + way, Due::End { attempt: key, ending: Ending::Full, via });
             }
         }
@@ -204,7 +209,7 @@
         if server.life != life || !server.up {
             return;
         }
-        if let Some((next, at)) = server.model.done(self.now) {
+        if let Some((next, at)) = server.model.complete(self.now) {
             self.plan(at, Due::Done { server: n, life, attempt: next });
         }
         let Some(a) = self.attempts.get(&key) else { return };
@@ -264,7 +269,7 @@
         let place = &mut self.gateways[gateway];
         place.used[n] = place.used[n].saturating_sub(1);
         let links = place.idle[n].len() as u32 + place.used[n];
-        self.oracle.over(id, ending, now);
+        self.oracle.attempt_ended(id, ending, now);
         let mut metered = None;
         let mut last = true;
         let mut served = None;
@@ -283,7 +288,7 @@
             }
         }
         if let Some((asked, at, counted, within)) = served {
-            self.oracle.answered(id, false, now)?;
+            self.oracle.final_answer_sent(id, false, now)?;
             self.served(asked, at, counted, within);
         }
         let server = self.servers[n].name.clone();
@@ -305,7 +310,7 @@
         Ok(())
     }
 
-    fn served(&mut self, asked: Asked, at: Time, counted: bool, within: Option<bool>) {
+    fn served(&mut self, asked: ClientRequest, at: Time, counted: bool, within: Option<bool>) {
         if !counted {
             return;
         }
@@ -317,7 +322,7 @@
             return;
         }
         self.report.on_time += 1;
-        let second = ((at - START) / 1_000_000_000) as usize;
+        let second = ((at - START_NS) / 1_000_000_000) as usize;
         self.report.seconds[second][1] += 1;
         report::add(&mut self.report.work, Some(second), 1, class.work_ms);
         if within == Some(true) {
--- a/crates/gateway-simulation/src/world/clients.rs
+++ b/crates/gateway-simulation/src/world/clients.rs
@@ -1,8 +1,8 @@
 //! Clients: when they ask, ask again and leave.
 
-use crate::customer::Asked;
+use crate::customer::ClientRequest;
 use crate::report;
-use crate::units::{ns, MS, SECOND, SLACK, START};
+use crate::units::{ns, ANSWER_SLACK_NS, MS, SECOND, START_NS};
 use crate::world::state::{Due, HeldRequest};
 use crate::world::World;
 use gateway_decisions::{Event, Request, Time};
@@ -19,7 +19,7 @@
         }
     }
 
-    pub(super) fn ask(&mut self, asked: Asked) {
+    pub(super) fn ask(&mut self, asked: ClientRequest) {
         let plan = &self.scenario.plans[asked.plan];
         let count = self.gateways.len();
         // A customer's gateways are so many in a row.
@@ -31,11 +31,11 @@
         let spread = plan.spread;
         if counted {
             self.report.requests += 1;
-            let second = ((self.now - START) / 1_000_000_000) as usize;
+            let second = ((self.now - START_NS) / 1_000_000_000) as usize;
             self.report.seconds[second][0] += 1;
         }
         let customer = &mut self.customers[asked.plan][asked.customer as usize];
-        let within = customer.within(plan, self.now);
+        let within = customer.is_within_quota(plan, self.now);
         let second = self.second();
         report::count(&mut self.report.quota, second, 2);
         if asked.repeats == 0 && within {
@@ -53,19 +53,19 @@
         let id = self.next;
         self.next += 1;
         let deadline = self.now + ns(class.deadline_ms, MS);
-        self.oracle.asked(id, asked.class, deadline, gateway, self.now);
+        self.oracle.request_received(id, asked.class, deadline, gateway, self.now);
         let (at, within, out) = (self.now, None, None);
         let held =
             HeldRequest { asked, gateway, at, deadline, ended: false, out, attempts: 0, within, counted };
         self.requests.insert(id, held);
         if self.now < self.gateways[gateway].paused_until {
-            self.oracle.excuse(id);
+            self.oracle.waive_deadline(id);
         }
         let name = format!("{}/{}", asked.plan, asked.customer);
         let request = Request { spread, ..Request::new(id, asked.class, asked.plan, &name, deadline, 1.0) };
         let life = self.gateways[gateway].life;
         self.push_event(gateway, life, Event::Request(request));
-        self.plan(deadline + SLACK + 1, Due::Over { request: id });
+        self.plan(deadline + ANSWER_SLACK_NS + 1, Due::Over { request: id });
         if self.scenario.clients.leaves > 0.0 && self.rng.random::<f64>() < self.scenario.clients.leaves {
             let after = self.rng.random_range(0..deadline - self.now);
             self.plan(self.now + after, Due::Leave { request: id });
@@ -73,9 +73,9 @@
     }
 
     /// A client that was not served asks again, as often as its kind does.
-    pub(super) fn ask_again(&mut self, asked: Asked, advice: Time) {
-        if let Some(after) = self.scenario.clients.returns(asked.repeats, advice, &mut self.rng) {
-            let asked = Asked { repeats: asked.repeats + 1, ..asked };
+    pub(super) fn ask_again(&mut self, asked: ClientRequest, advice: Time) {
+        if let Some(after) = self.scenario.clients.retry_delay(asked.repeats, advice, &mut self.rng) {
+            let asked = ClientRequest { repeats: asked.repeats + 1, ..asked };
             self.plan(self.now + after, Due::Again { asked });
         }
     }
@@ -85,7 +85,7 @@
         held.ended = true;
         let (gateway, counted) = (held.gateway, held.counted);
         self.report.gone += u64::from(counted);
-        self.oracle.left(id);
+        self.oracle.request_abandoned(id);
         let life = self.gateways[gateway].life;
         self.push_event(gateway, life, Event::ClientGone { id });
     }
--- a/crates/gateway-simulation/src/world/faults.rs
+++ b/crates/gateway-simulation/src/world/faults.rs
@@ -1,6 +1,6 @@
 //! Faults, and servers that stop and start.
 
-use crate::link::{Link, Struck};
+use crate::link::{AffectedLinks, Link};
 use crate::scenario::Trouble;
 use crate::units::{ns, SECOND};
 use crate::world::state::{Attempt, Due};
@@ -16,11 +16,11 @@
     pub(super) fn begin(&mut self, number: usize) {
         let scenario = self.scenario;
         let fault = &scenario.faults[number];
-        let struck = scenario.strikes(fault, &mut self.rng);
+        let struck = scenario.fault_targets(fault, &mut self.rng);
         match fault.kind {
             Trouble::Kill => struck.iter().for_each(|n| self.server_down(*n, true)),
             Trouble::Silent => struck.iter().for_each(|n| self.servers[*n].silent = true),
-            Trouble::Slow => struck.iter().for_each(|n| self.servers[*n].model.slow = fault.factor),
+            Trouble::Slow => struck.iter().for_each(|n| self.servers[*n].model.slowdown = fault.factor),
             Trouble::Fail => struck.iter().for_each(|n| self.servers[*n].fails = fault.factor),
             Trouble::Refuse => struck.iter().for_each(|n| self.servers[*n].model.refusing = true),
             Trouble::Release => {
@@ -34,7 +34,7 @@
             }
             Trouble::Cut | Trouble::Reset | Trouble::Delay => {
                 if let Some(Ok(link)) = Link::of(fault, scenario) {
-                    let struck = link.strike(scenario, &mut self.rng);
+                    let struck = link.resolve(scenario, &mut self.rng);
                     if fault.kind == Trouble::Reset {
                         self.reset(&struck);
                     }
@@ -66,7 +66,7 @@
         match fault.kind {
             Trouble::Kill => struck.iter().for_each(|n| self.server_up(*n)),
             Trouble::Silent => struck.iter().for_each(|n| self.servers[*n].silent = false),
-            Trouble::Slow => struck.iter().for_each(|n| self.servers[*n].model.slow = 1.0),
+            Trouble::Slow => struck.iter().for_each(|n| self.servers[*n].model.slowdown = 1.0),
             Trouble::Fail => struck.iter().for_each(|n| self.servers[*n].fails = 0.0),
             Trouble::Refuse => struck.iter().for_each(|n| self.servers[*n].model.refusing = false),
             Trouble::Cut | Trouble::Reset | Trouble::Delay => self.links.retain(|(n, _)| *n != number),
@@ -130,8 +130,8 @@
     }
 
     /// Connections over the link are reset under what is out.
-    fn reset(&mut self, struck: &Struck) {
-        let over = |a: &Attempt| a.there && struck.server(a.gateway, a.server, true);
+    fn reset(&mut self, struck: &AffectedLinks) {
+        let over = |a: &Attempt| a.there && struck.affects_server(a.gateway, a.server, true);
         let mut hit: Vec<u64> = self.attempts.iter().filter(|(_, a)| over(a)).map(|(key, _)| *key).collect();
         hit.sort_unstable();
         for key in hit {
@@ -139,7 +139,7 @@
         }
         for (gateway, place) in self.gateways.iter_mut().enumerate() {
             let kept = place.idle.iter_mut().enumerate();
-            kept.filter(|(n, _)| struck.server(gateway, *n, true)).for_each(|(_, idle)| idle.clear());
+            kept.filter(|(n, _)| struck.affects_server(gateway, *n, true)).for_each(|(_, idle)| idle.clear());
         }
     }
 }
--- a/crates/gateway-simulation/src/world/gateways.rs
+++ b/crates/gateway-simulation/src/world/gateways.rs
@@ -72,13 +72,13 @@
     }
 
     fn final_answer(&mut self, id: u64, refused: bool, advice: Time) -> Result<(), Box<Breach>> {
-        self.oracle.answered(id, refused, self.now)?;
+        self.oracle.final_answer_sent(id, refused, self.now)?;
         let Some(held) = self.requests.get_mut(&id).filter(|h| !h.ended) else { return Ok(()) };
         held.ended = true;
         let (asked, counted, out, never) = (held.asked, held.counted, held.out, held.within.is_none());
         let plan = &self.scenario.plans[asked.plan];
         let customer = &mut self.customers[asked.plan][asked.customer as usize];
-        let room = refused && never && customer.has_room(plan, self.now);
+        let room = refused && never && customer.has_half_quota(plan, self.now);
         if room {
             let second = self.second();
             report::count(&mut self.report.quota, second, 3);
@@ -106,7 +106,7 @@
 
     /// A gateway stands still, and then goes on with all that came meanwhile.
     pub(super) fn pause(&mut self, n: usize, span: Time) {
-        self.open_requests(n).into_iter().for_each(|id| self.oracle.excuse(id));
+        self.open_requests(n).into_iter().for_each(|id| self.oracle.waive_deadline(id));
         let until = self.now + span;
         let place = &mut self.gateways[n];
         place.paused_until = place.paused_until.max(until);
@@ -125,7 +125,7 @@
         place.used.fill(0);
         // What it held is its clients' to repeat.
         for id in self.open_requests(n) {
-            self.oracle.left(id);
+            self.oracle.request_abandoned(id);
             let Some(h) = self.requests.remove(&id) else { continue };
             self.report.gone += u64::from(h.counted);
             if let Some(a) = h.out.and_then(|key| self.attempts.get_mut(&key)) {
--- a/crates/gateway-simulation/src/world/list.rs
+++ b/crates/gateway-simulation/src/world/list.rs
@@ -1,6 +1,6 @@
 //! What gateways are told of servers, and what the meter tells of customers.
 
-use crate::units::{ns, METER, MS, START};
+use crate::units::{ns, METER_PERIOD_NS, MS, START_NS};
 use crate::world::state::Due;
 use crate::world::World;
 use gateway_decisions::{Event, Health, Node, Scope, Time};
@@ -78,8 +78,8 @@
     }
 
     pub(super) fn meter(&mut self) {
-        self.plan(self.now + METER, Due::Meter);
-        if (self.now - START) % 1_000_000_000 == METER {
+        self.plan(self.now + METER_PERIOD_NS, Due::Meter);
+        if (self.now - START_NS) % 1_000_000_000 == METER_PERIOD_NS {
             let up = self
                 .servers
                 .iter()
@@ -90,7 +90,7 @@
         }
         let on = !self.meter_down;
         for (plan, customers) in self.scenario.plans.iter().zip(&mut self.customers) {
-            customers.iter_mut().for_each(|customer| customer.meter(plan, on));
+            customers.iter_mut().for_each(|customer| customer.end_meter_period(plan, on));
         }
     }
 }
--- a/crates/gateway-simulation/src/world/state.rs
+++ b/crates/gateway-simulation/src/world/state.rs
@@ -1,9 +1,9 @@
 //! What a play holds: events that are due, requests and attempts, and the state of gateways and servers.
 
-use crate::customer::Asked;
+use crate::customer::ClientRequest;
 use crate::scenario::Scenario;
-use crate::server::{Build, Server};
-use crate::units::START;
+use crate::server::{Server, ServerParameters};
+use crate::units::START_NS;
 use crate::world::decider::Decider;
 use gateway_decisions::{Ending, Event, Health, Name, Time, Via};
 
@@ -15,7 +15,7 @@
     },
     /// A client asks again.
     Again {
-        asked: Asked,
+        asked: ClientRequest,
     },
     /// A gateway's round of decisions.
     Round {
@@ -86,7 +86,7 @@
 
 /// A request that its gateway has in hand.
 pub struct HeldRequest {
-    pub asked: Asked,
+    pub asked: ClientRequest,
     pub gateway: usize,
     pub at: Time,
     pub deadline: Time,
@@ -161,7 +161,7 @@
             up: true,
             pending: Vec::new(),
             round_at: None,
-            last_round: START,
+            last_round: START_NS,
             paused_until: 0,
             told: vec![None; servers],
             told_start: vec![0; servers],
@@ -173,7 +173,7 @@
 
 impl ServerState {
     /// The scenario's server with this number, warm.
-    pub fn new(scenario: &Scenario, n: usize, build: Build) -> Self {
+    pub fn new(scenario: &Scenario, n: usize, build: ServerParameters) -> Self {
         ServerState {
             model: Server::new(build),
             name: format!("s-{n}").into(),
--- a/crates/gateway-simulation/tests/plays.rs
+++ b/crates/gateway-simulation/tests/plays.rs
@@ -1,7 +1,7 @@
 //! Plays of the catalogue with the real decisions, and what the oracle finds.
 
 use gateway_decisions::{Action, Event, Gateway, Settings, Time};
-use gateway_simulation::server::{Build, Server, Taken};
+use gateway_simulation::server::{Admission, Server, ServerParameters};
 use gateway_simulation::{play, play_all, play_with, Decider, Rule, Scenario, CATALOGUE};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -182,7 +182,8 @@
 /// Waits at a server with so many cores under Poisson arrivals, in units of the mean work: how many waited, and for how
 /// long on average over all.
 fn waits(cores: u32, load: f64, exponential: bool, count: usize) -> (f64, f64) {
-    let build = Build { cores, waiting: u32::MAX, cold: 0, cold_from: 1.0, fall: 1, fall_multiple: 1e9 };
+    let build =
+        ServerParameters { cores, waiting: u32::MAX, cold: 0, cold_from: 1.0, fall: 1, fall_multiple: 1e9 };
     let mut server = Server::new(build);
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mean = 1_000_000.0;
@@ -195,20 +196,20 @@
         now += draw(mean / (load * f64::from(cores)));
         while let Some(end) = ends.peek().map(|e| e.0).filter(|end| *end as f64 <= now) {
             ends.pop();
-            if let Some((_, at)) = server.done(end) {
+            if let Some((_, at)) = server.complete(end) {
                 let came = queue.pop_front().expect("it waits");
                 sum += (end - came) as f64;
                 ends.push(std::cmp::Reverse(at));
             }
         }
         let work = if exponential { draw(mean) } else { mean };
-        match server.take(n as u64, work as u64, now as u64) {
-            Taken::Begun(at) => ends.push(std::cmp::Reverse(at)),
-            Taken::Waits => {
+        match server.admit(n as u64, work as u64, now as u64) {
+            Admission::Started(at) => ends.push(std::cmp::Reverse(at)),
+            Admission::Queued => {
                 waited += 1;
                 queue.push_back(now as u64);
             }
-            Taken::Away => panic!("there is room"),
+            Admission::Rejected => panic!("there is room"),
         }
     }
     (waited as f64 / count as f64, sum / count as f64 / mean)
