--- a/crates/gateway-simulation/src/report.rs
+++ b/crates/gateway-simulation/src/report.rs
@@ -190,7 +190,7 @@
 }
 
 /// Times up to ten minutes, to three digits.
-pub(crate) fn times() -> Histogram<u64> {
+pub(crate) fn response_time_histogram() -> Histogram<u64> {
     // The bounds are good ones.
     Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|e| unreachable!("{e}"))
 }
--- a/crates/gateway-simulation/src/world.rs
+++ b/crates/gateway-simulation/src/world.rs
@@ -1,4 +1,5 @@
-//! One play: events in the order of their time, and of their planning where that is the same.
+//! One play as a discrete-event simulation: events run in the order of their time, and events of the same time in the
+//! order in which they were scheduled.
 
 mod attempts;
 mod clients;
@@ -11,12 +12,12 @@
 use crate::customer::{ClientRequest, Customer};
 use crate::link::AffectedLinks;
 use crate::oracle::{Allowed, Breach, Oracle};
-use crate::report::{times, FutileAttempts, Report};
+use crate::report::{response_time_histogram, FutileAttempts, Report};
 use crate::scenario::Scenario;
 use crate::units::{ns, METER_PERIOD_NS, SECOND, START_NS};
 pub use crate::world::decider::Decider;
-use crate::world::decider::Maker;
-use crate::world::state::{Attempt, Due, GatewayState, HeldRequest, ServerState};
+use crate::world::decider::DeciderFactory;
+use crate::world::state::{Attempt, GatewayState, OpenRequest, ScheduledEvent, ServerState};
 use gateway_decisions::{Action, Event, Gateway, Name, Settings, Time};
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
@@ -24,15 +25,15 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Plays a scenario once with the real decisions.
+/// Plays a scenario once with the real decision logic.
 pub fn play(scenario: &Scenario, seed: u64) -> Result<Report, Box<Breach>> {
     play_with(scenario, seed, |settings, seed, now| {
-        // The scenario was checked, and the module's own check asks for less.
+        // The check of the scenario is stricter than that of the gateway's settings.
         Box::new(Gateway::new(settings, seed, now).unwrap_or_else(|e| unreachable!("{e}")))
     })
 }
 
-/// As [`play`], with deciders of the caller's.
+/// Plays a scenario once as [`play`] does, with the caller's deciders.
 pub fn play_with<'a>(
     scenario: &'a Scenario,
     seed: u64,
@@ -41,42 +42,53 @@
     World::new(scenario, seed, Box::new(decider)).play()
 }
 
-/// The systems of a play, and what is due.
+/// The state of a play with its event queue.
 struct World<'a> {
     scenario: &'a Scenario,
-    maker: Maker<'a>,
+    new_decider: DeciderFactory<'a>,
     rng: ChaCha8Rng,
     now: Time,
     end: Time,
+    /// Requests that arrive before this time are not counted.
     counted_from: Time,
-    planned: u64,
+    /// Number of events scheduled so far, which orders events of the same time.
+    scheduled_count: u64,
+    /// Time, sequence number and slot in `events` of each scheduled event.
     queue: BinaryHeap<Reverse<(Time, u64, usize)>>,
-    due: Vec<Option<Due>>,
-    free: Vec<usize>,
+    events: Vec<Option<ScheduledEvent>>,
+    /// Free slots in `events`.
+    free_slots: Vec<usize>,
     gateways: Vec<GatewayState>,
     servers: Vec<ServerState>,
-    numbers: HashMap<Name, usize>,
+    /// Index of each server by name.
+    server_indices: HashMap<Name, usize>,
+    /// Customers by plan.
     customers: Vec<Vec<Customer>>,
-    requests: HashMap<u64, HeldRequest>,
+    requests: HashMap<u64, OpenRequest>,
     attempts: HashMap<u64, Attempt>,
-    next: u64,
-    flood: f64,
+    /// The next id of a request or key of an attempt.
+    next_id: u64,
+    /// The product of the factors of active floods.
+    demand_factor: f64,
     meter_down: bool,
-    list_down: Option<Time>,
-    /// Faults on links, by their numbers.
-    links: Vec<(usize, AffectedLinks)>,
-    struck: Vec<Vec<usize>>,
+    list_down_until: Option<Time>,
+    /// Active faults on links, with their index in the scenario.
+    link_faults: Vec<(usize, AffectedLinks)>,
+    /// The servers or gateways that each of the scenario's faults affects now.
+    targets: Vec<Vec<usize>>,
     oracle: Oracle,
     report: Report,
-    vain: FutileAttempts,
-    times: Histogram<u64>,
-    worth: [f64; 2],
-    work: [f64; 2],
+    futile_attempts: FutileAttempts,
+    response_times: Histogram<u64>,
+    /// The value of requests within quota: served in time, and in total.
+    value: [f64; 2],
+    /// Work that servers completed: for answers that arrived, and in total.
+    finished_work: [f64; 2],
     actions: Vec<Action>,
 }
 
 impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, seed: u64, maker: Maker<'a>) -> Self {
+    fn new(scenario: &'a Scenario, seed: u64, new_decider: DeciderFactory<'a>) -> Self {
         let build = scenario.server_parameters();
         let count = scenario.servers.count as usize;
         let servers: Vec<ServerState> = (0..count).map(|n| ServerState::new(scenario, n, build)).collect();
@@ -90,12 +102,12 @@
             now: START_NS,
             end: START_NS + ns(scenario.seconds, SECOND),
             counted_from: START_NS + ns(scenario.uncounted_s, SECOND),
-            planned: 0,
+            scheduled_count: 0,
             queue: BinaryHeap::new(),
-            due: Vec::new(),
-            free: Vec::new(),
+            events: Vec::new(),
+            free_slots: Vec::new(),
             gateways: Vec::new(),
-            numbers: servers.iter().enumerate().map(|(n, server)| (server.name.clone(), n)).collect(),
+            server_indices: servers.iter().enumerate().map(|(n, server)| (server.name.clone(), n)).collect(),
             servers,
             customers: scenario
                 .plans
@@ -104,32 +116,32 @@
                 .collect(),
             requests: HashMap::new(),
             attempts: HashMap::new(),
-            next: 1,
-            flood: 1.0,
+            next_id: 1,
+            demand_factor: 1.0,
             meter_down: false,
-            list_down: None,
-            links: Vec::new(),
-            struck: vec![Vec::new(); scenario.faults.len()],
+            list_down_until: None,
+            link_faults: Vec::new(),
+            targets: vec![Vec::new(); scenario.faults.len()],
             report: Report {
                 scenario: scenario.name.clone(),
                 seed,
                 seconds: vec![[0; 2]; seconds],
                 ..Report::default()
             },
-            vain: FutileAttempts::default(),
-            times: times(),
-            worth: [0.0; 2],
-            work: [0.0; 2],
+            futile_attempts: FutileAttempts::default(),
+            response_times: response_time_histogram(),
+            value: [0.0; 2],
+            finished_work: [0.0; 2],
             actions: Vec::new(),
             scenario,
-            maker,
+            new_decider,
         };
         world.start_gateways();
         for plan in 0..scenario.plans.len() {
-            world.plan_arrival(plan);
+            world.schedule_arrival(plan);
         }
-        world.plan_faults();
-        world.plan(START_NS + METER_PERIOD_NS, Due::Meter);
+        world.schedule_faults();
+        world.schedule(START_NS + METER_PERIOD_NS, ScheduledEvent::MeterPeriodEnds);
         world
     }
 
@@ -138,35 +150,35 @@
             let zone = self.scenario.zone_of_gateway(n);
             let seed = self.rng.random();
             let settings = self.scenario.settings(n as u32, zone as u32);
-            let decider = (self.maker)(settings, seed, START_NS);
+            let decider = (self.new_decider)(settings, seed, START_NS);
             self.gateways.push(GatewayState::new(zone, decider, self.servers.len()));
-            self.tell_whole_list(n);
+            self.send_full_list(n);
         }
     }
 
-    fn plan_faults(&mut self) {
+    fn schedule_faults(&mut self) {
         for (n, fault) in self.scenario.faults.iter().enumerate() {
             let at = START_NS + ns(fault.at_s, SECOND);
-            self.plan(at, Due::Begin { fault: n });
-            self.plan(at + ns(fault.for_s, SECOND), Due::Finish { fault: n });
+            self.schedule(at, ScheduledEvent::FaultBegins { fault: n });
+            self.schedule(at + ns(fault.for_s, SECOND), ScheduledEvent::FaultEnds { fault: n });
         }
     }
 
-    // ---- The queue ----
+    // ---- Event queue ----
 
-    fn plan(&mut self, at: Time, due: Due) {
-        let slot = match self.free.pop() {
+    fn schedule(&mut self, at: Time, event: ScheduledEvent) {
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
-                self.due[slot] = Some(due);
+                self.events[slot] = Some(event);
                 slot
             }
             None => {
-                self.due.push(Some(due));
-                self.due.len() - 1
+                self.events.push(Some(event));
+                self.events.len() - 1
             }
         };
-        self.planned += 1;
-        self.queue.push(Reverse((at.max(self.now), self.planned, slot)));
+        self.scheduled_count += 1;
+        self.queue.push(Reverse((at.max(self.now), self.scheduled_count, slot)));
     }
 
     fn play(mut self) -> Result<Report, Box<Breach>> {
@@ -176,56 +188,65 @@
             }
             self.now = at;
             self.report.events += 1;
-            let due = self.due[slot].take();
-            self.free.push(slot);
-            if let Some(due) = due {
-                self.handle(due)?;
+            let event = self.events[slot].take();
+            self.free_slots.push(slot);
+            if let Some(event) = event {
+                self.handle(event)?;
             }
         }
-        let r = &mut self.report;
-        // To nine digits, so that a report that is written and read again is the same.
+        let report = &mut self.report;
+        // Rounded to nine digits, so that a report is the same after it is written and read again.
         let share = |[part, all]: [f64; 2]| if all > 0.0 { (part / all * 1e9).round() / 1e9 } else { 0.0 };
-        let lost = [self.work[1] - self.work[0], self.work[1]];
-        (r.worth, r.wasted) = (share(self.worth), share(lost));
-        r.p50_ms = self.times.value_at_quantile(0.5) as f64 / 1000.0;
-        r.p99_ms = self.times.value_at_quantile(0.99) as f64 / 1000.0;
+        let wasted = [self.finished_work[1] - self.finished_work[0], self.finished_work[1]];
+        (report.worth, report.wasted) = (share(self.value), share(wasted));
+        report.p50_ms = self.response_times.value_at_quantile(0.5) as f64 / 1000.0;
+        report.p99_ms = self.response_times.value_at_quantile(0.99) as f64 / 1000.0;
         Ok(self.report)
     }
 
-    fn handle(&mut self, due: Due) -> Result<(), Box<Breach>> {
-        match due {
-            Due::Arrival { plan } => {
-                self.plan_arrival(plan);
+    fn handle(&mut self, event: ScheduledEvent) -> Result<(), Box<Breach>> {
+        match event {
+            ScheduledEvent::Arrival { plan } => {
+                self.schedule_arrival(plan);
                 let customer = self.rng.random_range(0..self.scenario.plans[plan].customers);
                 let class = self.scenario.class(self.rng.random());
-                self.ask(ClientRequest { plan, class, customer, repeats: 0 });
+                self.receive_request(ClientRequest { plan, class, customer, repeats: 0 });
             }
-            Due::Again { asked } => self.ask(asked),
-            Due::Round { gateway, life } => self.round(gateway, life)?,
-            Due::Timer { gateway, life, token } => self.push_event(gateway, life, Event::Timer { token }),
-            Due::Reach { attempt } => self.arrive(attempt)?,
-            Due::Done { server, life, attempt } => self.work_done(server, life, attempt),
-            Due::End { attempt, ending, via } => self.ended(attempt, ending, via)?,
-            Due::Expire { attempt } => self.expire(attempt)?,
-            Due::Leave { request } => self.client_leaves(request),
-            Due::Over { request } => {
+            ScheduledEvent::ClientRetry { client_request } => self.receive_request(client_request),
+            ScheduledEvent::DecisionRound { gateway, incarnation } => {
+                self.decision_round(gateway, incarnation)?
+            }
+            ScheduledEvent::Timer { gateway, incarnation, token } => {
+                self.push_event(gateway, incarnation, Event::Timer { token })
+            }
+            ScheduledEvent::AttemptArrival { attempt } => self.attempt_arrives(attempt)?,
+            ScheduledEvent::WorkDone { server, incarnation, attempt } => {
+                self.work_done(server, incarnation, attempt)
+            }
+            ScheduledEvent::AttemptResult { attempt, ending, via } => {
+                self.attempt_result(attempt, ending, via)?
+            }
+            ScheduledEvent::AttemptExpiry { attempt } => self.attempt_expires(attempt)?,
+            ScheduledEvent::ClientLeaves { request } => self.client_leaves(request),
+            ScheduledEvent::RequestTimeOver { request } => {
                 self.oracle.deadline_reached(request, self.now)?;
                 self.requests.remove(&request);
             }
-            Due::Tell { gateway, life, server, health, started } => {
-                self.tell_change(gateway, life, server, health, started);
+            ScheduledEvent::ListUpdate { gateway, incarnation, server, health, started } => {
+                self.send_list_update(gateway, incarnation, server, health, started);
             }
-            Due::GatewayUp { gateway } => self.gateway_up(gateway),
-            Due::GatewayDown { gateway } => self.gateway_down(gateway),
-            Due::ServerDown { server } => self.server_down(server, true),
-            Due::ServerUp { server } => self.server_up(server),
-            Due::Begin { fault } => self.begin(fault),
-            Due::Finish { fault } => self.finish(fault),
-            Due::Meter => self.meter(),
+            ScheduledEvent::GatewayUp { gateway } => self.gateway_up(gateway),
+            ScheduledEvent::GatewayDown { gateway } => self.gateway_down(gateway),
+            ScheduledEvent::ServerDown { server } => self.server_down(server, true),
+            ScheduledEvent::ServerUp { server } => self.server_up(server),
+            ScheduledEvent::FaultBegins { fault } => self.begin_fault(fault),
+            ScheduledEvent::FaultEnds { fault } => self.end_fault(fault),
+            ScheduledEvent::MeterPeriodEnds => self.meter_period_ends(),
         }
         Ok(())
     }
 
+    /// The current second of the play.
     fn second(&self) -> Option<usize> {
         Some(((self.now - START_NS) / 1_000_000_000) as usize)
     }
--- a/crates/gateway-simulation/src/world/attempts.rs
+++ b/crates/gateway-simulation/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: on their way to a server, in its hands, and their end.
+//! Attempts: sending to a server, arrival and work there, and their result at the gateway.
 
 use crate::customer::ClientRequest;
 use crate::oracle::{Breach, Oracle};
@@ -6,63 +6,73 @@
 use crate::scenario::{Fault, Trouble};
 use crate::server::Admission;
 use crate::units::{ns, MS, SECOND, START_NS};
-use crate::world::state::{Attempt, Due};
+use crate::world::state::{Attempt, ScheduledEvent};
 use crate::world::World;
 use gateway_decisions::{AttemptEnd, Ending, Event, Name, Time, Via};
 use rand::Rng;
 
-/// What a customer's ceiling may fall below 0: two units, and what the rate gives in the time that the rules allow.
-const CEILING_S: f64 = 0.15;
-const CEILING_UNITS: f64 = 2.0;
+/// A customer's ceiling may fall below 0 by two units plus the units that the ceiling's rate adds in the
+/// time that the rules allow.
+const CEILING_SLACK_S: f64 = 0.15;
+const CEILING_SLACK_UNITS: f64 = 2.0;
 
 impl World<'_> {
+    /// Sends an attempt of request `id` to a server; `attempt_deadline` is 0 if only the request's deadline
+    /// limits the attempt.
     pub(super) fn send(
         &mut self,
         gateway: usize,
         id: u64,
         server: &Name,
-        not_past: Time,
+        attempt_deadline: Time,
     ) -> Result<(), Box<Breach>> {
         let now = self.now;
-        let known = self.numbers.get(server).copied();
-        let told = known.and_then(|n| self.gateways[gateway].told[n]);
-        let place = known.map_or((0, 0), |n| (self.servers[n].zone as u32, self.servers[n].cell));
-        self.oracle.attempt_sent(id, server, place, told, now)?;
-        let cut_off = known.is_some_and(|n| self.cut_off(gateway, n, true));
-        let (Some(n), Some(held)) = (known, self.requests.get_mut(&id)) else { return Ok(()) };
-        let (asked, counted, number, deadline) = (held.asked, held.counted, held.attempts, held.deadline);
-        held.attempts += 1;
-        let key = self.next;
-        self.next += 1;
-        held.out = Some(key);
-        let first = held.within.is_none();
+        let server_index = self.server_indices.get(server).copied();
+        let announced = server_index.and_then(|n| self.gateways[gateway].announced[n]);
+        let location = server_index.map_or((0, 0), |n| (self.servers[n].zone as u32, self.servers[n].cell));
+        self.oracle.attempt_sent(id, server, location, announced, now)?;
+        let is_cut_off = server_index.is_some_and(|n| self.is_cut_off(gateway, n, true));
+        let (Some(n), Some(request)) = (server_index, self.requests.get_mut(&id)) else { return Ok(()) };
+        let (client_request, counted, number, deadline) =
+            (request.client_request, request.counted, request.attempts, request.deadline);
+        request.attempts += 1;
+        let key = self.next_id;
+        self.next_id += 1;
+        request.in_flight = Some(key);
+        let first = request.within_quota.is_none();
         if first {
-            let customer = &mut self.customers[asked.plan][asked.customer as usize];
-            let within = customer.charge(&self.scenario.plans[asked.plan], now);
-            held.within = Some(within);
-            self.passed(asked, counted, within)?;
+            let customer = &mut self.customers[client_request.plan][client_request.customer as usize];
+            let within = customer.charge(&self.scenario.plans[client_request.plan], now);
+            request.within_quota = Some(within);
+            self.record_first_attempt(client_request, counted, within)?;
         }
         let second = self.second();
         report::count(&mut self.report.flow, second, flow::ATTEMPTS);
         if first {
             report::count(&mut self.report.flow, second, flow::FIRST);
         }
-        if !self.servers[n].up || self.servers[n].model.refusing || cut_off {
-            self.vain.count(&mut self.report.flow, second, n);
+        if !self.servers[n].up || self.servers[n].model.refusing || is_cut_off {
+            self.futile_attempts.count(&mut self.report.flow, second, n);
         }
-        let attempt = self.connect(gateway, id, n, asked.class, number, counted);
-        let (way, back) = (self.travel_time(gateway, n, true), self.travel_time(gateway, n, false));
-        let travel = if attempt.fresh { 2 * way + back } else { way };
+        let attempt = self.connect(gateway, id, n, client_request.class, number, counted);
+        let (outbound, inbound) = (self.travel_time(gateway, n, true), self.travel_time(gateway, n, false));
+        let travel = if attempt.new_connection { 2 * outbound + inbound } else { outbound };
         self.attempts.insert(key, attempt);
-        self.plan(now + travel, Due::Reach { attempt: key });
-        let until = if not_past == 0 { deadline } else { not_past.min(deadline) };
-        self.plan(until, Due::Expire { attempt: key });
+        self.schedule(now + travel, ScheduledEvent::AttemptArrival { attempt: key });
+        let expiry = if attempt_deadline == 0 { deadline } else { attempt_deadline.min(deadline) };
+        self.schedule(expiry, ScheduledEvent::AttemptExpiry { attempt: key });
         Ok(())
     }
 
-    /// A request is sent for the first time, within its customer's quota or not.
-    fn passed(&mut self, asked: ClientRequest, counted: bool, within: bool) -> Result<(), Box<Breach>> {
-        let (plan, second) = (&self.scenario.plans[asked.plan], self.second());
+    /// Counts the first attempt of a request and checks the customer's ceiling; `within` tells whether the
+    /// request was within its customer's quota.
+    fn record_first_attempt(
+        &mut self,
+        client_request: ClientRequest,
+        counted: bool,
+        within: bool,
+    ) -> Result<(), Box<Breach>> {
+        let (plan, second) = (&self.scenario.plans[client_request.plan], self.second());
         report::count(&mut self.report.quota, second, 0);
         if !within {
             report::count(&mut self.report.quota, second, 1);
@@ -72,10 +82,10 @@
             self.report.beyond += u64::from(!within);
         }
         if plan.ceiling_rate > 0.0 {
-            let slack = CEILING_UNITS + plan.ceiling_rate * CEILING_S;
-            let number = (asked.plan as u32) << 24 | asked.customer;
+            let slack = CEILING_SLACK_UNITS + plan.ceiling_rate * CEILING_SLACK_S;
+            let customer_key = (client_request.plan as u32) << 24 | client_request.customer;
             self.oracle.ceiling_units_taken(
-                number,
+                customer_key,
                 1.0,
                 (plan.ceiling_rate, plan.ceiling_burst, slack),
                 self.now,
@@ -84,7 +94,7 @@
         Ok(())
     }
 
-    /// The attempt with this number of a request, on a kept connection or a new one.
+    /// Returns attempt `number` of a request, on an idle connection to server `n` or a new one.
     fn connect(
         &mut self,
         gateway: usize,
@@ -97,199 +107,220 @@
         let now = self.now;
         let work = self.scenario.classes[class].work(&mut self.rng);
         let idle_time = ns(self.scenario.servers.idle_s, SECOND);
-        let site_life = self.servers[n].life;
-        let place = &mut self.gateways[gateway];
-        // The connection used last goes first; what has idled for too long is gone.
-        place.idle[n].retain(|(_, since)| now < since + idle_time);
-        let kept = place.idle[n].pop();
-        place.used[n] += 1;
-        let (zone, life) = (place.zone, place.life);
+        let current_incarnation = self.servers[n].incarnation;
+        let state = &mut self.gateways[gateway];
+        // The most recently used connection is taken first; connections that exceed the idle time are closed.
+        state.idle[n].retain(|(_, since)| now < since + idle_time);
+        let reused = state.idle[n].pop();
+        state.busy[n] += 1;
+        let (zone, incarnation) = (state.zone, state.incarnation);
         let crosses = zone != self.servers[n].zone;
         if counted {
             self.report.attempts += 1;
             self.report.crossings += u64::from(crosses);
-            self.report.connections += u64::from(kept.is_none());
+            self.report.connections += u64::from(reused.is_none());
         }
         Attempt {
             request: id,
             gateway,
-            life,
+            incarnation,
             number,
             server: n,
-            server_life: kept.map_or(site_life, |(life, _)| life),
-            sent: now,
-            fresh: kept.is_none(),
+            server_incarnation: reused.map_or(current_incarnation, |(incarnation, _)| incarnation),
+            sent_at: now,
+            new_connection: reused.is_none(),
             work,
-            over: false,
-            there: false,
+            closed: false,
+            reached_server: false,
         }
     }
 
-    /// One way between a gateway and a server; `out` if it leads to the server.
-    pub(super) fn travel_time(&self, gateway: usize, server: usize, out: bool) -> Time {
+    /// Returns the one-way latency between a gateway and a server, towards the server if `to_server`, with the
+    /// delays of active faults.
+    pub(super) fn travel_time(&self, gateway: usize, server: usize, to_server: bool) -> Time {
         let network = &self.scenario.network;
         let near = self.gateways[gateway].zone == self.servers[server].zone;
-        let slow =
-            self.faults_between(Trouble::Delay, gateway, server, out).map(|fault| fault.factor).sum::<f64>();
-        ns(if near { network.near_ms } else { network.far_ms } + slow, MS)
+        let added_ms = self
+            .faults_between(Trouble::Delay, gateway, server, to_server)
+            .map(|fault| fault.factor)
+            .sum::<f64>();
+        ns(if near { network.near_ms } else { network.far_ms } + added_ms, MS)
     }
 
-    /// The faults of a kind on the way between a gateway and a server.
+    /// Returns the active faults of a kind on the path from a gateway to a server, or on the path back.
     fn faults_between(
         &self,
         kind: Trouble,
         gateway: usize,
         server: usize,
-        out: bool,
+        to_server: bool,
     ) -> impl Iterator<Item = &Fault> {
-        let of = self.links.iter().filter(move |(_, link)| link.affects_server(gateway, server, out));
-        of.map(|(n, _)| &self.scenario.faults[*n]).filter(move |fault| fault.kind == kind)
+        let affecting =
+            self.link_faults.iter().filter(move |(_, link)| link.affects_server(gateway, server, to_server));
+        affecting.map(|(n, _)| &self.scenario.faults[*n]).filter(move |fault| fault.kind == kind)
     }
 
-    /// Whether nothing passes from a gateway to a server, or back.
-    fn cut_off(&self, gateway: usize, server: usize, out: bool) -> bool {
+    /// Returns whether no data passes from a gateway to a server, or back if not `to_server`.
+    fn is_cut_off(&self, gateway: usize, server: usize, to_server: bool) -> bool {
         self.servers[server].silent
-            || self.faults_between(Trouble::Cut, gateway, server, out).next().is_some()
+            || self.faults_between(Trouble::Cut, gateway, server, to_server).next().is_some()
     }
 
-    pub(super) fn arrive(&mut self, key: u64) -> Result<(), Box<Breach>> {
+    /// Handles the arrival of an attempt at its server.
+    pub(super) fn attempt_arrives(&mut self, key: u64) -> Result<(), Box<Breach>> {
         let Some(a) = self.attempts.get(&key) else { return Ok(()) };
-        if a.over {
-            // Given up before its last byte came: it never was there.
+        if a.closed {
+            // The gateway gave up before the last byte arrived, so the server never received the request.
             self.attempts.remove(&key);
             return Ok(());
         }
-        let (n, gateway, fresh, work, server_life) = (a.server, a.gateway, a.fresh, a.work, a.server_life);
-        // A connection that comes up needs both ways.
-        if self.cut_off(gateway, n, true) || fresh && self.cut_off(gateway, n, false) {
+        let (n, gateway, new_connection, work, server_incarnation) =
+            (a.server, a.gateway, a.new_connection, a.work, a.server_incarnation);
+        // Connection establishment needs both directions.
+        if self.is_cut_off(gateway, n, true) || new_connection && self.is_cut_off(gateway, n, false) {
             return Ok(());
         }
-        let way = self.travel_time(gateway, n, false);
+        let return_time = self.travel_time(gateway, n, false);
         let reset = self.faults_between(Trouble::Reset, gateway, n, true).next().is_some();
         let server = &mut self.servers[n];
-        let via = if fresh { Via::New } else { Via::Reused };
-        let refused = |ending, via| Due::End { attempt: key, ending, via };
-        if reset || !server.up || server.life != server_life {
-            let due = match (fresh, server.up && !reset) {
-                (false, _) => refused(Ending::Cut, Via::Reused),
-                (true, _) => refused(Ending::NoRoute, Via::Refused),
+        let via = if new_connection { Via::New } else { Via::Reused };
+        let connection_failed = |ending, via| ScheduledEvent::AttemptResult { attempt: key, ending, via };
+        if reset || !server.up || server.incarnation != server_incarnation {
+            let result = match (new_connection, server.up && !reset) {
+                (false, _) => connection_failed(Ending::Cut, Via::Reused),
+                (true, _) => connection_failed(Ending::NoRoute, Via::Refused),
             };
-            self.plan(self.now + way, due);
+            self.schedule(self.now + return_time, result);
             return Ok(());
         }
         if let Some(a) = self.attempts.get_mut(&key) {
-            a.there = true;
+            a.reached_server = true;
         }
-        let told = self.gateways[gateway].told_start[n] == server.started;
+        let start_announced = self.gateways[gateway].announced_start[n] == server.started;
         server.work[0] += work as f64;
-        server.work[1] += if told { work as f64 } else { 0.0 };
-        let handshake = if fresh { ns(self.scenario.servers.handshake_ms, MS) } else { 0 };
-        let taken = server.model.admit(key, work + handshake, self.now);
-        if server.model.collapsed && !server.reported {
-            server.reported = true;
-            let (name, part) = (server.name.clone(), server.work[1] / server.work[0].max(1.0));
+        server.work[1] += if start_announced { work as f64 } else { 0.0 };
+        let handshake = if new_connection { ns(self.scenario.servers.handshake_ms, MS) } else { 0 };
+        let admission = server.model.admit(key, work + handshake, self.now);
+        if server.model.collapsed && !server.collapse_reported {
+            server.collapse_reported = true;
+            let (name, announced_share) = (server.name.clone(), server.work[1] / server.work[0].max(1.0));
             self.report.fallen += 1;
-            Oracle::server_collapsed(&name, part, self.now)?;
+            Oracle::server_collapsed(&name, announced_share, self.now)?;
         }
-        let (server, life) = (n, self.servers[n].life);
-        match taken {
-            Admission::Started(at) => self.plan(at, Due::Done { server, life, attempt: key }),
+        let (server, incarnation) = (n, self.servers[n].incarnation);
+        match admission {
+            Admission::Started(at) => {
+                self.schedule(at, ScheduledEvent::WorkDone { server, incarnation, attempt: key })
+            }
             Admission::Queued => {}
             Admission::Rejected => {
                 let second = self.second();
                 report::count(&mut self.report.flow, second, flow::REJECTED);
-                self.plan(self.now + way, Due::End { attempt: key, ending: Ending::Full, via });
+                self.schedule(
+                    self.now + return_time,
+                    ScheduledEvent::AttemptResult { attempt: key, ending: Ending::Full, via },
+                );
             }
         }
         Ok(())
     }
 
-    pub(super) fn work_done(&mut self, n: usize, life: u32, key: u64) {
+    /// Handles the end of a server's work on an attempt, unless the server has restarted since.
+    pub(super) fn work_done(&mut self, n: usize, incarnation: u32, key: u64) {
         let server = &mut self.servers[n];
-        if server.life != life || !server.up {
+        if server.incarnation != incarnation || !server.up {
             return;
         }
         if let Some((next, at)) = server.model.complete(self.now) {
-            self.plan(at, Due::Done { server: n, life, attempt: next });
+            self.schedule(at, ScheduledEvent::WorkDone { server: n, incarnation, attempt: next });
         }
         let Some(a) = self.attempts.get(&key) else { return };
-        let (gateway, over, fresh, work) = (a.gateway, a.over, a.fresh, a.work);
-        self.work[1] += work as f64;
-        if over {
+        let (gateway, closed, new_connection, work) = (a.gateway, a.closed, a.new_connection, a.work);
+        self.finished_work[1] += work as f64;
+        if closed {
             self.attempts.remove(&key);
             return;
         }
-        if self.cut_off(gateway, n, false) {
+        if self.is_cut_off(gateway, n, false) {
             return;
         }
-        let fails = self.servers[n].fails;
-        let fault = fails > 0.0 && self.rng.random::<f64>() < fails;
-        let ending = if fault { Ending::Fault } else { Ending::Pass };
-        let via = if fresh { Via::New } else { Via::Reused };
-        self.plan(self.now + self.travel_time(gateway, n, false), Due::End { attempt: key, ending, via });
+        let failure_rate = self.servers[n].failure_rate;
+        let failed = failure_rate > 0.0 && self.rng.random::<f64>() < failure_rate;
+        let ending = if failed { Ending::Fault } else { Ending::Pass };
+        let via = if new_connection { Via::New } else { Via::Reused };
+        self.schedule(
+            self.now + self.travel_time(gateway, n, false),
+            ScheduledEvent::AttemptResult { attempt: key, ending, via },
+        );
     }
 
-    pub(super) fn ended(&mut self, key: u64, ending: Ending, via: Via) -> Result<(), Box<Breach>> {
+    /// Handles the arrival of an attempt's answer or failure at its gateway.
+    pub(super) fn attempt_result(&mut self, key: u64, ending: Ending, via: Via) -> Result<(), Box<Breach>> {
         let Some(a) = self.attempts.get(&key) else { return Ok(()) };
-        if a.over {
+        if a.closed {
             self.attempts.remove(&key);
             return Ok(());
         }
-        let (gateway, life, n, server_life) = (a.gateway, a.life, a.server, a.server_life);
-        let place = &mut self.gateways[gateway];
-        if place.life == life && matches!(ending, Ending::Pass | Ending::Fault | Ending::Full) {
-            place.idle[n].push((server_life, self.now));
+        let (gateway, incarnation, n, server_incarnation) =
+            (a.gateway, a.incarnation, a.server, a.server_incarnation);
+        let state = &mut self.gateways[gateway];
+        if state.incarnation == incarnation && matches!(ending, Ending::Pass | Ending::Fault | Ending::Full) {
+            state.idle[n].push((server_incarnation, self.now));
         }
         if ending == Ending::Pass {
-            self.work[0] += self.attempts[&key].work as f64;
+            self.finished_work[0] += self.attempts[&key].work as f64;
         }
-        self.attempt_over(key, ending, via)?;
+        self.finish_attempt(key, ending, via)?;
         self.attempts.remove(&key);
         Ok(())
     }
 
-    pub(super) fn expire(&mut self, key: u64) -> Result<(), Box<Breach>> {
-        let Some(a) = self.attempts.get(&key).filter(|a| !a.over) else { return Ok(()) };
-        // A connection that never came up has written nothing.
-        let never = a.fresh && !a.there;
+    /// Handles the deadline of an attempt.
+    pub(super) fn attempt_expires(&mut self, key: u64) -> Result<(), Box<Breach>> {
+        let Some(a) = self.attempts.get(&key).filter(|a| !a.closed) else { return Ok(()) };
+        // Nothing was written to a connection that was never established.
+        let not_connected = a.new_connection && !a.reached_server;
         let counted = self.requests.get(&a.request).is_some_and(|h| h.counted);
         self.report.late_ends += u64::from(counted);
-        self.attempt_over(key, if never { Ending::NoRoute } else { Ending::Late }, Via::Unknown)
+        self.finish_attempt(key, if not_connected { Ending::NoRoute } else { Ending::Late }, Via::Unknown)
     }
 
-    /// An attempt is over for its gateway, whatever its server still does.
-    pub(super) fn attempt_over(&mut self, key: u64, ending: Ending, via: Via) -> Result<(), Box<Breach>> {
+    /// Ends an attempt for its gateway; its server may still be working on it.
+    pub(super) fn finish_attempt(&mut self, key: u64, ending: Ending, via: Via) -> Result<(), Box<Breach>> {
         let Some(a) = self.attempts.get_mut(&key) else { return Ok(()) };
-        a.over = true;
-        let (id, gateway, life, number, n, sent) = (a.request, a.gateway, a.life, a.number, a.server, a.sent);
-        if self.gateways[gateway].life != life {
+        a.closed = true;
+        let (id, gateway, incarnation, number, n, sent_at) =
+            (a.request, a.gateway, a.incarnation, a.number, a.server, a.sent_at);
+        if self.gateways[gateway].incarnation != incarnation {
             return Ok(());
         }
         let now = self.now;
-        let place = &mut self.gateways[gateway];
-        place.used[n] = place.used[n].saturating_sub(1);
-        let links = place.idle[n].len() as u32 + place.used[n];
+        let state = &mut self.gateways[gateway];
+        state.busy[n] = state.busy[n].saturating_sub(1);
+        let open_connections = state.idle[n].len() as u32 + state.busy[n];
         self.oracle.attempt_ended(id, ending, now);
         let mut metered = None;
-        let mut last = true;
+        let mut request_finished = true;
         let mut served = None;
-        if let Some(held) = self.requests.get_mut(&id) {
-            held.out = None;
-            let asked = held.asked;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.in_flight = None;
+            let client_request = request.client_request;
             let answered = matches!(ending, Ending::Pass | Ending::Fault | Ending::Full);
-            metered = self.customers[asked.plan][asked.customer as usize].metered.filter(|_| answered);
-            if ending == Ending::Pass && !held.ended {
-                held.ended = true;
-                served = Some((asked, held.at, held.counted, held.within));
+            metered = self.customers[client_request.plan][client_request.customer as usize]
+                .metered
+                .filter(|_| answered);
+            if ending == Ending::Pass && !request.ended {
+                request.ended = true;
+                served = Some((client_request, request.arrived_at, request.counted, request.within_quota));
             }
-            last = held.ended;
-            if held.counted && ending == Ending::Full {
+            request_finished = request.ended;
+            if request.counted && ending == Ending::Full {
                 self.report.turned_away += 1;
             }
         }
-        if let Some((asked, at, counted, within)) = served {
+        if let Some((client_request, at, counted, within)) = served {
             self.oracle.final_answer_sent(id, false, now)?;
-            self.served(asked, at, counted, within);
+            self.record_served(client_request, at, counted, within);
         }
         let server = self.servers[n].name.clone();
         let end = AttemptEnd {
@@ -297,36 +328,43 @@
             attempt: number,
             server,
             ending,
-            request_finished: last,
+            request_finished,
             body_discarded: false,
-            elapsed: now - sent,
+            elapsed: now - sent_at,
             actual_units: 0.0,
             metered_share: metered,
             load: None,
             via,
-            open_connections: links,
+            open_connections,
         };
-        self.push_event(gateway, life, Event::AttemptEnd(end));
+        self.push_event(gateway, incarnation, Event::AttemptEnd(end));
         Ok(())
     }
 
-    fn served(&mut self, asked: ClientRequest, at: Time, counted: bool, within: Option<bool>) {
+    /// Counts a request that was served, in time or late.
+    fn record_served(
+        &mut self,
+        client_request: ClientRequest,
+        arrived_at: Time,
+        counted: bool,
+        within: Option<bool>,
+    ) {
         if !counted {
             return;
         }
-        let class = &self.scenario.classes[asked.class];
-        let took = self.now - at;
-        self.times.saturating_record((took / 1000).max(1));
-        if took > ns(class.aim_ms, MS) {
+        let class = &self.scenario.classes[client_request.class];
+        let response_time = self.now - arrived_at;
+        self.response_times.saturating_record((response_time / 1000).max(1));
+        if response_time > ns(class.aim_ms, MS) {
             self.report.late += 1;
             return;
         }
         self.report.on_time += 1;
-        let second = ((at - START_NS) / 1_000_000_000) as usize;
+        let second = ((arrived_at - START_NS) / 1_000_000_000) as usize;
         self.report.seconds[second][1] += 1;
         report::add(&mut self.report.work, Some(second), 1, class.work_ms);
         if within == Some(true) {
-            self.worth[0] += class.points * self.scenario.plans[asked.plan].worth;
+            self.value[0] += class.points * self.scenario.plans[client_request.plan].worth;
         }
     }
 }
--- a/crates/gateway-simulation/src/world/decider.rs
+++ b/crates/gateway-simulation/src/world/decider.rs
@@ -1,10 +1,10 @@
-//! What decides at a gateway.
+//! The interface of the decision logic that runs in a simulated gateway.
 
 use gateway_decisions::{Action, Event, Gateway, Settings, Time};
 
-/// What decides at a gateway.
+/// The decision logic of one gateway.
 pub trait Decider {
-    /// Takes in what has happened by now, and adds what is to be done.
+    /// Handles the events up to `now` and appends the resulting actions to `out`.
     fn handle(&mut self, now: Time, events: Vec<Event>, out: &mut Vec<Action>);
 }
 
@@ -14,5 +14,5 @@
     }
 }
 
-/// Makes the decider of a gateway from its settings, a seed and the time of its start.
-pub type Maker<'a> = Box<dyn Fn(Settings, u64, Time) -> Box<dyn Decider> + 'a>;
+/// Creates a gateway's decider from its settings, a seed and its start time.
+pub type DeciderFactory<'a> = Box<dyn Fn(Settings, u64, Time) -> Box<dyn Decider> + 'a>;
--- a/crates/gateway-simulation/src/world/state.rs
+++ b/crates/gateway-simulation/src/world/state.rs
@@ -1,4 +1,4 @@
-//! What a play holds: events that are due, requests and attempts, and the state of gateways and servers.
+//! The state of a play: scheduled events, open requests, attempts, gateways and servers.
 
 use crate::customer::ClientRequest;
 use crate::scenario::Scenario;
@@ -7,58 +7,59 @@
 use crate::world::decider::Decider;
 use gateway_decisions::{Ending, Event, Health, Name, Time, Via};
 
-/// What is due at some time.
-pub enum Due {
-    /// The next request of a plan's customers.
+/// An event of the simulation that is scheduled for some time.
+pub enum ScheduledEvent {
+    /// The next new request of a plan's customers arrives.
     Arrival {
         plan: usize,
     },
-    /// A client asks again.
-    Again {
-        asked: ClientRequest,
+    /// A client retries a request that was not served.
+    ClientRetry {
+        client_request: ClientRequest,
     },
-    /// A gateway's round of decisions.
-    Round {
+    /// A gateway handles its pending events.
+    DecisionRound {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
     },
+    /// A timer that a gateway's decider has set.
     Timer {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         token: u64,
     },
-    /// An attempt comes to its server.
-    Reach {
+    /// An attempt arrives at its server.
+    AttemptArrival {
         attempt: u64,
     },
-    /// A server is done with an attempt, if it is still in that life.
-    Done {
+    /// A server completes an attempt, if it is still the same incarnation.
+    WorkDone {
         server: usize,
-        life: u32,
+        incarnation: u32,
         attempt: u64,
     },
-    /// An answer, or the news that there is none, comes to the gateway.
-    End {
+    /// An answer or a connection failure arrives at the gateway.
+    AttemptResult {
         attempt: u64,
         ending: Ending,
         via: Via,
     },
-    /// An attempt's time is over.
-    Expire {
+    /// The deadline of an attempt has passed.
+    AttemptExpiry {
         attempt: u64,
     },
-    /// A client leaves.
-    Leave {
+    /// A client leaves before its request is answered.
+    ClientLeaves {
         request: u64,
     },
-    /// A request's time is over.
-    Over {
+    /// The deadline of a request, with its slack, has passed.
+    RequestTimeOver {
         request: u64,
     },
-    /// A gateway is told of a server.
-    Tell {
+    /// A gateway receives a changed server entry.
+    ListUpdate {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         server: usize,
         health: Health,
         started: Time,
@@ -75,118 +76,129 @@
     ServerUp {
         server: usize,
     },
-    Begin {
+    FaultBegins {
         fault: usize,
     },
-    Finish {
+    FaultEnds {
         fault: usize,
     },
-    Meter,
+    /// A period of the meter ends.
+    MeterPeriodEnds,
 }
 
-/// A request that its gateway has in hand.
-pub struct HeldRequest {
-    pub asked: ClientRequest,
+/// A request that a gateway has accepted, until its deadline with slack has passed.
+pub struct OpenRequest {
+    pub client_request: ClientRequest,
     pub gateway: usize,
-    pub at: Time,
+    pub arrived_at: Time,
     pub deadline: Time,
     pub ended: bool,
-    pub out: Option<u64>,
+    /// The key of the attempt in flight.
+    pub in_flight: Option<u64>,
     pub attempts: u32,
-    /// Whether its units were within the quota; none while nothing was sent.
-    pub within: Option<bool>,
+    /// Whether the request was within its customer's quota; `None` until the first attempt.
+    pub within_quota: Option<bool>,
+    /// Whether the request arrived after the uncounted start of the play.
     pub counted: bool,
 }
 
-/// An attempt, from its sending until nothing of it matters any more.
+/// An attempt, from its sending until neither its gateway nor its server refers to it.
 pub struct Attempt {
     pub request: u64,
     pub gateway: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub number: u32,
     pub server: usize,
-    pub server_life: u32,
-    pub sent: Time,
-    pub fresh: bool,
+    pub server_incarnation: u32,
+    pub sent_at: Time,
+    pub new_connection: bool,
     pub work: Time,
-    pub over: bool,
-    /// It has come to its server, and is in its hands.
-    pub there: bool,
+    /// The gateway has ended the attempt; the server may still be working on it.
+    pub closed: bool,
+    /// Whether the server has received the attempt.
+    pub reached_server: bool,
 }
 
-/// A gateway.
+/// The state of a gateway.
 pub struct GatewayState {
     pub zone: usize,
     pub decider: Box<dyn Decider>,
-    pub life: u32,
+    /// Increases when the gateway is killed.
+    pub incarnation: u32,
     pub up: bool,
     pub pending: Vec<Event>,
-    pub round_at: Option<Time>,
+    pub next_round: Option<Time>,
     pub last_round: Time,
-    /// It does nothing before.
+    /// The gateway handles no events before this time.
     pub paused_until: Time,
-    /// For each server what was told last: none before it was listed, else since when it is to get nothing new.
-    pub told: Vec<Option<Option<Time>>>,
-    /// The start of each server that was told last.
-    pub told_start: Vec<Time>,
-    /// Idle connections by server: the server's life, and since when each idles; and those in use.
+    /// The last announcement of each server: `None` before the server was listed, else the time since which it
+    /// must get no new requests, if any.
+    pub announced: Vec<Option<Option<Time>>>,
+    /// The last announced start time of each server.
+    pub announced_start: Vec<Time>,
+    /// Idle connections by server: the server's incarnation and the time since which the connection is idle.
     pub idle: Vec<Vec<(u32, Time)>>,
-    pub used: Vec<u32>,
+    /// Connections in use, by server.
+    pub busy: Vec<u32>,
 }
 
-/// A server.
+/// The state of a server.
 pub struct ServerState {
     pub model: Server,
     pub name: Name,
     pub zone: usize,
     pub cell: u32,
-    pub life: u32,
+    /// Increases at each stop and start.
+    pub incarnation: u32,
     pub up: bool,
+    /// Whether nothing passes to or from the server.
     pub silent: bool,
-    pub fails: f64,
+    /// The probability that a request fails.
+    pub failure_rate: f64,
     pub health: Health,
     pub started: Time,
-    /// Work since its start, and the part of it from gateways that were told of the start.
+    /// Work received since the server's start, in total and from gateways that knew of the start.
     pub work: [f64; 2],
-    pub reported: bool,
+    /// Whether the overload collapse since the server's start was counted.
+    pub collapse_reported: bool,
 }
 
 impl GatewayState {
-    /// A gateway that has just begun, with so many servers about.
+    /// Creates a gateway that has just started; `servers` is the number of servers.
     pub fn new(zone: usize, decider: Box<dyn Decider>, servers: usize) -> Self {
         GatewayState {
             zone,
             decider,
-            life: 0,
+            incarnation: 0,
             up: true,
             pending: Vec::new(),
-            round_at: None,
+            next_round: None,
             last_round: START_NS,
             paused_until: 0,
-            told: vec![None; servers],
-            told_start: vec![0; servers],
+            announced: vec![None; servers],
+            announced_start: vec![0; servers],
             idle: vec![Vec::new(); servers],
-            used: vec![0; servers],
+            busy: vec![0; servers],
         }
     }
 }
 
 impl ServerState {
-    /// The scenario's server with this number, warm.
+    /// Creates server `n` of the scenario, warm.
     pub fn new(scenario: &Scenario, n: usize, build: ServerParameters) -> Self {
         ServerState {
             model: Server::new(build),
             name: format!("s-{n}").into(),
             zone: scenario.zone_of_server(n),
             cell: scenario.cell_of_server(n),
-            life: 0,
+            incarnation: 0,
             up: true,
             silent: false,
-            fails: 0.0,
+            failure_rate: 0.0,
             health: Health::Up,
             started: 0,
             work: [0.0; 2],
-            reported: false,
+            collapse_reported: false,
         }
     }
 }
