--- a/crates/gateway-simulation/src/oracle.rs
+++ b/crates/gateway-simulation/src/oracle.rs
@@ -1,4 +1,5 @@
-//! Checks each rule as a play goes, from what goes out and what was told, knowing nothing of why.
+//! Checks the protocol's rules during a play, only from the messages that gateways send and receive, without
+//! knowledge of their decisions.
 
 use crate::units::{ANSWER_SLACK_NS, DRAIN_GRACE_NS, START_NS};
 use gateway_decisions::{Effect, Ending, Group, Time};
@@ -8,25 +9,25 @@
 /// The rules of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// Each request taken gets exactly one final answer while its client waits.
+    /// Each accepted request gets exactly one final answer while its client waits.
     OneAnswer,
-    /// Never two attempts out at once, and no more than are allowed.
+    /// A request has at most one attempt in flight, and no more attempts than allowed.
     Attempts,
-    /// The class decides what may be sent again, or refused, once it may have run.
+    /// A request that may have run is sent again or refused only if its class allows that.
     Effects,
-    /// Nothing new to a server that was told draining or gone, but for the grace.
+    /// A server that was announced as draining or removed gets no new attempts after the grace period.
     Drains,
-    /// Only to servers that the list has named.
+    /// Attempts go only to servers that were on the list.
     Listed,
-    /// Only for a request that a client sent.
+    /// Attempts and answers belong only to requests that a client sent.
     Invented,
-    /// Units sent on stay under the plan's ceiling, over all gateways.
+    /// The units that all gateways together send for a customer stay under the plan's ceiling.
     Ceiling,
-    /// Cold servers are not pushed over.
+    /// Cold servers are not overloaded until they collapse.
     Cold,
 }
 
-/// A rule that was broken: when, and the shortest trace that shows it.
+/// A violation of a rule: its time, a description, and the trace of the request concerned.
 #[derive(Clone, Debug)]
 pub struct Breach {
     pub rule: Rule,
@@ -37,27 +38,29 @@
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{:.6} s: rule {:?} is broken: {}", seconds(self.at), self.rule, self.what)?;
+        writeln!(f, "{:.6} s: rule {:?} is broken: {}", play_seconds(self.at), self.rule, self.what)?;
         self.trace.iter().try_for_each(|line| writeln!(f, "  {line}"))
     }
 }
 
-/// What the oracle knows of a request at one gateway.
-struct Case {
+/// The oracle's state of a request at one gateway.
+struct RequestState {
     class: usize,
     deadline: Time,
-    /// Its gateway stood still while it was open: no answer in time is owed.
-    excused: bool,
+    /// The gateway was paused while the request was open, so no answer by the deadline is required.
+    deadline_waived: bool,
     ended: bool,
-    out: Option<u32>,
+    /// Number of the attempt in flight.
+    in_flight: Option<u32>,
     attempts: u32,
-    /// The first attempt that may have run: when, and its server's zone and cell.
-    ran: Option<(Time, u32, u32)>,
-    sent_to: Option<(Time, u32, u32)>,
+    /// The first attempt that may have run: its time, and its server's zone and cell.
+    may_have_run_at: Option<(Time, u32, u32)>,
+    /// The last attempt: its time, and its server's zone and cell.
+    last_attempt: Option<(Time, u32, u32)>,
     trace: Vec<String>,
 }
 
-/// What a class allows.
+/// The properties of a class that the rules depend on.
 #[derive(Clone, Copy)]
 pub struct Allowed {
     pub effect: Effect,
@@ -65,64 +68,68 @@
     pub key_ttl: Time,
 }
 
-/// A customer's ceiling.
+/// The units left under a customer's ceiling at a time.
 struct Ceiling {
     level: f64,
     at: Time,
 }
 
+/// Checks the rules over all gateways of a play.
 pub struct Oracle {
     classes: Vec<Allowed>,
-    tries: u32,
-    cases: HashMap<u64, Case>,
+    max_attempts: u32,
+    requests: HashMap<u64, RequestState>,
     ceilings: HashMap<u32, Ceiling>,
 }
 
-type Checked = Result<(), Box<Breach>>;
+type CheckResult = Result<(), Box<Breach>>;
 
-/// Since the begin of the play.
-fn seconds(at: Time) -> f64 {
+/// Converts a time to seconds since the start of the play.
+fn play_seconds(at: Time) -> f64 {
     at.saturating_sub(START_NS) as f64 / 1e9
 }
 
 impl Oracle {
-    pub fn new(classes: Vec<Allowed>, tries: u32) -> Self {
-        Oracle { classes, tries, cases: HashMap::new(), ceilings: HashMap::new() }
+    pub fn new(classes: Vec<Allowed>, max_attempts: u32) -> Self {
+        Oracle { classes, max_attempts, requests: HashMap::new(), ceilings: HashMap::new() }
     }
 
-    fn breach(rule: Rule, at: Time, what: String, trace: &[String]) -> Checked {
+    fn breach(rule: Rule, at: Time, what: String, trace: &[String]) -> CheckResult {
         Err(Box::new(Breach { rule, at, what, trace: trace.to_vec() }))
     }
 
-    /// A client's request has come to a gateway.
+    /// Records that a client's request arrived at a gateway.
     pub fn request_received(&mut self, id: u64, class: usize, deadline: Time, gateway: usize, now: Time) {
-        let trace =
-            vec![format!("{:.6} request {id:x} of class {class} comes to gateway {gateway}", seconds(now))];
-        let case = Case {
+        let trace = vec![format!(
+            "{:.6} request {id:x} of class {class} comes to gateway {gateway}",
+            play_seconds(now)
+        )];
+        let request = RequestState {
             class,
             deadline,
-            excused: false,
+            deadline_waived: false,
             ended: false,
-            out: None,
+            in_flight: None,
             attempts: 0,
-            ran: None,
-            sent_to: None,
+            may_have_run_at: None,
+            last_attempt: None,
             trace,
         };
-        self.cases.insert(id, case);
+        self.requests.insert(id, request);
     }
 
-    /// An attempt goes out. `told` is what the gateway was last told of the server: none if the list never named it,
-    /// else since when it is to get nothing new.
+    /// Records and checks an attempt. `location` is the server's zone and cell. `announced` is the server's last
+    /// announcement to the gateway: `None` if the server was never listed, else the time since which the server must
+    /// get no new attempts, if any.
     pub fn attempt_sent(
         &mut self,
         id: u64,
         server: &str,
-        place: (u32, u32),
-        told: Option<Option<Time>>,
+        location: (u32, u32),
+        announced: Option<Option<Time>>,
         now: Time,
-    ) -> Checked {
-        let Some(case) = self.cases.get_mut(&id) else {
+    ) -> CheckResult {
+        let Some(request) = self.requests.get_mut(&id) else {
             return Self::breach(
                 Rule::Invented,
                 now,
@@ -130,12 +137,12 @@
                 &[],
             );
         };
-        case.trace.push(format!("{:.6} attempt {} to {server}", seconds(now), case.attempts));
-        let trace = &case.trace;
-        if case.ended {
+        request.trace.push(format!("{:.6} attempt {} to {server}", play_seconds(now), request.attempts));
+        let trace = &request.trace;
+        if request.ended {
             return Self::breach(Rule::OneAnswer, now, format!("an attempt for {id:x} after its end"), trace);
         }
-        if case.out.is_some() {
+        if request.in_flight.is_some() {
             return Self::breach(
                 Rule::Attempts,
                 now,
@@ -143,27 +150,27 @@
                 trace,
             );
         }
-        if case.attempts >= self.tries {
+        if request.attempts >= self.max_attempts {
             return Self::breach(
                 Rule::Attempts,
                 now,
-                format!("more than {} attempts of {id:x}", self.tries),
+                format!("more than {} attempts of {id:x}", self.max_attempts),
                 trace,
             );
         }
-        let class = self.classes[case.class];
-        if let Some((at, zone, cell)) = case.ran {
-            let near = match class.group {
+        let class = self.classes[request.class];
+        if let Some((at, zone, cell)) = request.may_have_run_at {
+            let in_repeat_group = match class.group {
                 Group::All => true,
-                Group::Zone => place.0 == zone,
-                Group::Cell => place.1 == cell,
+                Group::Zone => location.0 == zone,
+                Group::Cell => location.1 == cell,
             };
-            let fits = match class.effect {
+            let repeat_allowed = match class.effect {
                 Effect::Safe => true,
-                Effect::Keyed => near && now <= at + class.key_ttl,
+                Effect::Keyed => in_repeat_group && now <= at + class.key_ttl,
                 Effect::Unsafe => false,
             };
-            if !fits {
+            if !repeat_allowed {
                 return Self::breach(
                     Rule::Effects,
                     now,
@@ -172,35 +179,35 @@
                 );
             }
         }
-        match told {
+        match announced {
             None => {
                 return Self::breach(Rule::Listed, now, format!("{server} was never listed there"), trace)
             }
             Some(Some(since)) if now > since + DRAIN_GRACE_NS => {
-                let what = format!("{server} was told to get nothing new at {:.6}", seconds(since));
+                let what = format!("{server} was told to get nothing new at {:.6}", play_seconds(since));
                 return Self::breach(Rule::Drains, now, what, trace);
             }
             _ => {}
         }
-        case.out = Some(case.attempts);
-        case.attempts += 1;
-        case.sent_to = Some((now, place.0, place.1));
+        request.in_flight = Some(request.attempts);
+        request.attempts += 1;
+        request.last_attempt = Some((now, location.0, location.1));
         Ok(())
     }
 
-    /// An attempt is over for its gateway.
+    /// Records the end of an attempt for its gateway.
     pub fn attempt_ended(&mut self, id: u64, ending: Ending, now: Time) {
-        let Some(case) = self.cases.get_mut(&id) else { return };
-        case.trace.push(format!("{:.6} attempt ends: {ending:?}", seconds(now)));
-        case.out = None;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.trace.push(format!("{:.6} attempt ends: {ending:?}", play_seconds(now)));
+        request.in_flight = None;
         if !matches!(ending, Ending::Full | Ending::NoRoute | Ending::Stale) {
-            case.ran = case.ran.or(case.sent_to);
+            request.may_have_run_at = request.may_have_run_at.or(request.last_attempt);
         }
     }
 
-    /// The final answer; a refusal if `refused`.
-    pub fn final_answer_sent(&mut self, id: u64, refused: bool, now: Time) -> Checked {
-        let Some(case) = self.cases.get_mut(&id) else {
+    /// Records and checks a request's final answer, which is a refusal if `refused`.
+    pub fn final_answer_sent(&mut self, id: u64, refused: bool, now: Time) -> CheckResult {
+        let Some(request) = self.requests.get_mut(&id) else {
             return Self::breach(
                 Rule::Invented,
                 now,
@@ -208,68 +215,69 @@
                 &[],
             );
         };
-        // As the wire has it: what is said of a request that is over is disregarded.
-        if std::mem::replace(&mut case.ended, true) {
+        // As on the wire, messages for a request that has ended are ignored.
+        if std::mem::replace(&mut request.ended, true) {
             return Ok(());
         }
-        case.trace.push(format!(
+        request.trace.push(format!(
             "{:.6} final answer{}",
-            seconds(now),
+            play_seconds(now),
             if refused { ": refused" } else { "" }
         ));
-        if now > case.deadline + ANSWER_SLACK_NS && !case.excused {
-            let what = format!("{id:x} is answered after its time, {:.6}", seconds(case.deadline));
-            return Self::breach(Rule::OneAnswer, now, what, &case.trace);
+        if now > request.deadline + ANSWER_SLACK_NS && !request.deadline_waived {
+            let what = format!("{id:x} is answered after its time, {:.6}", play_seconds(request.deadline));
+            return Self::breach(Rule::OneAnswer, now, what, &request.trace);
         }
-        let class = self.classes[case.class];
-        let may_have_run = case.ran.is_some() || case.out.is_some();
-        let free = class.effect == Effect::Safe || class.effect == Effect::Keyed && class.group == Group::All;
-        if refused && may_have_run && !free {
+        let class = self.classes[request.class];
+        let may_have_run = request.may_have_run_at.is_some() || request.in_flight.is_some();
+        let repeat_allowed_anywhere =
+            class.effect == Effect::Safe || class.effect == Effect::Keyed && class.group == Group::All;
+        if refused && may_have_run && !repeat_allowed_anywhere {
             return Self::breach(
                 Rule::Effects,
                 now,
                 format!("{id:x} is refused, and may have run"),
-                &case.trace,
+                &request.trace,
             );
         }
         Ok(())
     }
 
-    /// Its gateway stands still while the request is open.
+    /// Waives the deadline of an open request whose gateway is paused.
     pub fn waive_deadline(&mut self, id: u64) {
-        if let Some(case) = self.cases.get_mut(&id) {
-            case.excused = true;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.deadline_waived = true;
         }
     }
 
-    /// Nobody waits for the request any more, or its gateway is gone.
+    /// Forgets a request whose client has left or whose gateway was killed.
     pub fn request_abandoned(&mut self, id: u64) {
-        self.cases.remove(&id);
+        self.requests.remove(&id);
     }
 
-    /// The time of a request is over, with its slack.
-    pub fn deadline_reached(&mut self, id: u64, now: Time) -> Checked {
-        if self.cases.get(&id).is_some_and(|case| case.excused && !case.ended) {
-            // Its gateway may still end it when it goes on.
+    /// Checks that a request has its final answer when its deadline with slack has passed.
+    pub fn deadline_reached(&mut self, id: u64, now: Time) -> CheckResult {
+        if self.requests.get(&id).is_some_and(|request| request.deadline_waived && !request.ended) {
+            // The gateway may still end the request when it resumes.
             return Ok(());
         }
-        match self.cases.remove(&id) {
-            Some(case) if !case.ended => {
-                Self::breach(Rule::OneAnswer, now, format!("{id:x} never got a final answer"), &case.trace)
+        match self.requests.remove(&id) {
+            Some(request) if !request.ended => {
+                Self::breach(Rule::OneAnswer, now, format!("{id:x} never got a final answer"), &request.trace)
             }
             _ => Ok(()),
         }
     }
 
-    /// A request's first attempt takes its units from the customer's ceiling, which fills by `rate` up to `burst`.
-    /// `slack` is what it may fall below 0.
+    /// Takes the units of a request's first attempt from the customer's ceiling, which refills by `rate` units a second
+    /// up to `burst`. The ceiling may fall to `slack` units below 0.
     pub fn ceiling_units_taken(
         &mut self,
         customer: u32,
         units: f64,
         (rate, burst, slack): (f64, f64, f64),
         now: Time,
-    ) -> Checked {
+    ) -> CheckResult {
         let ceiling = self.ceilings.entry(customer).or_insert(Ceiling { level: burst, at: now });
         ceiling.level = (ceiling.level + (now - ceiling.at) as f64 / 1e9 * rate).min(burst) - units;
         ceiling.at = now;
@@ -280,10 +288,11 @@
         Ok(())
     }
 
-    /// A cold server was pushed over; `told` is the part of its late work that came from gateways that knew of its start.
-    pub fn server_collapsed(server: &str, told: f64, now: Time) -> Checked {
-        if told >= 2.0 / 3.0 {
-            let part = told * 100.0;
+    /// Checks the collapse of a cold server. `informed_share` is the share of the server's work since its start that came
+    /// from gateways that knew of the start.
+    pub fn server_collapsed(server: &str, informed_share: f64, now: Time) -> CheckResult {
+        if informed_share >= 2.0 / 3.0 {
+            let part = informed_share * 100.0;
             return Self::breach(
                 Rule::Cold,
                 now,
--- a/crates/gateway-simulation/src/scenario/settings.rs
+++ b/crates/gateway-simulation/src/scenario/settings.rs
@@ -1,4 +1,4 @@
-//! What a scenario means for the models: the settings of its gateways, and its servers' figures.
+//! Converts a scenario to the settings of its gateways and the parameters of its servers.
 
 use crate::scenario::{Repeats, Runs, Scenario};
 use crate::server::ServerParameters;
@@ -6,49 +6,49 @@
 use gateway_decisions::{Class, Effect, Group, Plan, Settings};
 
 impl Scenario {
-    /// The servers' figures, for their models.
+    /// Returns the parameters of the scenario's servers.
     pub fn server_parameters(&self) -> ServerParameters {
-        let s = &self.servers;
+        let servers = &self.servers;
         ServerParameters {
-            cores: s.cores,
-            waiting: s.waiting,
-            cold: ns(s.cold_s, SECOND),
-            cold_from: s.cold_from,
-            fall: ns(s.fall_s, SECOND),
-            fall_multiple: s.fall_multiple,
+            cores: servers.cores,
+            queue_capacity: servers.waiting,
+            warm_up_time: ns(servers.cold_s, SECOND),
+            warm_up_from: servers.cold_from,
+            overload_tolerance: ns(servers.fall_s, SECOND),
+            overload_multiple: servers.fall_multiple,
         }
     }
 
-    /// What the scenario's gateway with this number is told at its start.
-    pub fn settings(&self, me: u32, zone: u32) -> Settings {
-        let classes = self.classes.iter().map(|k| Class {
-            name: k.name.clone(),
-            latency_target: ns(k.aim_ms, MS),
-            deadline: ns(k.deadline_ms, MS),
-            effect: match k.effect {
+    /// Returns the settings of gateway `gateway_index`, which is in zone `zone`.
+    pub fn settings(&self, gateway_index: u32, zone: u32) -> Settings {
+        let classes = self.classes.iter().map(|kind| Class {
+            name: kind.name.clone(),
+            latency_target: ns(kind.aim_ms, MS),
+            deadline: ns(kind.deadline_ms, MS),
+            effect: match kind.effect {
                 Runs::Safe => Effect::Safe,
                 Runs::Keyed => Effect::Keyed,
                 Runs::Unsafe => Effect::Unsafe,
             },
-            group: match k.group {
+            group: match kind.group {
                 Repeats::All => Group::All,
                 Repeats::Zone => Group::Zone,
                 Repeats::Cell => Group::Cell,
             },
-            key_ttl: ns(k.key_ms, MS),
+            key_ttl: ns(kind.key_ms, MS),
             late_value: 0.0,
-            value: k.points,
+            value: kind.points,
             stream: false,
         });
-        let plans = self.plans.iter().map(|t| Plan {
-            ceiling_rate: t.ceiling_rate,
-            ceiling_burst: t.ceiling_burst,
-            value_factor: t.worth,
-            ..Plan::new(&t.name, t.rate, t.depth)
+        let plans = self.plans.iter().map(|tariff| Plan {
+            ceiling_rate: tariff.ceiling_rate,
+            ceiling_burst: tariff.ceiling_burst,
+            value_factor: tariff.worth,
+            ..Plan::new(&tariff.name, tariff.rate, tariff.depth)
         });
         Settings {
             zone,
-            gateway_index: me,
+            gateway_index,
             gateways: self.gateways.count,
             classes: classes.collect(),
             plans: plans.collect(),
--- a/crates/gateway-simulation/src/units.rs
+++ b/crates/gateway-simulation/src/units.rs
@@ -1,4 +1,4 @@
-//! Times of a play.
+//! Units and fixed times of a play.
 
 use gateway_decisions::Time;
 
@@ -6,16 +6,16 @@
 pub const SECOND: f64 = 1e9;
 pub const MS: f64 = 1e6;
 
-/// So many of a unit in nanoseconds.
+/// Converts a value in units of `unit` nanoseconds to nanoseconds.
 pub fn ns(value: f64, unit: f64) -> Time {
     (value * unit) as Time
 }
 
-/// When a play begins, as Unix time: any time that is not 0, which means long ago.
+/// Start of a play in Unix time. Any time but 0 would do: 0 stands for a time long before the play.
 pub const START_NS: Time = 1_000_000 * 1_000_000_000;
-/// How often the meter tells.
+/// Period at which the meter reports the customers' use.
 pub const METER_PERIOD_NS: Time = 500_000_000;
-/// How long past its deadline a request may have its final answer.
+/// Time after a request's deadline within which the final answer may still be given.
 pub const ANSWER_SLACK_NS: Time = 8_000_000;
-/// How long after it was told draining or gone a server may be sent to.
+/// Time within which a gateway may still send to a server after it was announced as draining or removed.
 pub const DRAIN_GRACE_NS: Time = 500_000_000;
--- a/crates/gateway-simulation/src/world/attempts.rs
+++ b/crates/gateway-simulation/src/world/attempts.rs
@@ -203,9 +203,9 @@
         let admission = server.model.admit(key, work + handshake, self.now);
         if server.model.collapsed && !server.collapse_reported {
             server.collapse_reported = true;
-            let (name, announced_share) = (server.name.clone(), server.work[1] / server.work[0].max(1.0));
+            let (name, informed_share) = (server.name.clone(), server.work[1] / server.work[0].max(1.0));
             self.report.fallen += 1;
-            Oracle::server_collapsed(&name, announced_share, self.now)?;
+            Oracle::server_collapsed(&name, informed_share, self.now)?;
         }
         let (server, incarnation) = (n, self.servers[n].incarnation);
         match admission {
--- a/crates/gateway-simulation/tests/plays.rs
+++ b/crates/gateway-simulation/tests/plays.rs
@@ -182,8 +182,14 @@
 /// Waits at a server with so many cores under Poisson arrivals, in units of the mean work: how many waited, and for how
 /// long on average over all.
 fn waits(cores: u32, load: f64, exponential: bool, count: usize) -> (f64, f64) {
-    let build =
-        ServerParameters { cores, waiting: u32::MAX, cold: 0, cold_from: 1.0, fall: 1, fall_multiple: 1e9 };
+    let build = ServerParameters {
+        cores,
+        queue_capacity: u32::MAX,
+        warm_up_time: 0,
+        warm_up_from: 1.0,
+        overload_tolerance: 1,
+        overload_multiple: 1e9,
+    };
     let mut server = Server::new(build);
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mean = 1_000_000.0;
