--- a/crates/gateway-simulation/src/lib.rs
+++ b/crates/gateway-simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! The systems that a gateway meets, as models in simulated time, around the real decisions.
+//! Discrete-event simulation of the systems around gateways: clients, servers, network and faults. The gateways run
+//! their real decision logic.
 //!
-//! A [`Scenario`] says what is played; [`play`] plays it once with a seed and gives a [`Report`], or the first
-//! [`Breach`] of a rule with what led to it. One seed gives the same report, bit for bit: a play runs on one thread, all
-//! that happens at one instant happens in the order in which it was planned, and nothing depends on the order of a
-//! hash table. Many plays run beside each other.
+//! [`play`] runs a [`Scenario`] once with a seed and returns a [`Report`], or the first [`Breach`] of a rule with its
+//! trace. The same seed gives the same report, bit for bit: a play runs on one thread, events of the same time run in
+//! the order in which they were scheduled, and nothing depends on the iteration order of a hash table. Several plays
+//! run in parallel.
 #![forbid(unsafe_code)]
 
 pub mod customer;
@@ -29,14 +30,18 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Plays each seed, as many at once as there are processors; the results in the order of the seeds.
+/// Plays a scenario with each seed, in parallel on all processors. Returns the results in the order of the seeds.
 pub fn play_all(scenario: &Scenario, seeds: &[u64]) -> Vec<Result<Report, Box<Breach>>> {
     seeds.par_iter().map(|seed| play(scenario, *seed)).collect()
 }
 
-/// A scenario of the catalogue by its name, or the file of that name.
+/// Returns the scenario with this name from the catalogue, or the contents of the file with this name.
+///
+/// # Errors
+///
+/// If there is neither, or the file cannot be read or parsed.
 pub fn find(name: &str) -> Result<Value, Errors> {
-    match CATALOGUE.iter().find(|(known, _)| *known == name) {
+    match CATALOGUE.iter().find(|(entry, _)| *entry == name) {
         Some((_, text)) => FileFormat::Toml.parse(text.as_bytes()),
         None if name.contains(['.', '/']) => {
             let path = Path::new(name);
@@ -53,7 +58,7 @@
     }
 }
 
-/// The scenarios that come with the lab, by name.
+/// The built-in scenarios by name.
 pub const CATALOGUE: &[(&str, &str)] = &[
     ("calm", include_str!("../scenarios/calm.toml")),
     ("release", include_str!("../scenarios/release.toml")),
--- a/crates/gateway-simulation/src/link.rs
+++ b/crates/gateway-simulation/src/link.rs
@@ -1,13 +1,15 @@
-//! Which ways between gateways, servers and the list a fault strikes.
+//! The network links between gateways, servers and the server list that a fault affects.
 //!
-//! `zone a except n3 -> zone b`: what gateways and servers of zone a, but for gateway n3, say to those of zone b. The arrow
-//! points the way that is struck; `<->` strikes both. A side is a list, by commas, of `all`, `gateways`, `servers`, `list`,
-//! `zone NAME`, `30% of gateways`, a gateway (`n0`) or a server (`s-0`), and after `except` of those that are left out.
+//! Example: `zone a except n3 -> zone b` affects traffic from gateways and servers of zone a, except gateway n3, to those
+//! of zone b. The arrow gives the affected direction; `<->` affects both. A side is a comma-separated list of `all`,
+//! `gateways`, `servers`, `list`, `zone NAME`, `30% of gateways`, a gateway (`n0`) or a server (`s-0`). After `except`
+//! follows a list of exceptions in the same form.
 
 use crate::scenario::{Fault, Scenario};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
+/// One entry of a side.
 #[derive(Clone, Debug, PartialEq)]
 enum Term {
     All,
@@ -15,18 +17,20 @@
     Servers,
     List,
     Zone(usize),
-    Part(f64),
+    /// A share of the gateways, drawn at random.
+    GatewayShare(f64),
     Gateway(usize),
     Server(usize),
 }
 
+/// One side of a link.
 #[derive(Clone, Debug, PartialEq)]
 struct Side {
-    of: Vec<Term>,
+    include: Vec<Term>,
     except: Vec<Term>,
 }
 
-/// The ways between two sides, as a scenario words them.
+/// The links between two sides, as a scenario describes them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
     from: Side,
@@ -35,7 +39,7 @@
 }
 
 impl Link {
-    /// The link that a fault strikes, if it strikes one.
+    /// Parses the link that a fault affects; `None` if the fault names neither a link nor a zone.
     pub fn of(fault: &Fault, scenario: &Scenario) -> Option<Result<Self, String>> {
         let words = match (&fault.link, &fault.zone) {
             (Some(words), _) => words.clone(),
@@ -45,9 +49,13 @@
         Some(Link::parse(&words, scenario))
     }
 
-    /// A link by its words.
+    /// Parses a link.
+    ///
+    /// # Errors
+    ///
+    /// If the arrow is missing, or a side names something that the scenario does not have.
     pub fn parse(words: &str, scenario: &Scenario) -> Result<Self, String> {
-        // The longest arrow first: it holds the others.
+        // `<->` comes first because it contains the other arrows.
         let arrows = [("<->", true, false), ("->", false, false), ("<-", false, true)];
         let found = arrows.iter().find_map(|(arrow, both, back)| {
             words.split_once(arrow).map(|(left, right)| (left, right, *both, *back))
@@ -60,7 +68,7 @@
         Ok(Link { from, to, both })
     }
 
-    /// Draws those that are meant by a part.
+    /// Determines the affected links for one play; gateways of a share are drawn at random.
     pub fn resolve(&self, scenario: &Scenario, rng: &mut impl Rng) -> AffectedLinks {
         AffectedLinks {
             from: self.from.draw(scenario, rng),
@@ -72,18 +80,18 @@
 
 impl Side {
     fn parse(words: &str, scenario: &Scenario) -> Result<Self, String> {
-        let (of, except) = match words.split_once(" except ") {
-            Some((of, except)) => (of, terms(except, scenario)?),
+        let (include, except) = match words.split_once(" except ") {
+            Some((include, except)) => (include, terms(except, scenario)?),
             None => (words, Vec::new()),
         };
-        Ok(Side { of: terms(of, scenario)?, except })
+        Ok(Side { include: terms(include, scenario)?, except })
     }
 
-    fn draw(&self, scenario: &Scenario, rng: &mut impl Rng) -> Ends {
-        let mut ends = Ends::none(scenario);
-        self.of.iter().for_each(|term| ends.set(term, scenario, true, rng));
-        self.except.iter().for_each(|term| ends.set(term, scenario, false, rng));
-        ends
+    fn draw(&self, scenario: &Scenario, rng: &mut impl Rng) -> Members {
+        let mut members = Members::none(scenario);
+        self.include.iter().for_each(|term| members.set(term, scenario, true, rng));
+        self.except.iter().for_each(|term| members.set(term, scenario, false, rng));
+        members
     }
 }
 
@@ -92,7 +100,7 @@
 }
 
 fn term(word: &str, scenario: &Scenario) -> Result<Term, String> {
-    let number = |text: &str, count: u32, what: &str| match text.parse::<usize>() {
+    let parse_index = |text: &str, count: u32, what: &str| match text.parse::<usize>() {
         Ok(n) if n < count as usize => Ok(n),
         _ => Err(format!("{word:?}: {what} up to {} are there", count - 1)),
     };
@@ -106,13 +114,13 @@
                 let zone = scenario.zones.iter().position(|zone| zone == name.trim());
                 let zones = || format!("{word:?}: a zone of {} is wanted", scenario.zones.join(", "));
                 Term::Zone(zone.ok_or_else(zones)?)
-            } else if let Some(part) = word.strip_suffix("% of gateways") {
-                let part = part.trim().parse::<f64>().ok().filter(|p| (0.0..=100.0).contains(p));
-                Term::Part(part.ok_or_else(|| format!("{word:?}: 0 to 100 % are wanted"))? / 100.0)
+            } else if let Some(share) = word.strip_suffix("% of gateways") {
+                let share = share.trim().parse::<f64>().ok().filter(|p| (0.0..=100.0).contains(p));
+                Term::GatewayShare(share.ok_or_else(|| format!("{word:?}: 0 to 100 % are wanted"))? / 100.0)
             } else if let Some(n) = word.strip_prefix("s-") {
-                Term::Server(number(n, scenario.servers.count, "servers s-0")?)
+                Term::Server(parse_index(n, scenario.servers.count, "servers s-0")?)
             } else if let Some(n) = word.strip_prefix('n') {
-                Term::Gateway(number(n, scenario.gateways.count, "gateways n0")?)
+                Term::Gateway(parse_index(n, scenario.gateways.count, "gateways n0")?)
             } else {
                 return Err(format!("{word:?} is neither a zone, a gateway, a server nor the list"));
             }
@@ -120,17 +128,17 @@
     })
 }
 
-/// Gateways, servers and the list that a side means.
+/// The gateways, servers and list that belong to a side.
 #[derive(Clone, Debug)]
-struct Ends {
+struct Members {
     gateways: Vec<bool>,
     servers: Vec<bool>,
     list: bool,
 }
 
-impl Ends {
+impl Members {
     fn none(scenario: &Scenario) -> Self {
-        Ends {
+        Members {
             gateways: vec![false; scenario.gateways.count as usize],
             servers: vec![false; scenario.servers.count as usize],
             list: false,
@@ -153,11 +161,11 @@
                 let servers = self.servers.iter_mut().enumerate();
                 servers.filter(|(n, _)| scenario.zone_of_server(*n) == *zone).for_each(|(_, s)| *s = on);
             }
-            Term::Part(part) => {
-                let mut all: Vec<usize> = (0..self.gateways.len()).collect();
-                all.shuffle(rng);
-                all.truncate((all.len() as f64 * part).round() as usize);
-                all.into_iter().for_each(|n| self.gateways[n] = on);
+            Term::GatewayShare(share) => {
+                let mut chosen: Vec<usize> = (0..self.gateways.len()).collect();
+                chosen.shuffle(rng);
+                chosen.truncate((chosen.len() as f64 * share).round() as usize);
+                chosen.into_iter().for_each(|n| self.gateways[n] = on);
             }
             Term::Gateway(n) => self.gateways[*n] = on,
             Term::Server(n) => self.servers[*n] = on,
@@ -165,32 +173,33 @@
     }
 }
 
-/// The ways that a fault strikes in one play.
+/// The links that a fault affects in one play.
 #[derive(Clone, Debug)]
 pub struct AffectedLinks {
-    from: Ends,
-    to: Ends,
+    from: Members,
+    to: Members,
     both: bool,
 }
 
 impl AffectedLinks {
-    fn way(&self, gateway: usize, out: bool, other: impl Fn(&Ends) -> bool) -> bool {
-        let one = self.from.gateways[gateway] && other(&self.to);
-        let back = other(&self.from) && self.to.gateways[gateway];
-        match out {
-            true => one || self.both && back,
-            false => back || self.both && one,
+    /// Returns whether traffic from a gateway to the other end is affected, or back if not `outbound`.
+    fn affects(&self, gateway: usize, outbound: bool, other: impl Fn(&Members) -> bool) -> bool {
+        let forward = self.from.gateways[gateway] && other(&self.to);
+        let backward = other(&self.from) && self.to.gateways[gateway];
+        match outbound {
+            true => forward || self.both && backward,
+            false => backward || self.both && forward,
         }
     }
 
-    /// Whether the way from a gateway to a server is struck, or the way back.
-    pub fn affects_server(&self, gateway: usize, server: usize, out: bool) -> bool {
-        self.way(gateway, out, |ends| ends.servers[server])
+    /// Returns whether traffic from a gateway to a server is affected, or back if not `outbound`.
+    pub fn affects_server(&self, gateway: usize, server: usize, outbound: bool) -> bool {
+        self.affects(gateway, outbound, |members| members.servers[server])
     }
 
-    /// The same of the list.
-    pub fn affects_list(&self, gateway: usize, out: bool) -> bool {
-        self.way(gateway, out, |ends| ends.list)
+    /// Returns whether traffic from a gateway to the list is affected, or back if not `outbound`.
+    pub fn affects_list(&self, gateway: usize, outbound: bool) -> bool {
+        self.affects(gateway, outbound, |members| members.list)
     }
 }
 
--- a/crates/gateway-simulation/src/page.rs
+++ b/crates/gateway-simulation/src/page.rs
@@ -1,31 +1,38 @@
-//! A page of figures: one file of HTML with its plots inside. It knows nothing of where the figures come from.
+//! A page of figures: one HTML file with embedded plots, independent of the source of the figures.
 
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (860, 300);
+/// Width and height of a plot in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (860, 300);
 
-/// Values over something, under a name.
+/// A named line of a plot: its points as x and y.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// What a page shows, from top to bottom.
+/// The contents of a page, from top to bottom.
 #[derive(Default)]
 pub struct Page {
     pub name: String,
     pub question: String,
-    /// Rules that were broken: where, and what led there.
+    /// Violated rules: the place of each, and its description with the trace.
     pub breaches: Vec<(String, String)>,
+    /// The column titles of the table.
     pub head: Vec<&'static str>,
     pub rows: Vec<Vec<String>>,
-    /// Each with what it shows, and a note.
+    /// Plots, each with its title, a note and its lines.
     pub plots: Vec<(String, String, Vec<Line>)>,
 }
 
+/// Escapes text for HTML.
 fn escaped(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
 impl Page {
-    /// The page's text. An error says which plot could not be drawn.
+    /// Returns the page as HTML.
+    ///
+    /// # Errors
+    ///
+    /// If a plot cannot be drawn; the error names the plot.
     pub fn html(&self) -> Result<String, String> {
         let mut text = format!(
             "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title>\
@@ -52,11 +59,11 @@
     }
 }
 
-/// Lines with a legend, as SVG.
+/// Draws lines with a legend as SVG.
 fn plot(lines: &[Line]) -> Result<String, Box<dyn std::error::Error>> {
     let points = || lines.iter().flat_map(|(_, points)| points);
-    let ends = |of: fn(&(f64, f64)) -> f64| {
-        let all = points().map(of);
+    let range = |coordinate: fn(&(f64, f64)) -> f64| {
+        let all = points().map(coordinate);
         let (least, most) = all.fold((f64::INFINITY, f64::NEG_INFINITY), |(a, b), v| (a.min(v), b.max(v)));
         match least.is_finite() {
             true if most > least => (least, most),
@@ -64,10 +71,10 @@
             false => (0.0, 1.0),
         }
     };
-    let ((left, right), (low, high)) = (ends(|p| p.0), ends(|p| p.1));
+    let ((left, right), (low, high)) = (range(|p| p.0), range(|p| p.1));
     let mut text = String::new();
     {
-        let root = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
+        let root = SVGBackend::with_string(&mut text, PLOT_SIZE_PX).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
--- a/crates/gateway-simulation/src/report.rs
+++ b/crates/gateway-simulation/src/report.rs
@@ -1,96 +1,98 @@
-//! What a play shows.
+//! The figures of a play.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The figures of one play, of requests that came after the uncounted start. A client that asks again makes a new request.
+/// The figures of one play. Only requests that arrive after the uncounted start are counted; a client's retry is a
+/// new request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub scenario: String,
     pub seed: u64,
     pub requests: u64,
-    /// Served within the class's aim, and later but within the client's time.
+    /// Requests served within the class's latency target, and those served later but before their deadline.
     pub on_time: u64,
     pub late: u64,
     pub refused: u64,
-    /// Refused though at least half of the customer's quota was there.
+    /// Requests refused although at least half of the customer's quota was available.
     pub refused_with_room: u64,
     pub failed: u64,
-    /// Requests that were sent, and those of them beyond the customer's quota.
+    /// Requests that were sent to a server, and those of them beyond the customer's quota.
     #[serde(default)]
     pub passed: u64,
     #[serde(default)]
     pub beyond: u64,
-    /// Left by their client, or lost with their gateway.
+    /// Requests that their client abandoned or that were lost with their gateway.
     pub gone: u64,
-    /// The worth of what was served in time, as a part of what was asked within quotas.
+    /// Value of the requests within quota that were served in time, as a share of the value of all requests within
+    /// quota.
     pub worth: f64,
     pub attempts: u64,
-    /// Attempts that ended without an answer in time: silence, or no connection.
+    /// Attempts that ended without an answer in time: the server was silent, or no connection was established.
     pub late_ends: u64,
-    /// Attempts that were turned away.
+    /// Attempts that servers rejected.
     pub turned_away: u64,
-    /// Attempts to another zone than the gateway's.
+    /// Attempts that crossed from the gateway's zone to another zone.
     pub crossings: u64,
     /// New connections to servers.
     pub connections: u64,
-    /// Servers that were pushed over while cold.
+    /// Servers that collapsed under overload while cold.
     pub fallen: u64,
-    /// Work that served no answer, as a part of all work.
+    /// Work for which no answer arrived in time at the gateway, as a share of all work.
     pub wasted: f64,
-    /// Times of what was served, in milliseconds.
+    /// Response times of served requests, in milliseconds.
     pub p50_ms: f64,
     pub p99_ms: f64,
-    /// Of each second: requests that came, and those of them that were served in time.
+    /// By second: requests that arrived, and those of them that were served in time.
     pub seconds: Vec<[u32; 2]>,
-    /// Of each second: requests that were sent for the first time, those of them beyond quota, tries, and those refused and
-    /// never sent though half of the quota was there.
+    /// By second: requests that were sent for the first time, those of them beyond quota, requests and retries that
+    /// clients made, and those refused and never sent although half of the quota was available.
     #[serde(default)]
     pub quota: Vec<[u32; 4]>,
-    /// In the middle of each second: the work that all servers can do which want something new, in warm cores, and the
-    /// part of it in use.
+    /// In the middle of each second: the capacity of all servers that accept new requests, in warm cores, and the part
+    /// of it in use.
     pub cores: Vec<[f64; 2]>,
-    /// Of each second, by the places that [`flow`] names.
+    /// By second: counts at the positions that [`flow`] names.
     #[serde(default)]
     pub flow: Vec<[u32; 5]>,
-    /// Of each second, in milliseconds of mean work: requests within quota that a client asks for the first time, and what
-    /// was served in time of those that came then.
+    /// By second, in milliseconds of mean work: requests within quota without retries, and the requests of that second
+    /// that were served in time.
     #[serde(default)]
     pub work: Vec<[f64; 2]>,
-    /// Events that were played, the uncounted start with them.
+    /// Simulated events, including those of the uncounted start.
     pub events: u64,
 }
 
-/// What a second of [`Report::flow`] counts.
+/// Positions of the counts in a second of [`Report::flow`].
 pub mod flow {
     pub const ATTEMPTS: usize = 0;
-    /// The first attempts of their requests.
+    /// First attempts of requests.
     pub const FIRST: usize = 1;
-    /// Attempts that were turned away.
+    /// Attempts that servers rejected.
     pub const REJECTED: usize = 2;
-    /// Attempts at servers that serve nothing: dead, silent, cut off or refusing.
+    /// Attempts at servers that cannot serve: stopped, silent, cut off or refusing.
     pub const FUTILE: usize = 3;
-    /// The most of these at one server.
+    /// The maximum of these attempts at one server.
     pub const MAX_FUTILE_PER_SERVER: usize = 4;
 }
 
-/// How a fleet fares over some seconds, against what its servers could do.
+/// Statistics of a fleet over some seconds, compared with the capacity of its servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetStats {
-    /// Work served in time, as a part of what could have been: what was wanted, or what the servers had capacity for.
+    /// Work served in time as a share of the possible work: the demand, or the servers' capacity where that is less.
     pub goodput: f64,
-    /// Attempts for each first one.
+    /// Attempts per first attempt.
     pub attempts: f64,
-    /// Attempts a second that were turned away.
+    /// Rejected attempts per second.
     pub rejected_per_s: f64,
-    /// Attempts a second at servers that serve nothing, and the most at one of them in any second.
+    /// Attempts per second at servers that cannot serve, and the maximum of them at one server within a second.
     pub futile_per_s: f64,
     pub max_futile_per_server: u32,
 }
 
-/// What [`FleetStats`] words, in its order.
+/// Column titles of [`FleetStats`] in the order of its `Display` text.
 pub const FLEET_STATS_COLUMNS: &str =
     "goodput of possible, attempts a first one, turned away a second, in vain, most at one";
 
@@ -105,18 +107,18 @@
 }
 
 impl Report {
-    /// The work that was served in time of a second, and what could have been.
-    fn useful(&self, second: usize) -> [f64; 2] {
-        let [wanted, served] = self.work.get(second).copied().unwrap_or_default();
-        [served, wanted.min(self.cores.get(second).map_or(0.0, |cores| cores[0] * 1000.0))]
+    /// Returns the work of a second that was served in time, and the work that could have been served.
+    fn served_and_possible(&self, second: usize) -> [f64; 2] {
+        let [demanded, served] = self.work.get(second).copied().unwrap_or_default();
+        [served, demanded.min(self.cores.get(second).map_or(0.0, |cores| cores[0] * 1000.0))]
     }
 
-    /// Of the seconds from `from` to before `to`.
+    /// Returns the statistics of the seconds from `from` up to but not including `to`.
     pub fn fleet_stats(&self, from: usize, to: usize) -> FleetStats {
         let seconds = from..to.min(self.flow.len());
-        let sum = |what: usize| seconds.clone().map(|n| f64::from(self.flow[n][what])).sum::<f64>();
-        let useful = seconds.clone().map(|n| self.useful(n));
-        let [served, possible] = useful.fold([0.0; 2], |sum, one| [sum[0] + one[0], sum[1] + one[1]]);
+        let sum = |column: usize| seconds.clone().map(|n| f64::from(self.flow[n][column])).sum::<f64>();
+        let work = seconds.clone().map(|n| self.served_and_possible(n));
+        let [served, possible] = work.fold([0.0; 2], |sum, second| [sum[0] + second[0], sum[1] + second[1]]);
         let span = seconds.len().max(1) as f64;
         FleetStats {
             goodput: served / possible.max(1.0),
@@ -130,16 +132,19 @@
         }
     }
 
-    /// How long after `from`, in seconds, until 95% of what could be done in a second is served in time.
+    /// Returns the time from `from`, in seconds, until the end of the first second in which 95% of the possible work is
+    /// served in time; `None` if there is no such second.
     pub fn recovery_time_s(&self, from: f64) -> Option<f64> {
-        let mut after = from.ceil() as usize..self.work.len().min(self.cores.len());
-        let well = after.find(|n| {
-            let [served, possible] = self.useful(*n);
+        let mut seconds = from.ceil() as usize..self.work.len().min(self.cores.len());
+        let recovered = seconds.find(|n| {
+            let [served, possible] = self.served_and_possible(*n);
             served >= 0.95 * possible
         });
-        well.map(|n| n as f64 + 1.0 - from)
+        recovered.map(|n| n as f64 + 1.0 - from)
     }
-    /// Of the seconds from `from` to before `to`: units beyond quota of those sent, and tries refused with half of the quota.
+
+    /// Returns two shares over the seconds from `from` up to but not including `to`: units beyond quota among those
+    /// sent, and requests refused with half of the quota available among those that clients made.
     pub fn quota_shares(&self, from: usize, to: usize) -> [f64; 2] {
         let sum = self.quota.iter().take(to).skip(from).fold([0_u64; 4], |mut sum, second| {
             sum.iter_mut().zip(second).for_each(|(sum, n)| *sum += u64::from(*n));
@@ -150,48 +155,49 @@
     }
 }
 
-/// Adds to a second's count, however late it comes.
-pub fn count<const N: usize>(seconds: &mut Vec<[u32; N]>, at: Option<usize>, what: usize) {
-    let Some(at) = at else { return };
-    if seconds.len() <= at {
-        seconds.resize(at + 1, [0; N]);
+/// Increments a count of a second and adds seconds up to it as needed; does nothing without a second.
+pub fn count<const N: usize>(seconds: &mut Vec<[u32; N]>, second: Option<usize>, column: usize) {
+    let Some(second) = second else { return };
+    if seconds.len() <= second {
+        seconds.resize(second + 1, [0; N]);
     }
-    seconds[at][what] += 1;
+    seconds[second][column] += 1;
 }
 
-/// Adds work to a second: what is wanted (0), or served in time (1).
-pub fn add(seconds: &mut Vec<[f64; 2]>, at: Option<usize>, what: usize, work_ms: f64) {
-    let Some(at) = at else { return };
-    if seconds.len() <= at {
-        seconds.resize(at + 1, [0.0; 2]);
+/// Adds work in milliseconds to a second: demanded (column 0) or served in time (column 1).
+pub fn add(seconds: &mut Vec<[f64; 2]>, second: Option<usize>, column: usize, work_ms: f64) {
+    let Some(second) = second else { return };
+    if seconds.len() <= second {
+        seconds.resize(second + 1, [0.0; 2]);
     }
-    seconds[at][what] += work_ms;
+    seconds[second][column] += work_ms;
 }
 
-/// Counts attempts at servers that serve nothing, by second and server.
+/// Counts attempts at servers that cannot serve, by second and server.
 #[derive(Default)]
 pub struct FutileAttempts {
     second: Option<usize>,
-    at: BTreeMap<usize, u32>,
+    by_server: BTreeMap<usize, u32>,
 }
 
 impl FutileAttempts {
     pub fn count(&mut self, flow: &mut Vec<[u32; 5]>, second: Option<usize>, server: usize) {
         if self.second != second {
-            (self.second, self.at) = (second, BTreeMap::new());
+            (self.second, self.by_server) = (second, BTreeMap::new());
         }
         count(flow, second, flow::FUTILE);
-        let here = self.at.entry(server).or_default();
-        *here += 1;
+        let at_server = self.by_server.entry(server).or_default();
+        *at_server += 1;
         if let Some(second) = second {
-            flow[second][flow::MAX_FUTILE_PER_SERVER] = flow[second][flow::MAX_FUTILE_PER_SERVER].max(*here);
+            flow[second][flow::MAX_FUTILE_PER_SERVER] =
+                flow[second][flow::MAX_FUTILE_PER_SERVER].max(*at_server);
         }
     }
 }
 
-/// Times up to ten minutes, to three digits.
+/// Creates a histogram of times up to ten minutes in microseconds, with a precision of three digits.
 pub(crate) fn response_time_histogram() -> Histogram<u64> {
-    // The bounds are good ones.
+    // These bounds are valid.
     Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|e| unreachable!("{e}"))
 }
 
--- a/crates/gateway-simulation/src/report/tests.rs
+++ b/crates/gateway-simulation/src/report/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `report`.
+//! Tests of the report's statistics.
 
 use super::*;
 
 #[test]
-fn goodput_is_of_what_was_wanted_or_could_be_done() {
-    // Of 2 s of work wanted a second, the cores do all, then half, then all again.
+fn goodput_is_relative_to_demand_or_capacity() {
+    // The demand is 2 s of work per second; the capacity covers all of it, then half, then all again.
     let report = Report {
         work: vec![[2000.0, 2000.0], [2000.0, 800.0], [2000.0, 1600.0], [2000.0, 1960.0]],
         cores: vec![[3.0, 0.0], [1.0, 0.0], [2.0, 0.0], [3.0, 0.0]],
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn attempts_in_vain_are_counted_by_server_within_each_second() {
-    let (mut vain, mut flow) = (FutileAttempts::default(), Vec::new());
+fn counts_futile_attempts_by_second_and_server() {
+    let (mut futile, mut flow) = (FutileAttempts::default(), Vec::new());
     for (second, server) in [(0, 1), (0, 2), (0, 1), (1, 1), (1, 2)] {
-        vain.count(&mut flow, Some(second), server);
+        futile.count(&mut flow, Some(second), server);
     }
     let counts: Vec<[u32; 2]> =
         flow.iter().map(|f| [f[flow::FUTILE], f[flow::MAX_FUTILE_PER_SERVER]]).collect();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn shares_are_of_the_seconds_that_are_named() {
+fn quota_shares_cover_only_the_given_seconds() {
     let report = Report { quota: vec![[9, 9, 9, 9], [10, 1, 20, 5], [0; 4]], ..Report::default() };
     assert_eq!((report.quota_shares(1, 3), report.quota_shares(2, 3)), ([0.1, 0.25], [0.0, 0.0]));
 }
