--- a/crates/gateway-simulation/src/experiment.rs
+++ b/crates/gateway-simulation/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: a scenario and variants of it, each played with the same seeds. What was played stands in a file, a line
-//! each, so that an experiment that was stopped goes on where it ended.
+//! Experiments: a scenario and its variants, each played with the same seeds. Each play is recorded as a line of a file,
+//! so that an interrupted experiment continues where it stopped.
 
 use crate::page::{Line, Page};
 use crate::report::Report;
@@ -18,10 +18,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// What is shown over time, of a report's second: none where nothing came.
-type Course = fn(&Report, usize) -> Option<f64>;
+/// A value that is plotted over time: its value in a second of a report, `None` if the second has none.
+type TimeSeries = fn(&Report, usize) -> Option<f64>;
 
-const COURSES: [(&str, Course); 4] = [
+const TIME_SERIES: [(&str, TimeSeries); 4] = [
     ("requests that come a second", |r, n| r.seconds.get(n).map(|s| f64::from(s[0]))),
     ("requests served in time a second", |r, n| r.seconds.get(n).map(|s| f64::from(s[1]))),
     ("warm cores of servers that want something new", |r, n| r.cores.get(n).map(|c| c[0])),
@@ -60,7 +60,7 @@
     set: BTreeMap<String, Value>,
 }
 
-/// An experiment that can be played.
+/// A checked experiment.
 pub struct Experiment {
     pub name: String,
     pub question: String,
@@ -68,12 +68,12 @@
     variants: Vec<(String, Scenario)>,
 }
 
-/// A play of an experiment, as a line of its file.
+/// A play of an experiment, recorded as a line of the experiment's file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Play {
     pub variant: String,
     pub seed: u64,
-    /// Of the scenario's text: a line of another scenario does not count.
+    /// CRC-32 of the scenario's text. Plays of a different text are discarded.
     scenario: u32,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<Report>,
@@ -89,7 +89,7 @@
     pub plays: Vec<Play>,
 }
 
-/// Sets a value by its key; false if there is no such place.
+/// Sets the value at a dotted key; returns false if the key does not exist.
 fn set(at: &mut Value, key: &str, to: &Value) -> bool {
     let (first, rest) = key.split_once('.').map_or((key, None), |(first, rest)| (first, Some(rest)));
     let each = |one: &mut Value| match rest {
@@ -100,12 +100,12 @@
         }
     };
     match at {
-        // Each of them, also after one that it does not fit.
+        // Every element is set, even after one that has no such key.
         Value::Array(items) if first == "*" => {
             !items.is_empty() && items.iter_mut().map(each).filter(|fits| !fits).count() == 0
         }
         Value::Array(items) => first.parse().ok().and_then(|n: usize| items.get_mut(n)).is_some_and(each),
-        // A key that the base leaves out is one that the check knows, or it tells so.
+        // Missing keys are added; the check of the scenario rejects unknown ones.
         Value::Object(table) => each(table.entry(first).or_insert_with(|| Value::Object(Default::default()))),
         _ => false,
     }
@@ -113,11 +113,15 @@
 
 impl Experiment {
     /// Reads and checks an experiment and all its variants.
+    ///
+    /// # Errors
+    ///
+    /// If the file, the base scenario or a variant is invalid.
     pub fn load(path: &Path) -> Result<Self, Errors> {
         let words = config::load::<Words>(path, "")?.settings;
         let base = crate::find(&words.base).map_err(|wrong| wrong.in_file(path))?;
         let (mut variants, mut wrong) = (Vec::new(), Vec::new());
-        // Files are named by it.
+        // Output files have this name.
         if !words.name.chars().all(|c| c.is_ascii_alphanumeric() || "-_".contains(c)) {
             wrong.push(format!("name is {:?}: letters, digits, - and _ are wanted", words.name));
         }
@@ -143,68 +147,74 @@
         Ok(Experiment { name: words.name, question: words.question, seeds, variants })
     }
 
-    /// Plays what is not yet in the experiment's file in `folder`. `told` hears how many of how many plays are done.
-    pub fn play(&self, folder: &Path, told: impl Fn(u64, u64) + Sync) -> Result<Results, Errors> {
+    /// Runs the plays that are not yet recorded in the experiment's file in `folder`. Calls `progress` with the number of
+    /// plays done and the total.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read or written.
+    pub fn play(&self, folder: &Path, progress: impl Fn(u64, u64) + Sync) -> Result<Results, Errors> {
         let path = folder.join(format!("{}.jsonl", self.name));
-        let named = |e: std::io::Error| Errors::single(e.to_string()).in_file(&path);
-        fs::create_dir_all(folder).map_err(named)?;
+        let with_path = |e: std::io::Error| Errors::single(e.to_string()).in_file(&path);
+        fs::create_dir_all(folder).map_err(with_path)?;
         let mut plays = match File::open(&path) {
-            Ok(file) => earlier(file).map_err(named)?,
+            Ok(file) => read_plays(file).map_err(with_path)?,
             Err(_) => Vec::new(),
         };
-        let mark = |scenario: &Scenario| crc32fast::hash(scenario.text().as_bytes());
-        let marks: Vec<u32> = self.variants.iter().map(|(_, scenario)| mark(scenario)).collect();
+        let checksum = |scenario: &Scenario| crc32fast::hash(scenario.text().as_bytes());
+        let checksums: Vec<u32> = self.variants.iter().map(|(_, scenario)| checksum(scenario)).collect();
         let wanted = |play: &Play| {
-            let known = self.variants.iter().zip(&marks);
-            let mut known =
-                known.filter(|((name, _), mark)| *name == play.variant && **mark == play.scenario);
-            self.seeds.contains(&play.seed) && known.next().is_some()
+            let matching = self.variants.iter().zip(&checksums);
+            let mut matching =
+                matching.filter(|((name, _), checksum)| *name == play.variant && **checksum == play.scenario);
+            self.seeds.contains(&play.seed) && matching.next().is_some()
         };
         plays.retain(wanted);
         let done = |variant: &str, seed: u64| plays.iter().any(|p| p.variant == variant && p.seed == seed);
-        let mut left = Vec::new();
+        let mut pending = Vec::new();
         for seed in &self.seeds {
-            for ((name, scenario), mark) in self.variants.iter().zip(&marks) {
+            for ((name, scenario), checksum) in self.variants.iter().zip(&checksums) {
                 if !done(name, *seed) {
-                    left.push((name, scenario, *mark, *seed));
+                    pending.push((name, scenario, *checksum, *seed));
                 }
             }
         }
-        let all = (plays.len() + left.len()) as u64;
+        let all = (plays.len() + pending.len()) as u64;
         let count = AtomicU64::new(plays.len() as u64);
-        // What an earlier stop cut off in its middle must not be gone on with.
-        let whole: String = plays.iter().map(worded).collect();
-        fs::write(&path, whole).map_err(named)?;
-        let file = Mutex::new(OpenOptions::new().append(true).open(&path).map_err(named)?);
-        let fresh: Result<Vec<Play>, std::io::Error> = left
+        // Rewrites the file without a line that an earlier interruption truncated, before new lines are appended.
+        let complete_lines: String = plays.iter().map(json_line).collect();
+        fs::write(&path, complete_lines).map_err(with_path)?;
+        let file = Mutex::new(OpenOptions::new().append(true).open(&path).map_err(with_path)?);
+        let new_plays: Result<Vec<Play>, std::io::Error> = pending
             .into_par_iter()
-            .map(|(name, scenario, mark, seed)| {
+            .map(|(name, scenario, checksum, seed)| {
                 let (report, breach) = match play(scenario, seed) {
                     Ok(report) => (Some(report), None),
                     Err(breach) => (None, Some(breach.to_string())),
                 };
-                let play = Play { variant: name.clone(), seed, scenario: mark, report, breach };
-                // A line at once, so that a stop leaves whole ones.
-                file.lock().unwrap_or_else(PoisonError::into_inner).write_all(worded(&play).as_bytes())?;
-                told(count.fetch_add(1, Ordering::Relaxed) + 1, all);
+                let play = Play { variant: name.clone(), seed, scenario: checksum, report, breach };
+                // Each line is written in one call, so that an interruption leaves complete lines.
+                file.lock().unwrap_or_else(PoisonError::into_inner).write_all(json_line(&play).as_bytes())?;
+                progress(count.fetch_add(1, Ordering::Relaxed) + 1, all);
                 Ok(play)
             })
             .collect();
-        plays.extend(fresh.map_err(named)?);
-        let place = |play: &Play| self.variants.iter().position(|(name, _)| *name == play.variant);
-        plays.sort_by_key(|play| (place(play), play.seed));
+        plays.extend(new_plays.map_err(with_path)?);
+        let position = |play: &Play| self.variants.iter().position(|(name, _)| *name == play.variant);
+        plays.sort_by_key(|play| (position(play), play.seed));
         let variants = self.variants.iter().map(|(name, _)| name.clone()).collect();
         Ok(Results { name: self.name.clone(), question: self.question.clone(), variants, plays })
     }
 }
 
-fn worded(play: &Play) -> String {
-    // Texts and numbers are always worded.
+/// Returns the line of a play in the experiment's file.
+fn json_line(play: &Play) -> String {
+    // Serialization of texts and numbers cannot fail.
     serde_json::to_string(play).unwrap_or_default() + "\n"
 }
 
-/// The whole lines of an earlier run.
-fn earlier(file: File) -> std::io::Result<Vec<Play>> {
+/// Reads the complete lines of an earlier run.
+fn read_plays(file: File) -> std::io::Result<Vec<Play>> {
     let mut plays = Vec::new();
     for line in BufReader::new(file).lines() {
         plays.extend(serde_json::from_str::<Play>(&line?).ok());
@@ -222,8 +232,8 @@
         self.plays.iter().filter_map(|play| Some((play.variant.as_str(), play.breach.as_deref()?)))
     }
 
-    /// For each variant and figure: how many plays, the median with the least and the most, and the interval of the paired
-    /// differences to the first variant.
+    /// Returns a row for each variant and figure: the number of plays, the median with minimum and maximum, and the 95%
+    /// confidence interval of the paired differences from the first variant.
     pub fn table(&self) -> Vec<[String; 5]> {
         let mut rows = Vec::new();
         let Some(first) = self.variants.first() else { return rows };
@@ -247,7 +257,7 @@
         rows
     }
 
-    /// Every play as a line of values by commas.
+    /// Returns all plays as CSV.
     fn csv(&self) -> String {
         let quoted = |text: &str| format!("\"{}\"", text.replace('"', "\"\""));
         let names: Vec<String> = FIGURES.iter().map(|(name, _)| quoted(name)).collect();
@@ -263,11 +273,11 @@
     }
 
     fn page(&self) -> Page {
-        let courses = COURSES.iter().map(|(title, course)| {
-            let lines = self.variants.iter().map(|variant| self.course(variant, *course));
+        let time_series = TIME_SERIES.iter().map(|(title, value)| {
+            let lines = self.variants.iter().map(|variant| self.median_series(variant, *value));
             (title.to_string(), "Median over the seeds, by second.".to_string(), lines.collect())
         });
-        let seeds = FIGURES.iter().map(|(title, figure): &Figure| {
+        let by_seed = FIGURES.iter().map(|(title, figure): &Figure| {
             let lines = self.variants.iter().map(|variant| {
                 let each = self.reports(variant).map(|(seed, report)| (seed as f64, figure(report)));
                 (variant.clone(), each.collect())
@@ -286,23 +296,27 @@
                 "difference to the first, 95%",
             ],
             rows: self.table().into_iter().map(Vec::from).collect(),
-            plots: courses.chain(seeds).collect(),
+            plots: time_series.chain(by_seed).collect(),
         }
     }
 
-    /// A variant's median over the seeds, by second.
-    fn course(&self, variant: &str, course: Course) -> Line {
+    /// Returns a variant's median over the seeds, by second.
+    fn median_series(&self, variant: &str, value: TimeSeries) -> Line {
         let reports: Vec<&Report> = self.reports(variant).map(|(_, report)| report).collect();
-        let longest = reports.iter().map(|r| r.seconds.len()).max().unwrap_or(0);
+        let longest = reports.iter().map(|report| report.seconds.len()).max().unwrap_or(0);
         let points = (0..longest).filter_map(|n| {
-            let mut values: Vec<f64> = reports.iter().filter_map(|r| course(r, n)).collect();
+            let mut values: Vec<f64> = reports.iter().filter_map(|report| value(report, n)).collect();
             values.sort_by(f64::total_cmp);
             (!values.is_empty()).then(|| (n as f64, median(&values)))
         });
         (variant.to_string(), points.collect())
     }
 
-    /// Writes table and page beside the plays; the page's place.
+    /// Writes the CSV table and the page to `folder`; returns the page's path.
+    ///
+    /// # Errors
+    ///
+    /// If a plot cannot be drawn or a file cannot be written.
     pub fn write(&self, folder: &Path) -> Result<PathBuf, Errors> {
         let page = folder.join(format!("{}.html", self.name));
         let write = |path: &Path, text: String| {
--- a/crates/gateway-simulation/src/scenario.rs
+++ b/crates/gateway-simulation/src/scenario.rs
@@ -1,5 +1,5 @@
-//! What is played: the fleet, its servers, the network, the clients and the faults, as a TOML file says it. Times are in
-//! seconds or milliseconds, as their names say.
+//! Scenarios: the fleet, servers, network, clients and faults of a play, as described in a TOML file. Times are in seconds
+//! or milliseconds, as the suffixes of their names say.
 
 mod check;
 mod defaults;
@@ -49,57 +49,59 @@
 }
 
 impl Scenario {
-    /// A gateway's zone, by the weights: the zones take turns until each has its part.
+    /// Returns a gateway's zone. Consecutive gateways fill the zones in order according to the weights; without weights
+    /// the zones take turns.
     pub fn zone_of_gateway(&self, gateway: usize) -> usize {
         let (weights, zones) = (&self.gateways.weights, self.zones.len());
         if weights.is_empty() {
             return gateway % zones;
         }
-        let all: u64 = weights.iter().map(|w| u64::from(*w)).sum();
-        let mut place = gateway as u64 % all;
+        let total: u64 = weights.iter().map(|w| u64::from(*w)).sum();
+        let mut position = gateway as u64 % total;
         for (zone, weight) in weights.iter().enumerate() {
-            match place.checked_sub(u64::from(*weight)) {
-                Some(rest) => place = rest,
+            match position.checked_sub(u64::from(*weight)) {
+                Some(rest) => position = rest,
                 None => return zone,
             }
         }
         0
     }
 
-    /// A class, by the classes' shares; `draw` is from 0 to 1.
+    /// Selects a class according to the classes' shares; `draw` is from 0 to 1.
     pub fn class(&self, draw: f64) -> usize {
-        let mut left = draw * self.classes.iter().map(|c| c.share).sum::<f64>();
+        let mut remaining = draw * self.classes.iter().map(|c| c.share).sum::<f64>();
         for (n, class) in self.classes.iter().enumerate() {
-            left -= class.share;
-            if left < 0.0 {
+            remaining -= class.share;
+            if remaining < 0.0 {
                 return n;
             }
         }
         self.classes.len() - 1
     }
 
-    /// Those that a fault strikes, in a random order: gateways, or servers.
+    /// Returns the gateways or servers that a fault affects, in random order.
     pub fn fault_targets(&self, fault: &Fault, rng: &mut impl Rng) -> Vec<usize> {
         let zone = fault.zone.as_ref().and_then(|z| self.zones.iter().position(|name| name == z));
-        let (count, of): (u32, fn(&Self, usize) -> usize) = match fault.kind {
+        let (count, zone_of): (u32, fn(&Self, usize) -> usize) = match fault.kind {
             Trouble::Restart | Trouble::Rolling | Trouble::Pause | Trouble::Hangup => {
                 (self.gateways.count, Self::zone_of_gateway)
             }
             _ => (self.servers.count, Self::zone_of_server),
         };
-        let mut all: Vec<usize> =
-            (0..count as usize).filter(|n| zone.is_none_or(|zone| of(self, *n) == zone)).collect();
-        all.shuffle(rng);
-        all.truncate((all.len() as f64 * fault.share).round() as usize);
-        all
+        let mut targets: Vec<usize> =
+            (0..count as usize).filter(|n| zone.is_none_or(|zone| zone_of(self, *n) == zone)).collect();
+        targets.shuffle(rng);
+        targets.truncate((targets.len() as f64 * fault.share).round() as usize);
+        targets
     }
 
-    /// The first seconds, and the time between two changes of what is wrong: a name, the first second and the one after it.
+    /// Splits the play at 5 s, at the start and end of each fault and 4 s after its end. Returns the name of each phase,
+    /// its first second and the second after its last.
     pub fn phases(&self) -> Vec<(String, usize, usize)> {
         let mut ends: Vec<usize> = vec![5, self.seconds.ceil() as usize];
         for fault in &self.faults {
             ends.extend([fault.at_s, fault.at_s + fault.for_s].map(|at| at.round() as usize));
-            // What a fault leaves behind shows soon after it.
+            // The after-effects of a fault show within a few seconds of its end.
             ends.push((fault.at_s + fault.for_s).round() as usize + 4);
         }
         ends.retain(|end| *end <= self.seconds.ceil() as usize);
@@ -110,7 +112,7 @@
         spans.map(|(a, b)| (format!("{a} to {b} s"), a, *b)).collect()
     }
 
-    /// When the last fault ends, in seconds.
+    /// Returns the end of the last fault, in seconds.
     pub fn last_fault_end_s(&self) -> Option<f64> {
         self.faults.iter().map(|f| f.at_s + f.for_s).reduce(f64::max)
     }
@@ -123,14 +125,14 @@
         (server / self.zones.len() / 4) as u32
     }
 
-    /// The first of the gateways that a customer's requests come through.
+    /// Returns the first of the consecutive gateways that receive a customer's requests.
     pub fn first_gateway(&self, customer: u32) -> usize {
         (customer as usize).wrapping_mul(7919) % self.gateways.count as usize
     }
 
-    /// The scenario as a file that is read again as it is.
+    /// Returns the scenario as TOML, which parses to the same scenario.
     pub fn text(&self) -> String {
-        // Names, numbers and lists are always worded.
+        // Serialization of names, numbers and lists cannot fail.
         toml::to_string(self).unwrap_or_default()
     }
 }
--- a/crates/gateway-simulation/src/scenario/check.rs
+++ b/crates/gateway-simulation/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! Reads scenarios, and tells all that is wrong with one.
+//! Reads and checks scenarios; reports all errors of a scenario at once.
 
 use crate::link::Link;
 use crate::scenario::{Fault, Scenario, Trouble};
@@ -7,17 +7,22 @@
 use std::path::Path;
 
 impl Scenario {
+    /// Reads and checks a scenario file.
     pub fn load(path: &Path) -> Result<Self, Errors> {
         let text = config::read(path)?;
         Self::parse(&text).map_err(|wrong| wrong.in_file(path))
     }
 
-    /// Reads and checks a scenario; all that is wrong with it is told.
+    /// Parses and checks a scenario.
+    ///
+    /// # Errors
+    ///
+    /// All errors of the scenario.
     pub fn parse(text: &[u8]) -> Result<Self, Errors> {
         Self::from_value(FileFormat::Toml.parse(text)?)
     }
 
-    /// As [`Scenario::parse`], of what a text says.
+    /// Checks a scenario as [`Scenario::parse`] does, from a value that was already parsed.
     pub fn from_value(value: Value) -> Result<Self, Errors> {
         let scenario = config::from_value::<Scenario>(value)?.settings;
         let mut wrong = Vec::new();
@@ -41,13 +46,13 @@
         if fault.link.is_some() && fault.zone.is_some() {
             wrong.push(format!("faults[{n}].link stands beside zone: one of them is wanted"));
         }
-        let links = matches!(fault.kind, Trouble::Cut | Trouble::Reset | Trouble::Delay);
+        let needs_link = matches!(fault.kind, Trouble::Cut | Trouble::Reset | Trouble::Delay);
         match Link::of(fault, self) {
             Some(Err(what)) => wrong.push(format!("faults[{n}].link: {what}")),
-            None if links => {
+            None if needs_link => {
                 wrong.push(format!("faults[{n}].link is missing: a cut has a link, or a zone"));
             }
-            Some(Ok(_)) if !links && fault.link.is_some() => {
+            Some(Ok(_)) if !needs_link && fault.link.is_some() => {
                 wrong.push(format!("faults[{n}].link: {:?} strikes no link", fault.kind));
             }
             _ => {}
--- a/crates/gateway-simulation/src/scenario/defaults.rs
+++ b/crates/gateway-simulation/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! What several parts of a scenario say if a file does not.
+//! Default values that several parts of a scenario share.
 
 pub fn one() -> f64 {
     1.0
--- a/crates/gateway-simulation/src/scenario/fault.rs
+++ b/crates/gateway-simulation/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a play, and when.
+//! The faults of a scenario and their times.
 
 use crate::scenario::defaults::one;
 use schemars::JsonSchema;
--- a/crates/gateway-simulation/src/scenario/load.rs
+++ b/crates/gateway-simulation/src/scenario/load.rs
@@ -1,4 +1,4 @@
-//! What clients ask for: classes of requests, plans with their customers, and how clients come again.
+//! The load: classes of requests, plans with their customers, and the clients' retries.
 
 use crate::scenario::defaults::one;
 use crate::units::{ns, MS};
@@ -63,7 +63,7 @@
 }
 
 impl Kind {
-    /// The work of one request on a warm core.
+    /// Draws the work of one request on a warm core, in nanoseconds.
     pub fn work(&self, rng: &mut impl Rng) -> Time {
         let draw: f64 = match self.spread {
             Spread::Fixed => 1.0,
@@ -139,15 +139,16 @@
 }
 
 impl Clients {
-    /// After how long one that was not served asks again: never if it has asked often enough.
+    /// Draws the delay in nanoseconds before a client that was not served retries; `None` if the client has used all its
+    /// retries. `advice` is the advised delay in nanoseconds, 0 if none was given.
     pub fn retry_delay(&self, repeats: u32, advice: Time, rng: &mut impl Rng) -> Option<Time> {
         if repeats >= self.repeats {
             return None;
         }
-        let gap: f64 = Exp1.sample(rng);
-        let after = ns(self.pause_ms * gap, MS);
-        let heeds = advice > 0 && rng.random::<f64>() < self.heeds;
-        Some(if heeds { after.max(advice) } else { after }.max(1))
+        let draw: f64 = Exp1.sample(rng);
+        let delay = ns(self.pause_ms * draw, MS);
+        let heeds_advice = advice > 0 && rng.random::<f64>() < self.heeds;
+        Some(if heeds_advice { delay.max(advice) } else { delay }.max(1))
     }
 }
 
--- a/crates/gateway-simulation/src/search.rs
+++ b/crates/gateway-simulation/src/search.rs
@@ -1,4 +1,4 @@
-//! Looks for a rule that is broken: random faults on top of a scenario, and the smallest ones that still break it.
+//! Searches for violations of a rule: plays a scenario with random faults, and shrinks a scenario that violates a rule.
 
 use crate::oracle::{Breach, Rule};
 use crate::scenario::{Fault, Scenario, Trouble};
@@ -8,9 +8,10 @@
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
 
-/// The most faults of a script.
-const MOST: usize = 8;
-const KINDS: [Trouble; 12] = [
+/// The maximum number of random faults in a scenario.
+const MAX_FAULTS: usize = 8;
+/// The kinds of faults that are drawn.
+const FAULT_KINDS: [Trouble; 12] = [
     Trouble::Kill,
     Trouble::Silent,
     Trouble::Slow,
@@ -25,7 +26,7 @@
     Trouble::MeterDown,
 ];
 
-/// A scenario in which a rule is broken, with the seed of the play.
+/// A scenario that violates a rule, with the seed of the play.
 #[derive(Debug)]
 pub struct Found {
     pub scenario: Scenario,
@@ -33,22 +34,22 @@
     pub breach: Box<Breach>,
 }
 
-/// The scenario with faults that the seed draws in place of its own. They may overlap.
-pub fn script(base: &Scenario, seed: u64) -> Scenario {
+/// Returns the scenario with its faults replaced by faults drawn with the seed. The faults may overlap.
+pub fn with_random_faults(base: &Scenario, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut scenario = base.clone();
     let seconds = base.seconds;
-    let count = rng.random_range(1..=MOST);
+    let count = rng.random_range(1..=MAX_FAULTS);
     scenario.faults = (0..count)
         .map(|_| {
-            let kind = *KINDS.choose(&mut rng).unwrap_or(&Trouble::Kill);
+            let kind = *FAULT_KINDS.choose(&mut rng).unwrap_or(&Trouble::Kill);
             let zone =
                 base.zones.choose(&mut rng).filter(|_| kind == Trouble::Cut || rng.random::<f64>() < 0.5);
-            // One way only now and then: from the zone's gateways to another zone's servers, or back.
-            let to =
+            // Some cuts affect only one direction: from the gateways of one zone to the servers of another, or back.
+            let target_zone =
                 base.zones.choose(&mut rng).filter(|_| kind == Trouble::Cut && rng.random::<f64>() < 0.3);
-            let link = zone.zip(to).map(|(zone, to)| format!("zone {zone} -> zone {to}"));
-            // To a tenth, so that what is found can be read.
+            let link = zone.zip(target_zone).map(|(zone, target)| format!("zone {zone} -> zone {target}"));
+            // Values are rounded to tenths, so that the scenario found is easy to read.
             let mut tenths = |least: f64, most: f64| (rng.random_range(least..=most) * 10.0).round() / 10.0;
             Fault {
                 kind,
@@ -68,27 +69,28 @@
     scenario
 }
 
-/// Plays so many scripts, and makes the first that breaks a rule as small as it can. The same scripts for the same
-/// first seed, on any number of threads.
+/// Plays `count` scenarios with random faults and shrinks the first one that violates a rule. The scenarios depend only
+/// on the first seed, not on the number of threads.
 pub fn search(base: &Scenario, first: u64, count: u64) -> Option<Found> {
-    let broken = |seed: u64| play(&script(base, seed), seed).err().map(|breach| (seed, breach));
-    let (seed, breach) = (first..first.saturating_add(count)).into_par_iter().find_map_first(broken)?;
-    Some(shrink(script(base, seed), seed, breach, |scenario, seed| play(scenario, seed).err()))
+    let violation =
+        |seed: u64| play(&with_random_faults(base, seed), seed).err().map(|breach| (seed, breach));
+    let (seed, breach) = (first..first.saturating_add(count)).into_par_iter().find_map_first(violation)?;
+    Some(shrink(with_random_faults(base, seed), seed, breach, |scenario, seed| play(scenario, seed).err()))
 }
 
-/// Takes away and shortens what it can while the same rule is broken.
+/// Removes and shortens faults, and shortens the play, while the same rule is violated.
 fn shrink(
     scenario: Scenario,
     seed: u64,
     breach: Box<Breach>,
-    broken: impl Fn(&Scenario, u64) -> Option<Box<Breach>>,
+    violation: impl Fn(&Scenario, u64) -> Option<Box<Breach>>,
 ) -> Found {
     let mut found = Found { scenario, seed, breach };
     let rule: Rule = found.breach.rule;
     loop {
-        let smaller = smaller(&found.scenario);
-        let next = smaller.into_iter().find_map(|scenario| {
-            let breach = broken(&scenario, seed).filter(|breach| breach.rule == rule)?;
+        let candidates = reductions(&found.scenario);
+        let next = candidates.into_iter().find_map(|scenario| {
+            let breach = violation(&scenario, seed).filter(|breach| breach.rule == rule)?;
             Some((scenario, breach))
         });
         match next {
@@ -98,31 +100,31 @@
     }
 }
 
-/// What is a little less than the scenario, the largest steps first.
-fn smaller(scenario: &Scenario) -> Vec<Scenario> {
-    let mut all = Vec::new();
-    let mut with = |change: &dyn Fn(&mut Scenario)| {
-        let mut less = scenario.clone();
-        change(&mut less);
-        all.push(less);
+/// Returns scenarios that are slightly smaller than the given one, the largest reductions first.
+fn reductions(scenario: &Scenario) -> Vec<Scenario> {
+    let mut candidates = Vec::new();
+    let mut add = |change: &dyn Fn(&mut Scenario)| {
+        let mut reduced = scenario.clone();
+        change(&mut reduced);
+        candidates.push(reduced);
     };
     for n in 0..scenario.faults.len() {
-        with(&|s| drop(s.faults.remove(n)));
+        add(&|s| drop(s.faults.remove(n)));
     }
     for (n, fault) in scenario.faults.iter().enumerate() {
         if fault.for_s >= 0.4 {
-            with(&|s| s.faults[n].for_s = (s.faults[n].for_s * 5.0).round() / 10.0);
+            add(&|s| s.faults[n].for_s = (s.faults[n].for_s * 5.0).round() / 10.0);
         }
         if fault.share >= 0.2 {
-            with(&|s| s.faults[n].share = (s.faults[n].share * 5.0).round() / 10.0);
+            add(&|s| s.faults[n].share = (s.faults[n].share * 5.0).round() / 10.0);
         }
     }
-    let last = scenario.faults.iter().map(|f| f.at_s + f.for_s).fold(0.0, f64::max) + 5.0;
-    if last < scenario.seconds {
-        with(&|s| s.seconds = last.max(s.uncounted_s + 1.0));
-        all.retain(|s| s.seconds <= scenario.seconds);
+    let end_s = scenario.faults.iter().map(|f| f.at_s + f.for_s).fold(0.0, f64::max) + 5.0;
+    if end_s < scenario.seconds {
+        add(&|s| s.seconds = end_s.max(s.uncounted_s + 1.0));
+        candidates.retain(|s| s.seconds <= scenario.seconds);
     }
-    all
+    candidates
 }
 
 #[cfg(test)]
--- a/crates/gateway-simulation/tests/pinned.rs
+++ b/crates/gateway-simulation/tests/pinned.rs
@@ -4,7 +4,7 @@
 //! A change that is meant to change nothing leaves the file as it is. One that changes a decision on purpose writes the
 //! file anew and says so in its commit: `WRITE_REPORTS=1 cargo test -p gateway-simulation --test pinned`.
 
-use gateway_simulation::search::script;
+use gateway_simulation::search::with_random_faults;
 use gateway_simulation::{play, Scenario, CATALOGUE};
 use rayon::prelude::*;
 use std::path::Path;
@@ -50,7 +50,7 @@
         .enumerate()
         .flat_map(|(position, (name, text))| {
             let plain = small(text);
-            let faulty = script(&plain, SEED + position as u64);
+            let faulty = with_random_faults(&plain, SEED + position as u64);
             [((*name).to_owned(), plain), (format!("{name} with random faults"), faulty)]
         })
         .collect();
