--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -382,7 +382,7 @@
             Trouble::Kill => struck.iter().for_each(|n| self.server_up(*n)),
             Trouble::Silent => struck.iter().for_each(|n| net.server(*n, |s| s.silent = false)),
             Trouble::Slow => {
-                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0)
+                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0);
             }
             Trouble::Fail => struck.iter().for_each(|n| world.stand_ins[*n].fails.set(0.0)),
             Trouble::Refuse => {
