--- a/crates/gateway-simulation/src/experiment.rs
+++ b/crates/gateway-simulation/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: a scenario and its variants, each played with the same seeds. Each play is recorded as a line of a file,
-//! so that an interrupted experiment continues where it stopped.
+//! Experiments: a scenario and its variants, each played with the same seeds. Each play is recorded as a line
+//! of a file, so that an interrupted experiment continues where it stopped.
 
 use crate::page::{Line, Page};
 use crate::report::Report;
@@ -147,8 +147,8 @@
         Ok(Experiment { name: words.name, question: words.question, seeds, variants })
     }
 
-    /// Runs the plays that are not yet recorded in the experiment's file in `folder`. Calls `progress` with the number of
-    /// plays done and the total.
+    /// Runs the plays that are not yet recorded in the experiment's file in `folder`. Calls `progress` with
+    /// the number of plays done and the total.
     ///
     /// # Errors
     ///
@@ -181,7 +181,8 @@
         }
         let all = (plays.len() + pending.len()) as u64;
         let count = AtomicU64::new(plays.len() as u64);
-        // Rewrites the file without a line that an earlier interruption truncated, before new lines are appended.
+        // Rewrites the file without a line that an earlier interruption truncated, before new lines are
+        // appended.
         let complete_lines: String = plays.iter().map(json_line).collect();
         fs::write(&path, complete_lines).map_err(with_path)?;
         let file = Mutex::new(OpenOptions::new().append(true).open(&path).map_err(with_path)?);
@@ -232,8 +233,8 @@
         self.plays.iter().filter_map(|play| Some((play.variant.as_str(), play.breach.as_deref()?)))
     }
 
-    /// Returns a row for each variant and figure: the number of plays, the median with minimum and maximum, and the 95%
-    /// confidence interval of the paired differences from the first variant.
+    /// Returns a row for each variant and figure: the number of plays, the median with minimum and maximum,
+    /// and the 95% confidence interval of the paired differences from the first variant.
     pub fn table(&self) -> Vec<[String; 5]> {
         let mut rows = Vec::new();
         let Some(first) = self.variants.first() else { return rows };
--- a/crates/gateway-simulation/src/lib.rs
+++ b/crates/gateway-simulation/src/lib.rs
@@ -1,10 +1,10 @@
-//! Discrete-event simulation of the systems around gateways: clients, servers, network and faults. The gateways run
-//! their real decision logic.
+//! Discrete-event simulation of the systems around gateways: clients, servers, network and faults. The
+//! gateways run their real decision logic.
 //!
-//! [`play`] runs a [`Scenario`] once with a seed and returns a [`Report`], or the first [`Breach`] of a rule with its
-//! trace. The same seed gives the same report, bit for bit: a play runs on one thread, events of the same time run in
-//! the order in which they were scheduled, and nothing depends on the iteration order of a hash table. Several plays
-//! run in parallel.
+//! [`play`] runs a [`Scenario`] once with a seed and returns a [`Report`], or the first [`Breach`] of a rule
+//! with its trace. The same seed gives the same report, bit for bit: a play runs on one thread, events of the
+//! same time run in the order in which they were scheduled, and nothing depends on the iteration order of a
+//! hash table. Several plays run in parallel.
 #![forbid(unsafe_code)]
 
 pub mod customer;
@@ -30,7 +30,8 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Plays a scenario with each seed, in parallel on all processors. Returns the results in the order of the seeds.
+/// Plays a scenario with each seed, in parallel on all processors. Returns the results in the order of the
+/// seeds.
 pub fn play_all(scenario: &Scenario, seeds: &[u64]) -> Vec<Result<Report, Box<Breach>>> {
     seeds.par_iter().map(|seed| play(scenario, *seed)).collect()
 }
--- a/crates/gateway-simulation/src/link.rs
+++ b/crates/gateway-simulation/src/link.rs
@@ -1,9 +1,9 @@
 //! The network links between gateways, servers and the server list that a fault affects.
 //!
-//! Example: `zone a except n3 -> zone b` affects traffic from gateways and servers of zone a, except gateway n3, to those
-//! of zone b. The arrow gives the affected direction; `<->` affects both. A side is a comma-separated list of `all`,
-//! `gateways`, `servers`, `list`, `zone NAME`, `30% of gateways`, a gateway (`n0`) or a server (`s-0`). After `except`
-//! follows a list of exceptions in the same form.
+//! Example: `zone a except n3 -> zone b` affects traffic from gateways and servers of zone a, except gateway
+//! n3, to those of zone b. The arrow gives the affected direction; `<->` affects both. A side is a
+//! comma-separated list of `all`, `gateways`, `servers`, `list`, `zone NAME`, `30% of gateways`, a gateway
+//! (`n0`) or a server (`s-0`). After `except` follows a list of exceptions in the same form.
 
 use crate::scenario::{Fault, Scenario};
 use rand::seq::SliceRandom;
--- a/crates/gateway-simulation/src/oracle.rs
+++ b/crates/gateway-simulation/src/oracle.rs
@@ -118,9 +118,9 @@
         self.requests.insert(id, request);
     }
 
-    /// Records and checks an attempt. `location` is the server's zone and cell. `announced` is the server's last
-    /// announcement to the gateway: `None` if the server was never listed, else the time since which the server must
-    /// get no new attempts, if any.
+    /// Records and checks an attempt. `location` is the server's zone and cell. `announced` is the server's
+    /// last announcement to the gateway: `None` if the server was never listed, else the time since which the
+    /// server must get no new attempts, if any.
     pub fn attempt_sent(
         &mut self,
         id: u64,
@@ -269,8 +269,8 @@
         }
     }
 
-    /// Takes the units of a request's first attempt from the customer's ceiling, which refills by `rate` units a second
-    /// up to `burst`. The ceiling may fall to `slack` units below 0.
+    /// Takes the units of a request's first attempt from the customer's ceiling, which refills by `rate`
+    /// units a second up to `burst`. The ceiling may fall to `slack` units below 0.
     pub fn ceiling_units_taken(
         &mut self,
         customer: u32,
@@ -288,8 +288,8 @@
         Ok(())
     }
 
-    /// Checks the collapse of a cold server. `informed_share` is the share of the server's work since its start that came
-    /// from gateways that knew of the start.
+    /// Checks the collapse of a cold server. `informed_share` is the share of the server's work since its
+    /// start that came from gateways that knew of the start.
     pub fn server_collapsed(server: &str, informed_share: f64, now: Time) -> CheckResult {
         if informed_share >= 2.0 / 3.0 {
             let part = informed_share * 100.0;
--- a/crates/gateway-simulation/src/report.rs
+++ b/crates/gateway-simulation/src/report.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The figures of one play. Only requests that arrive after the uncounted start are counted; a client's retry is a
-/// new request.
+/// The figures of one play. Only requests that arrive after the uncounted start are counted; a client's retry
+/// is a new request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub scenario: String,
@@ -26,11 +26,12 @@
     pub beyond: u64,
     /// Requests that their client abandoned or that were lost with their gateway.
     pub gone: u64,
-    /// Value of the requests within quota that were served in time, as a share of the value of all requests within
-    /// quota.
+    /// Value of the requests within quota that were served in time, as a share of the value of all requests
+    /// within quota.
     pub worth: f64,
     pub attempts: u64,
-    /// Attempts that ended without an answer in time: the server was silent, or no connection was established.
+    /// Attempts that ended without an answer in time: the server was silent, or no connection was
+    /// established.
     pub late_ends: u64,
     /// Attempts that servers rejected.
     pub turned_away: u64,
@@ -47,18 +48,18 @@
     pub p99_ms: f64,
     /// By second: requests that arrived, and those of them that were served in time.
     pub seconds: Vec<[u32; 2]>,
-    /// By second: requests that were sent for the first time, those of them beyond quota, requests and retries that
-    /// clients made, and those refused and never sent although half of the quota was available.
+    /// By second: requests that were sent for the first time, those of them beyond quota, requests and
+    /// retries that clients made, and those refused and never sent although half of the quota was available.
     #[serde(default)]
     pub quota: Vec<[u32; 4]>,
-    /// In the middle of each second: the capacity of all servers that accept new requests, in warm cores, and the part
-    /// of it in use.
+    /// In the middle of each second: the capacity of all servers that accept new requests, in warm cores, and
+    /// the part of it in use.
     pub cores: Vec<[f64; 2]>,
     /// By second: counts at the positions that [`flow`] names.
     #[serde(default)]
     pub flow: Vec<[u32; 5]>,
-    /// By second, in milliseconds of mean work: requests within quota without retries, and the requests of that second
-    /// that were served in time.
+    /// By second, in milliseconds of mean work: requests within quota without retries, and the requests of
+    /// that second that were served in time.
     #[serde(default)]
     pub work: Vec<[f64; 2]>,
     /// Simulated events, including those of the uncounted start.
@@ -81,13 +82,15 @@
 /// Statistics of a fleet over some seconds, compared with the capacity of its servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetStats {
-    /// Work served in time as a share of the possible work: the demand, or the servers' capacity where that is less.
+    /// Work served in time as a share of the possible work: the demand, or the servers' capacity where that
+    /// is less.
     pub goodput: f64,
     /// Attempts per first attempt.
     pub attempts: f64,
     /// Rejected attempts per second.
     pub rejected_per_s: f64,
-    /// Attempts per second at servers that cannot serve, and the maximum of them at one server within a second.
+    /// Attempts per second at servers that cannot serve, and the maximum of them at one server within a
+    /// second.
     pub futile_per_s: f64,
     pub max_futile_per_server: u32,
 }
@@ -132,8 +135,8 @@
         }
     }
 
-    /// Returns the time from `from`, in seconds, until the end of the first second in which 95% of the possible work is
-    /// served in time; `None` if there is no such second.
+    /// Returns the time from `from`, in seconds, until the end of the first second in which 95% of the
+    /// possible work is served in time; `None` if there is no such second.
     pub fn recovery_time_s(&self, from: f64) -> Option<f64> {
         let mut seconds = from.ceil() as usize..self.work.len().min(self.cores.len());
         let recovered = seconds.find(|n| {
@@ -143,8 +146,8 @@
         recovered.map(|n| n as f64 + 1.0 - from)
     }
 
-    /// Returns two shares over the seconds from `from` up to but not including `to`: units beyond quota among those
-    /// sent, and requests refused with half of the quota available among those that clients made.
+    /// Returns two shares over the seconds from `from` up to but not including `to`: units beyond quota among
+    /// those sent, and requests refused with half of the quota available among those that clients made.
     pub fn quota_shares(&self, from: usize, to: usize) -> [f64; 2] {
         let sum = self.quota.iter().take(to).skip(from).fold([0_u64; 4], |mut sum, second| {
             sum.iter_mut().zip(second).for_each(|(sum, n)| *sum += u64::from(*n));
--- a/crates/gateway-simulation/src/scenario.rs
+++ b/crates/gateway-simulation/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: the fleet, servers, network, clients and faults of a play, as described in a TOML file. Times are in seconds
-//! or milliseconds, as the suffixes of their names say.
+//! Scenarios: the fleet, servers, network, clients and faults of a play, as described in a TOML file. Times
+//! are in seconds or milliseconds, as the suffixes of their names say.
 
 mod check;
 mod defaults;
@@ -49,8 +49,8 @@
 }
 
 impl Scenario {
-    /// Returns a gateway's zone. Consecutive gateways fill the zones in order according to the weights; without weights
-    /// the zones take turns.
+    /// Returns a gateway's zone. Consecutive gateways fill the zones in order according to the weights;
+    /// without weights the zones take turns.
     pub fn zone_of_gateway(&self, gateway: usize) -> usize {
         let (weights, zones) = (&self.gateways.weights, self.zones.len());
         if weights.is_empty() {
@@ -95,8 +95,8 @@
         targets
     }
 
-    /// Splits the play at 5 s, at the start and end of each fault and 4 s after its end. Returns the name of each phase,
-    /// its first second and the second after its last.
+    /// Splits the play at 5 s, at the start and end of each fault and 4 s after its end. Returns the name of
+    /// each phase, its first second and the second after its last.
     pub fn phases(&self) -> Vec<(String, usize, usize)> {
         let mut ends: Vec<usize> = vec![5, self.seconds.ceil() as usize];
         for fault in &self.faults {
--- a/crates/gateway-simulation/src/scenario/load.rs
+++ b/crates/gateway-simulation/src/scenario/load.rs
@@ -139,8 +139,8 @@
 }
 
 impl Clients {
-    /// Draws the delay in nanoseconds before a client that was not served retries; `None` if the client has used all its
-    /// retries. `advice` is the advised delay in nanoseconds, 0 if none was given.
+    /// Draws the delay in nanoseconds before a client that was not served retries; `None` if the client has
+    /// used all its retries. `advice` is the advised delay in nanoseconds, 0 if none was given.
     pub fn retry_delay(&self, repeats: u32, advice: Time, rng: &mut impl Rng) -> Option<Time> {
         if repeats >= self.repeats {
             return None;
--- a/crates/gateway-simulation/src/search.rs
+++ b/crates/gateway-simulation/src/search.rs
@@ -1,4 +1,5 @@
-//! Searches for violations of a rule: plays a scenario with random faults, and shrinks a scenario that violates a rule.
+//! Searches for violations of a rule: plays a scenario with random faults, and shrinks a scenario that
+//! violates a rule.
 
 use crate::oracle::{Breach, Rule};
 use crate::scenario::{Fault, Scenario, Trouble};
@@ -45,7 +46,8 @@
             let kind = *FAULT_KINDS.choose(&mut rng).unwrap_or(&Trouble::Kill);
             let zone =
                 base.zones.choose(&mut rng).filter(|_| kind == Trouble::Cut || rng.random::<f64>() < 0.5);
-            // Some cuts affect only one direction: from the gateways of one zone to the servers of another, or back.
+            // Some cuts affect only one direction: from the gateways of one zone to the servers of another,
+            // or back.
             let target_zone =
                 base.zones.choose(&mut rng).filter(|_| kind == Trouble::Cut && rng.random::<f64>() < 0.3);
             let link = zone.zip(target_zone).map(|(zone, target)| format!("zone {zone} -> zone {target}"));
@@ -69,8 +71,8 @@
     scenario
 }
 
-/// Plays `count` scenarios with random faults and shrinks the first one that violates a rule. The scenarios depend only
-/// on the first seed, not on the number of threads.
+/// Plays `count` scenarios with random faults and shrinks the first one that violates a rule. The scenarios
+/// depend only on the first seed, not on the number of threads.
 pub fn search(base: &Scenario, first: u64, count: u64) -> Option<Found> {
     let violation =
         |seed: u64| play(&with_random_faults(base, seed), seed).err().map(|breach| (seed, breach));
--- a/crates/gateway-simulation/src/server.rs
+++ b/crates/gateway-simulation/src/server.rs
@@ -1,4 +1,5 @@
-//! Model of a server: cores, a bounded queue, warm-up after a cold start, and collapse under overload while cold.
+//! Model of a server: cores, a bounded queue, warm-up after a cold start, and collapse under overload while
+//! cold.
 
 use gateway_decisions::Time;
 use std::collections::VecDeque;
@@ -28,7 +29,8 @@
     warm_up_from: f64,
     overload_tolerance: Time,
     overload_multiple: f64,
-    /// Recent work in nanoseconds beyond `overload_multiple` times what the server could do since that work arrived.
+    /// Recent work in nanoseconds beyond `overload_multiple` times what the server could do since that work
+    /// arrived.
     excess_work: f64,
     excess_updated: Time,
     /// The server collapsed under overload while cold and serves nothing until it is restarted.
@@ -49,8 +51,8 @@
     pub warm_up_time: Time,
     /// Share of the full capacity at a start.
     pub warm_up_from: f64,
-    /// A cold server collapses when the work that arrives within this time exceeds `overload_multiple` times the
-    /// server's capacity.
+    /// A cold server collapses when the work that arrives within this time exceeds `overload_multiple` times
+    /// the server's capacity.
     pub overload_tolerance: Time,
     pub overload_multiple: f64,
 }
@@ -83,7 +85,8 @@
         (self.started, self.collapsed, self.draining) = (Some(now), false, false);
     }
 
-    /// Returns the share of the full capacity that the server has now; the share grows linearly after a cold start.
+    /// Returns the share of the full capacity that the server has now; the share grows linearly after a cold
+    /// start.
     pub fn warmth(&self, now: Time) -> f64 {
         match self.started {
             Some(at) if now < at + self.warm_up_time => {
@@ -108,8 +111,8 @@
         self.busy as usize + self.queue.len()
     }
 
-    /// Starts, queues or rejects an attempt whose work on a warm core takes `work` nanoseconds. Rejected attempts
-    /// count towards overload too.
+    /// Starts, queues or rejects an attempt whose work on a warm core takes `work` nanoseconds. Rejected
+    /// attempts count towards overload too.
     pub fn admit(&mut self, attempt: u64, work: Time, now: Time) -> Admission {
         self.record_load(work, now);
         if self.collapsed || self.draining || self.refusing {
@@ -126,7 +129,8 @@
         Admission::Queued
     }
 
-    /// Completes one attempt and starts the one that has waited longest. Returns that attempt and its end time.
+    /// Completes one attempt and starts the one that has waited longest. Returns that attempt and its end
+    /// time.
     pub fn complete(&mut self, now: Time) -> Option<(u64, Time)> {
         match self.queue.pop_front() {
             Some((attempt, work)) => Some((attempt, now + self.service_time(work, now))),
@@ -141,8 +145,8 @@
         (work as f64 * self.slowdown / self.warmth(now)) as Time
     }
 
-    /// Adds arriving work. A cold server tolerates `overload_multiple` times its capacity within any span of `overload_tolerance` and
-    /// collapses beyond it.
+    /// Adds arriving work. A cold server tolerates `overload_multiple` times its capacity within any span of
+    /// `overload_tolerance` and collapses beyond it.
     fn record_load(&mut self, work: Time, now: Time) {
         let warmth = self.warmth(now);
         let tolerated = self.overload_multiple * warmth * f64::from(self.cores);
--- a/crates/gateway-simulation/src/stats.rs
+++ b/crates/gateway-simulation/src/stats.rs
@@ -41,11 +41,11 @@
     }
 }
 
-/// Returns the 95% confidence interval of the mean of paired differences by Student's t-distribution; `None` for fewer
-/// than two differences.
+/// Returns the 95% confidence interval of the mean of paired differences by Student's t-distribution; `None`
+/// for fewer than two differences.
 pub fn interval(differences: &[f64]) -> Option<(f64, f64)> {
-    /// The 97.5% quantiles by degrees of freedom. Beyond the last one, 2.0 is used: the quantile of the normal
-    /// distribution, rounded up.
+    /// The 97.5% quantiles by degrees of freedom. Beyond the last one, 2.0 is used: the quantile of the
+    /// normal distribution, rounded up.
     const T_QUANTILES: [f64; 30] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
         2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048,
--- a/crates/gateway-simulation/src/world.rs
+++ b/crates/gateway-simulation/src/world.rs
@@ -1,5 +1,5 @@
-//! One play as a discrete-event simulation: events run in the order of their time, and events of the same time in the
-//! order in which they were scheduled.
+//! One play as a discrete-event simulation: events run in the order of their time, and events of the same
+//! time in the order in which they were scheduled.
 
 mod attempts;
 mod clients;
@@ -89,9 +89,10 @@
 
 impl<'a> World<'a> {
     fn new(scenario: &'a Scenario, seed: u64, new_decider: DeciderFactory<'a>) -> Self {
-        let build = scenario.server_parameters();
+        let parameters = scenario.server_parameters();
         let count = scenario.servers.count as usize;
-        let servers: Vec<ServerState> = (0..count).map(|n| ServerState::new(scenario, n, build)).collect();
+        let servers: Vec<ServerState> =
+            (0..count).map(|n| ServerState::new(scenario, n, parameters)).collect();
         let settings = scenario.settings(0, 0);
         let allowed =
             settings.classes.iter().map(|c| Allowed { effect: c.effect, group: c.group, key_ttl: c.key_ttl });
@@ -214,17 +215,17 @@
             }
             ScheduledEvent::ClientRetry { client_request } => self.receive_request(client_request),
             ScheduledEvent::DecisionRound { gateway, incarnation } => {
-                self.decision_round(gateway, incarnation)?
+                self.decision_round(gateway, incarnation)?;
             }
             ScheduledEvent::Timer { gateway, incarnation, token } => {
-                self.push_event(gateway, incarnation, Event::Timer { token })
+                self.push_event(gateway, incarnation, Event::Timer { token });
             }
             ScheduledEvent::AttemptArrival { attempt } => self.attempt_arrives(attempt)?,
             ScheduledEvent::WorkDone { server, incarnation, attempt } => {
-                self.work_done(server, incarnation, attempt)
+                self.work_done(server, incarnation, attempt);
             }
             ScheduledEvent::AttemptResult { attempt, ending, via } => {
-                self.attempt_result(attempt, ending, via)?
+                self.attempt_result(attempt, ending, via)?;
             }
             ScheduledEvent::AttemptExpiry { attempt } => self.attempt_expires(attempt)?,
             ScheduledEvent::ClientLeaves { request } => self.client_leaves(request),
--- a/crates/gateway-simulation/src/world/attempts.rs
+++ b/crates/gateway-simulation/src/world/attempts.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Returns the one-way latency between a gateway and a server, towards the server if `to_server`, with the
-    /// delays of active faults.
+    /// Returns the one-way latency between a gateway and a server, towards the server if `to_server`, with
+    /// the delays of active faults.
     pub(super) fn travel_time(&self, gateway: usize, server: usize, to_server: bool) -> Time {
         let network = &self.scenario.network;
         let near = self.gateways[gateway].zone == self.servers[server].zone;
@@ -210,7 +210,7 @@
         let (server, incarnation) = (n, self.servers[n].incarnation);
         match admission {
             Admission::Started(at) => {
-                self.schedule(at, ScheduledEvent::WorkDone { server, incarnation, attempt: key })
+                self.schedule(at, ScheduledEvent::WorkDone { server, incarnation, attempt: key });
             }
             Admission::Queued => {}
             Admission::Rejected => {
--- a/crates/gateway-simulation/src/world/list.rs
+++ b/crates/gateway-simulation/src/world/list.rs
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Schedules the list update for a changed server at each gateway: after a random delay, or after the end of
-    /// a list outage.
+    /// Schedules the list update for a changed server at each gateway: after a random delay, or after the end
+    /// of a list outage.
     pub(super) fn announce_server(&mut self, server: usize) {
         let (health, started) = (self.servers[server].health, self.servers[server].started);
         let max_delay = ns(self.scenario.network.list_ms, MS).max(1);
@@ -69,7 +69,8 @@
         state.announced_start[server] = started;
         state.announced[server] = match health {
             Health::Up => Some(None),
-            // A repeated announcement keeps the time of the first; a paused gateway learns of it when it resumes.
+            // A repeated announcement keeps the time of the first; a paused gateway learns of it when it
+            // resumes.
             _ => Some(state.announced[server].flatten().or(Some(now.max(state.paused_until)))),
         };
         if health == Health::Removed {
--- a/crates/gateway-simulation/src/world/state.rs
+++ b/crates/gateway-simulation/src/world/state.rs
@@ -131,8 +131,8 @@
     pub last_round: Time,
     /// The gateway handles no events before this time.
     pub paused_until: Time,
-    /// The last announcement of each server: `None` before the server was listed, else the time since which it
-    /// must get no new requests, if any.
+    /// The last announcement of each server: `None` before the server was listed, else the time since which
+    /// it must get no new requests, if any.
     pub announced: Vec<Option<Option<Time>>>,
     /// The last announced start time of each server.
     pub announced_start: Vec<Time>,
@@ -185,9 +185,9 @@
 
 impl ServerState {
     /// Creates server `n` of the scenario, warm.
-    pub fn new(scenario: &Scenario, n: usize, build: ServerParameters) -> Self {
+    pub fn new(scenario: &Scenario, n: usize, parameters: ServerParameters) -> Self {
         ServerState {
-            model: Server::new(build),
+            model: Server::new(parameters),
             name: format!("s-{n}").into(),
             zone: scenario.zone_of_server(n),
             cell: scenario.cell_of_server(n),
--- a/crates/gateway-simulation/tests/pinned.rs
+++ b/crates/gateway-simulation/tests/pinned.rs
@@ -1,8 +1,9 @@
-//! What the decisions do in each scenario, and under random faults on top of it, pinned: every figure of the reports,
-//! byte by byte, against those in `fixtures/reports.txt`.
+//! Compares every figure of the reports of each scenario, with its own faults and with random faults, byte by
+//! byte with `fixtures/reports.txt`.
 //!
-//! A change that is meant to change nothing leaves the file as it is. One that changes a decision on purpose writes the
-//! file anew and says so in its commit: `WRITE_REPORTS=1 cargo test -p gateway-simulation --test pinned`.
+//! Changes that do not affect decisions leave the file as it is. A change that alters a decision on purpose
+//! regenerates the file and says so in its commit: `WRITE_REPORTS=1 cargo test -p gateway-simulation --test
+//! pinned`.
 
 use gateway_simulation::search::with_random_faults;
 use gateway_simulation::{play, Scenario, CATALOGUE};
@@ -10,23 +11,25 @@
 use std::path::Path;
 
 const PINNED: &str = include_str!("fixtures/reports.txt");
-/// Set to write the reports in place of comparing them.
-const WRITE: &str = "WRITE_REPORTS";
+/// Environment variable that makes the test write the file instead of comparing.
+const WRITE_VARIABLE: &str = "WRITE_REPORTS";
 const SEED: u64 = 11;
-/// Seconds of a play, all faults of the catalogue among them.
-const SECONDS: f64 = 18.0;
+/// Maximum length of a play; all faults of the built-in scenarios begin within it.
+const MAX_PLAY_S: f64 = 18.0;
 
-/// A shorter play of fewer gateways, for a build that is not optimized.
+/// Returns a shorter scenario with fewer gateways, servers and customers, fast enough for an unoptimized
+/// build.
 fn small(text: &str) -> Scenario {
     let mut scenario = Scenario::parse(text.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
-    scenario.seconds = scenario.seconds.min(SECONDS);
+    scenario.seconds = scenario.seconds.min(MAX_PLAY_S);
     scenario.gateways.count = scenario.gateways.count.min(8);
     scenario.servers.count = 9;
     scenario.plans.iter_mut().for_each(|plan| plan.customers = (plan.customers / 10).max(4));
     scenario
 }
 
-/// A report's figures in their order, without their names: these are no decisions.
+/// Returns a report's figures in their order, without their names, which may change without a change of
+/// decisions.
 fn figures(scenario: &Scenario) -> String {
     let report = match play(scenario, SEED) {
         Ok(report) => report,
@@ -36,7 +39,7 @@
     let mut figures = String::new();
     let mut rest = text.as_str();
     while let Some(end) = rest.find("\":") {
-        let start = rest[..end].rfind('"').expect("a name stands between quotes");
+        let start = rest[..end].rfind('"').expect("names are quoted");
         figures.push_str(&rest[..start]);
         rest = &rest[end + 2..];
     }
@@ -44,7 +47,7 @@
 }
 
 #[test]
-fn the_decisions_are_what_they_were_in_every_scenario_and_under_random_faults() {
+fn decisions_match_recorded_reports_with_and_without_random_faults() {
     let scenarios: Vec<(String, Scenario)> = CATALOGUE
         .iter()
         .enumerate()
@@ -56,7 +59,7 @@
         .collect();
     let played: Vec<String> =
         scenarios.par_iter().map(|(name, scenario)| format!("{name}: {}", figures(scenario))).collect();
-    if std::env::var_os(WRITE).is_some() {
+    if std::env::var_os(WRITE_VARIABLE).is_some() {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/reports.txt");
         std::fs::write(&path, played.join("\n") + "\n").expect("the reports can be written");
         return;
