--- a/crates/gateway-cli/src/demo.rs
+++ b/crates/gateway-cli/src/demo.rs
@@ -1,15 +1,16 @@
-//! The whole system on this machine, to be watched: the real registry and gateways as processes of their own, stand-ins
-//! for roll servers and clients in this one, all on loopback at ports that the system chooses.
+//! Demonstrates the whole system on this machine. The real registry and gateways run as separate processes,
+//! simulated roll servers and clients run in this process, and all use loopback ports that the operating
+//! system chooses.
 
 mod clients;
 mod random;
 mod servers;
 
-use crate::gateways::{page, statuses, Counts};
+use crate::gateways::{status_table, statuses, RequestCounts};
+use crate::options::CommonOptions;
 use crate::outcome::Outcome;
-use crate::setup::Setup;
 use clap::Args;
-use clients::{load, Tally};
+use clients::{generate_load, RequestTally};
 use gateway_process_trial::process::{end_all, text, Folder, Program, PATIENCE};
 use program_support::config::Errors;
 use program_support::program::print;
@@ -39,7 +40,9 @@
     rate: u64,
 }
 
-const CONFIGURATION: &str = r#"
+/// Configuration of a demo gateway, as a template: `DISCOVERY`, `COUNT` and `NUMBER` are replaced for each
+/// gateway.
+const GATEWAY_CONFIGURATION: &str = r#"
 listen = "127.0.0.1:0"
 ops = "127.0.0.1:0"
 discovery = "DISCOVERY"
@@ -62,26 +65,27 @@
 points = 1
 "#;
 
-/// Runs the demo. The caller ends it on a signal.
-pub async fn run(setup: &Setup, demo: &Demo) -> Result<Outcome, Errors> {
-    let mut system = System::start(setup, demo).await?;
+/// Runs the demo and prints a table each second. On a signal the caller drops the future, which ends all
+/// programs.
+pub async fn run(options: &CommonOptions, demo: &Demo) -> Result<Outcome, Errors> {
+    let mut system = System::start(options, demo).await?;
     print(format!(
         "registry at {}, {} roll servers, gateways at {}, {} requests a second\n\n",
-        system.readers,
+        system.readers_address,
         demo.servers,
-        system.clients.iter().map(SocketAddr::to_string).collect::<Vec<_>>().join(", "),
+        system.client_addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>().join(", "),
         demo.rate
     ))?;
-    let Totals { served, refused, failed } = system.play(demo).await?;
-    let lost = system.end();
+    let Totals { served, refused, failed } = system.run_load(demo).await?;
+    let exited_early = system.shut_down();
     print(format!("in all {served} served, {refused} refused, {failed} failed; everything is ended\n"))?;
-    if lost > 0 {
-        return Err(Errors::single(format!("{lost} programs had ended before")));
+    if exited_early > 0 {
+        return Err(Errors::single(format!("{exited_early} programs exited before the demo ended")));
     }
-    Ok(if served > 0 { Outcome::All } else { Outcome::None })
+    Ok(if served > 0 { Outcome::Success } else { Outcome::Failure })
 }
 
-/// How requests ended over all of the demo.
+/// Counts of requests by result over the whole demo.
 #[derive(Default)]
 struct Totals {
     served: u64,
@@ -89,23 +93,27 @@
     failed: u64,
 }
 
-/// The programs and stand-ins that run. Dropped, they are ended, the folder of their files last.
+/// The running programs and simulated servers. Dropping a `System` ends all of them; the folder of their
+/// files is dropped last.
 struct System {
     gateways: Vec<Program>,
+    /// The simulated roll servers; `None` while a server is killed.
     servers: Vec<Option<RollServer>>,
     registry: Program,
-    /// Where the registry serves readers and registrars.
-    readers: SocketAddr,
-    registrars: SocketAddr,
-    /// Where the gateways serve clients.
-    clients: Vec<SocketAddr>,
-    /// How the gateways are called as an operator.
-    setup: Setup,
+    /// The registry's address for readers.
+    readers_address: SocketAddr,
+    /// The registry's address for registrars.
+    registrars_address: SocketAddr,
+    /// The gateways' addresses for clients.
+    client_addresses: Vec<SocketAddr>,
+    /// Options for calls to the gateways as an operator.
+    options: CommonOptions,
     folder: Folder,
 }
 
 impl System {
-    async fn start(setup: &Setup, demo: &Demo) -> Result<Self, Errors> {
+    /// Starts the registry, the simulated servers and the gateways, and waits until the gateways are ready.
+    async fn start(options: &CommonOptions, demo: &Demo) -> Result<Self, Errors> {
         let folder = Folder::new("demo")?;
         let (list, programs) = (folder.path("list"), Program::beside()?);
         let arguments = [
@@ -120,86 +128,106 @@
         ];
         let log = folder.path("registry.log");
         let mut registry = Program::start(&programs, "sprucehatch-registry", &arguments, log)?;
-        let readers = registry.told("Readers call at ")?;
-        let registrars = registry.told("Registrars call at ")?;
+        let readers_address = registry.told("Readers call at ")?;
+        let registrars_address = registry.told("Registrars call at ")?;
         let mut servers = Vec::new();
         for n in 1..=demo.servers {
-            servers.push(Some(RollServer::start(format!("s-{n}"), registrars, n).await?));
+            servers.push(Some(RollServer::start(format!("s-{n}"), registrars_address, n).await?));
         }
-        let (mut gateways, mut clients, mut operators) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut gateways, mut client_addresses, mut operator_addresses) =
+            (Vec::new(), Vec::new(), Vec::new());
         for n in 0..demo.gateways {
-            let mut gateway = start_gateway(&folder, &programs, readers, demo.gateways, n)?;
-            clients.push(gateway.told("listening on ")?);
-            operators.push(gateway.told("operators call at ")?);
+            let mut gateway = start_gateway(&folder, &programs, readers_address, demo.gateways, n)?;
+            client_addresses.push(gateway.told("listening on ")?);
+            operator_addresses.push(gateway.told("operators call at ")?);
             gateways.push(gateway);
         }
-        let setup =
-            Setup { gateways: operators, registrars: Some(registrars), limit: setup.limit, json: false };
-        wait_until_ready(&setup).await?;
-        Ok(System { gateways, servers, registry, readers, registrars, clients, setup, folder })
+        let options = CommonOptions {
+            gateways: operator_addresses,
+            registrars: Some(registrars_address),
+            timeout: options.timeout,
+            json: false,
+        };
+        wait_until_ready(&options).await?;
+        Ok(System {
+            gateways,
+            servers,
+            registry,
+            readers_address,
+            registrars_address,
+            client_addresses,
+            options,
+            folder,
+        })
     }
 
-    /// Sends requests and shows each second, while a roll server dies and starts again.
-    async fn play(&mut self, demo: &Demo) -> Result<Totals, Errors> {
-        let tally = Rc::new(RefCell::new(Rc::new(Tally::default())));
+    /// Sends requests and prints the state each second, while the first roll server is killed and started
+    /// again. Returns the counts of requests.
+    async fn run_load(&mut self, demo: &Demo) -> Result<Totals, Errors> {
+        let tally = Rc::new(RefCell::new(Rc::new(RequestTally::default())));
         let mut tasks = JoinSet::new();
-        tasks.spawn_local(load(self.clients.clone(), demo.rate, tally.clone()));
-        let (mut totals, mut before) = (Totals::default(), Counts::default());
-        let mut every = interval(Duration::from_secs(1));
-        every.tick().await;
+        tasks.spawn_local(generate_load(self.client_addresses.clone(), demo.rate, tally.clone()));
+        let (mut totals, mut previous) = (Totals::default(), RequestCounts::default());
+        let mut ticks = interval(Duration::from_secs(1));
+        ticks.tick().await;
         for second in 1..=demo.seconds {
-            every.tick().await;
-            let past = tally.replace(Rc::default());
-            let event = self.event(demo, second).await?;
-            let answers = statuses(&self.setup).await?;
+            ticks.tick().await;
+            let finished_tally = tally.replace(Rc::default());
+            let event = self.apply_event(demo, second).await?;
+            let answers = statuses(&self.options).await?;
             let clear = if std::io::stdout().is_terminal() { "\x1b[H\x1b[2J" } else { "" };
-            print(format!("{clear}{}{}\n", past.line(second, event), page(&answers, &before)))?;
-            before = Counts::of(&answers);
-            totals.served += past.served.get();
-            totals.refused += past.refused.get();
-            totals.failed += past.failed.get();
+            print(format!(
+                "{clear}{}{}\n",
+                finished_tally.summary_line(second, event),
+                status_table(&answers, &previous)
+            ))?;
+            previous = RequestCounts::from_answers(&answers);
+            totals.served += finished_tally.served.get();
+            totals.refused += finished_tally.refused.get();
+            totals.failed += finished_tally.failed.get();
         }
         Ok(totals)
     }
 
-    /// What happens to the first roll server in this second, and how it is shown.
-    async fn event(&mut self, demo: &Demo, second: u64) -> Result<&'static str, Errors> {
+    /// Kills or starts the first roll server if that is due in this second. Returns the note for the printed
+    /// line.
+    async fn apply_event(&mut self, demo: &Demo, second: u64) -> Result<&'static str, Errors> {
         if second == (demo.seconds / 3).max(1) {
             self.servers[0] = None;
             return Ok("  <- s-1 is killed");
         }
         if second == (demo.seconds * 2 / 3).max(2) {
-            self.servers[0] = Some(RollServer::start("s-1".to_string(), self.registrars, 1).await?);
+            self.servers[0] = Some(RollServer::start("s-1".to_string(), self.registrars_address, 1).await?);
             return Ok("  <- s-1 starts again, cold");
         }
         Ok("")
     }
 
-    /// Ends all programs. How many had ended before.
-    fn end(self) -> usize {
+    /// Ends all programs. Returns how many of them had already exited by themselves.
+    fn shut_down(self) -> usize {
         let System { gateways: mut programs, registry, folder, .. } = self;
         programs.push(registry);
-        let mut lost = 0;
+        let mut exited_early = 0;
         for program in &mut programs {
-            lost += usize::from(program.ended().is_some());
+            exited_early += usize::from(program.ended().is_some());
         }
-        // All at once, so that the end takes as long as the slowest.
+        // All programs are ended concurrently, so that this takes only as long as the slowest one.
         end_all(&mut programs);
         drop((programs, folder));
-        lost
+        exited_early
     }
 }
 
-/// Starts the gateway of this number among so many.
+/// Starts gateway `n` (from 0) of `count` gateways.
 fn start_gateway(
     folder: &Folder,
     programs: &Path,
-    readers: SocketAddr,
+    readers_address: SocketAddr,
     count: u64,
     n: u64,
 ) -> Result<Program, Errors> {
-    let configuration = CONFIGURATION
-        .replace("DISCOVERY", &readers.to_string())
+    let configuration = GATEWAY_CONFIGURATION
+        .replace("DISCOVERY", &readers_address.to_string())
         .replace("COUNT", &count.to_string())
         .replace("NUMBER", &n.to_string());
     let configuration = format!("name = \"n{n}\"\n{configuration}");
@@ -208,18 +236,18 @@
     Program::start(programs, "sprucehatch-gateway", &["--config", text(&file)], log)
 }
 
-/// Waits until each gateway can serve.
-async fn wait_until_ready(gateways: &Setup) -> Result<(), Errors> {
-    let end = Instant::now() + PATIENCE;
+/// Waits until each gateway reports that it is ready. Fails after `PATIENCE`.
+async fn wait_until_ready(options: &CommonOptions) -> Result<(), Errors> {
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let answers = statuses(gateways).await?;
+        let answers = statuses(options).await?;
         if answers.iter().all(|(_, status)| status.as_ref().is_ok_and(|s| s.ready)) {
             return Ok(());
         }
-        if Instant::now() > end {
+        if Instant::now() > deadline {
             return Err(Errors::single(format!(
                 "not all gateways are ready:\n{}",
-                page(&answers, &Counts::default())
+                status_table(&answers, &RequestCounts::default())
             )));
         }
         sleep(Duration::from_millis(50)).await;
--- a/crates/gateway-cli/src/demo/random.rs
+++ b/crates/gateway-cli/src/demo/random.rs
@@ -1,10 +1,10 @@
-//! Random times of arrivals and of work.
+//! Random durations between arrivals and of work on requests.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A random span of time from the exponential distribution.
+/// Draws a duration from the exponential distribution with this mean.
 pub fn exponential(rng: &mut ChaCha8Rng, mean: Duration) -> Duration {
     mean.mul_f64(-(1.0 - rng.random::<f64>()).ln())
 }
--- a/crates/gateway-cli/src/gateways.rs
+++ b/crates/gateway-cli/src/gateways.rs
@@ -1,18 +1,19 @@
-//! Commands to gateways: all are called at once, and each answer stands by itself.
+//! Commands that call gateways. All gateways are called concurrently, and a failed call affects no other
+//! gateway's answer.
 
 mod answers;
 mod page;
 
-pub use page::{page, Counts};
+pub use page::{status_table, RequestCounts};
 
+use crate::options::CommonOptions;
 use crate::outcome::Outcome;
-use crate::setup::Setup;
 use crate::table::table;
 use answers::{as_json, outcome, Answers};
 use clap::ValueEnum;
 use gateway_protocol::call::{self, Answer, Call};
 use gateway_protocol::status::Status;
-use page::latencies;
+use page::latency_table;
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use program_support::config::Errors;
 use program_support::program::print;
@@ -23,44 +24,45 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Bytes of a name that need no escape in a path.
-const UNESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+/// The characters to percent-encode in a path or query: all but ASCII letters, digits and `-_.~`.
+const PERCENT_ENCODE_SET: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// A name as a part of a path or query.
-pub fn encoded(name: &str) -> String {
-    utf8_percent_encode(name, UNESCAPED).to_string()
+/// Percent-encodes a name for use in a path or query.
+pub fn percent_encoded(name: &str) -> String {
+    utf8_percent_encode(name, PERCENT_ENCODE_SET).to_string()
 }
 
-/// The path of a call on a roll server.
-pub fn server_path(name: &str, verb: &str) -> String {
-    format!("/-/roll-servers/{}/{verb}", encoded(name))
+/// The path of an operators' request about one roll server, with `verb` as its last segment.
+pub fn roll_server_path(name: &str, verb: &str) -> String {
+    format!("/-/roll-servers/{}/{verb}", percent_encoded(name))
 }
 
-/// Calls all gateways at once.
-async fn call_all(setup: &Setup, call: &Call) -> Result<Answers<Answer>, Errors> {
-    if setup.gateways.is_empty() {
+/// Sends a call to all gateways concurrently. Fails if no gateway is configured; a failed call is an error in
+/// its gateway's answer only.
+async fn call_all(options: &CommonOptions, call: &Call) -> Result<Answers<Answer>, Errors> {
+    if options.gateways.is_empty() {
         return Err(Errors::single(
-            "no gateway is named: --gateway, or gateways in the configuration, is wanted",
+            "no gateway is named: use --gateway, or set gateways in the configuration",
         ));
     }
-    let calls: Vec<_> = setup
+    let calls: Vec<_> = options
         .gateways
         .iter()
-        .map(|address| (*address, spawn_local(call::make(*address, call.clone(), setup.limit))))
+        .map(|address| (*address, spawn_local(call::make(*address, call.clone(), options.timeout))))
         .collect();
     let mut answers = Vec::new();
     for (address, call) in calls {
         let answer = match call.await {
-            Ok(answer) => answer.map_err(|e| e.to_string()).and_then(success),
-            Err(e) => Err(format!("the call was lost: {e}")),
+            Ok(answer) => answer.map_err(|e| e.to_string()).and_then(require_success),
+            Err(e) => Err(format!("the task of the call failed: {e}")),
         };
         answers.push((address, answer));
     }
     Ok(answers)
 }
 
-/// An answer without success is an error in words.
-fn success(answer: Answer) -> Result<Answer, String> {
+/// Turns an answer whose status is not a success into an error text.
+fn require_success(answer: Answer) -> Result<Answer, String> {
     if answer.is_success() {
         Ok(answer)
     } else {
@@ -68,29 +70,30 @@
     }
 }
 
-fn value(answer: &Answer) -> Value {
+/// The body as JSON, or as a JSON string if the body is not JSON.
+fn body_as_json(answer: &Answer) -> Value {
     serde_json::from_slice(&answer.body).unwrap_or_else(|_| answer.text().into())
 }
 
-/// Has all gateways do something.
-pub async fn post(setup: &Setup, path: &str) -> Result<Outcome, Errors> {
-    let answers = call_all(setup, &Call::post(path)).await?;
-    if setup.json {
-        print(as_json(&answers, value))?;
+/// Sends a POST request to all gateways and prints each gateway's answer.
+pub async fn post(options: &CommonOptions, path: &str) -> Result<Outcome, Errors> {
+    let answers = call_all(options, &Call::post(path)).await?;
+    if options.json {
+        print(as_json(&answers, body_as_json))?;
     } else {
         let row = |(gateway, answer): &(SocketAddr, Result<Answer, String>)| match answer {
             Ok(answer) => vec![gateway.to_string(), answer.text()],
-            Err(why) => vec![gateway.to_string(), format!("failed: {why}")],
+            Err(error) => vec![gateway.to_string(), format!("failed: {error}")],
         };
         print(table(&["gateway", "answer"], answers.iter().map(row).collect()))?;
     }
     Ok(outcome(&answers))
 }
 
-/// Shows what all gateways answer as JSON.
-pub async fn show_json(setup: &Setup, path: &str) -> Result<Outcome, Errors> {
-    let answers = call_all(setup, &Call::get(path)).await?;
-    print(as_json(&answers, value))?;
+/// Sends a GET request to all gateways and prints their answers as JSON.
+pub async fn show_json(options: &CommonOptions, path: &str) -> Result<Outcome, Errors> {
+    let answers = call_all(options, &Call::get(path)).await?;
+    print(as_json(&answers, body_as_json))?;
     Ok(outcome(&answers))
 }
 
@@ -101,68 +104,71 @@
     Openmetrics,
 }
 
-/// Shows the figures of all gateways.
-pub async fn metrics(setup: &Setup, format: Format) -> Result<Outcome, Errors> {
+/// Prints the metrics of all gateways.
+pub async fn metrics(options: &CommonOptions, format: Format) -> Result<Outcome, Errors> {
     match format {
-        Format::Json => show_json(setup, "/-/metrics").await,
-        Format::Openmetrics => openmetrics(setup).await,
+        Format::Json => show_json(options, "/-/metrics").await,
+        Format::Openmetrics => openmetrics(options).await,
     }
 }
 
-async fn openmetrics(setup: &Setup) -> Result<Outcome, Errors> {
-    let answers = call_all(setup, &Call::get("/-/metrics?format=openmetrics")).await?;
-    if setup.json {
+/// Prints the metrics of all gateways as OpenMetrics text.
+async fn openmetrics(options: &CommonOptions) -> Result<Outcome, Errors> {
+    let answers = call_all(options, &Call::get("/-/metrics?format=openmetrics")).await?;
+    if options.json {
         print(as_json(&answers, |answer| String::from_utf8_lossy(&answer.body).into()))?;
     } else {
         for (gateway, answer) in &answers {
             match answer {
-                // One text as it came can be read by whatever reads the format.
+                // A single gateway's text is printed unchanged, so that OpenMetrics parsers can read the
+                // output.
                 Ok(answer) if answers.len() == 1 => print(&answer.body)?,
                 Ok(answer) => print([format!("# gateway {gateway}\n").as_bytes(), &answer.body].concat())?,
-                Err(why) => print(format!("# gateway {gateway} failed: {why}\n"))?,
+                Err(error) => print(format!("# gateway {gateway} failed: {error}\n"))?,
             }
         }
     }
     Ok(outcome(&answers))
 }
 
-/// The statuses of all gateways.
-pub async fn statuses(setup: &Setup) -> Result<Answers<Status>, Errors> {
-    let read = |answer: Answer| {
-        serde_json::from_slice::<Status>(&answer.body).map_err(|e| format!("what it told is no status: {e}"))
+/// Fetches the statuses of all gateways.
+pub async fn statuses(options: &CommonOptions) -> Result<Answers<Status>, Errors> {
+    let parse = |answer: Answer| {
+        serde_json::from_slice::<Status>(&answer.body).map_err(|e| format!("the answer is not a status: {e}"))
     };
-    let answers = call_all(setup, &Call::get("/-/status")).await?;
-    Ok(answers.into_iter().map(|(gateway, answer)| (gateway, answer.and_then(read))).collect())
+    let answers = call_all(options, &Call::get("/-/status")).await?;
+    Ok(answers.into_iter().map(|(gateway, answer)| (gateway, answer.and_then(parse))).collect())
 }
 
-/// Shows the statuses and latencies of all gateways once.
-pub async fn status(setup: &Setup) -> Result<Outcome, Errors> {
-    let answers = statuses(setup).await?;
-    if setup.json {
+/// Prints the statuses and latencies of all gateways once.
+pub async fn status(options: &CommonOptions) -> Result<Outcome, Errors> {
+    let answers = statuses(options).await?;
+    if options.json {
         print(as_json(&answers, |status| serde_json::to_value(status).unwrap_or_default()))?;
     } else {
-        print(page(&answers, &Counts::default()))?;
-        print(latencies(&answers))?;
+        print(status_table(&answers, &RequestCounts::default()))?;
+        print(latency_table(&answers))?;
     }
     Ok(outcome(&answers))
 }
 
-/// Shows the statuses of all gateways again and again, with rates, `count` times or until it is stopped.
-pub async fn watch(setup: &Setup, every: Duration, count: Option<u64>) -> Result<Outcome, Errors> {
+/// Polls the statuses of all gateways at an interval and prints them with request rates, `count` times or
+/// until the program is stopped.
+pub async fn watch(options: &CommonOptions, every: Duration, count: Option<u64>) -> Result<Outcome, Errors> {
     let mut every = interval(every);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let (mut before, mut polls) = (Counts::default(), 0);
+    let (mut previous, mut polls) = (RequestCounts::default(), 0);
     loop {
         every.tick().await;
-        let answers = statuses(setup).await?;
-        if setup.json {
+        let answers = statuses(options).await?;
+        if options.json {
             print(as_json(&answers, |status| serde_json::to_value(status).unwrap_or_default()))?;
         } else {
-            // On a terminal each poll replaces the last one.
+            // On a terminal, the new table replaces the previous one.
             let clear = if io::stdout().is_terminal() { "\x1b[H\x1b[2J" } else { "" };
-            print(format!("{clear}{}\n", page(&answers, &before)))?;
+            print(format!("{clear}{}\n", status_table(&answers, &previous)))?;
         }
-        before = Counts::of(&answers);
+        previous = RequestCounts::from_answers(&answers);
         polls += 1;
         if count.is_some_and(|count| polls >= count) {
             return Ok(outcome(&answers));
--- a/crates/gateway-cli/src/gateways/answers.rs
+++ b/crates/gateway-cli/src/gateways/answers.rs
@@ -4,15 +4,15 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// What each gateway answered, or why it did not, in the order of the gateways.
+/// Each gateway's answer, or the error of its call, in the order in which the gateways are configured.
 pub type Answers<T> = Vec<(SocketAddr, Result<T, String>)>;
 
-/// How it went with all gateways.
+/// The command's outcome: how many gateways answered successfully.
 pub fn outcome<T>(answers: &Answers<T>) -> Outcome {
-    Outcome::of(answers.iter().filter(|(_, answer)| answer.is_ok()).count(), answers.len())
+    Outcome::from_counts(answers.iter().filter(|(_, answer)| answer.is_ok()).count(), answers.len())
 }
 
-/// What each gateway answered as JSON: the answer under `answer`, or why there is none under `error`.
+/// The answers as a JSON array with an object for each gateway, which holds either `answer` or `error`.
 pub fn as_json<T>(answers: &Answers<T>, value: impl Fn(&T) -> Value) -> Vec<u8> {
     let each = answers.iter().map(|(gateway, answer)| match answer {
         Ok(answer) => json!({"gateway": gateway, "ok": true, "answer": value(answer)}),
--- a/crates/gateway-cli/src/lab.rs
+++ b/crates/gateway-cli/src/lab.rs
@@ -1,12 +1,12 @@
-//! Commands of the lab, which plays scenarios in simulated time.
+//! Commands of the lab, the simulation that plays scenarios in simulated time.
 
 mod compare;
 mod play;
 mod seeds;
 
+use crate::options::CommonOptions;
 use crate::outcome::Outcome;
 use crate::scenarios::scenario;
-use crate::setup::Setup;
 use crate::table::table;
 use clap::Subcommand;
 use compare::compare;
@@ -63,31 +63,33 @@
     },
 }
 
-pub fn run(setup: &Setup, command: Command) -> Result<Outcome, Errors> {
+/// Runs a command of the lab. `main` runs `Demo` itself.
+pub fn run(options: &CommonOptions, command: Command) -> Result<Outcome, Errors> {
     match command {
-        Command::List => list(setup),
+        Command::List => list(options),
         Command::Print { name } => match CATALOGUE.iter().find(|(known, _)| *known == name) {
-            Some((_, text)) => print(text).map(|()| Outcome::All),
-            None => scenario(&name).map(|_| Outcome::All),
+            Some((_, text)) => print(text).map(|()| Outcome::Success),
+            None => scenario(&name).map(|_| Outcome::Success),
         },
         Command::Check { files } => {
-            let wrong: Vec<String> =
-                files.iter().filter_map(|file| Scenario::load(file).err()).flat_map(|w| w.0).collect();
-            if !wrong.is_empty() {
-                return Err(Errors(wrong));
+            let errors: Vec<String> =
+                files.iter().filter_map(|file| Scenario::load(file).err()).flat_map(|e| e.0).collect();
+            if !errors.is_empty() {
+                return Err(Errors(errors));
             }
-            print("ok\n").map(|()| Outcome::All)
+            print("ok\n").map(|()| Outcome::Success)
         }
         Command::Search { base, count, first, to } => search(&base, first, count, &to),
-        Command::Experiment { file, to } => experiment(setup, &file, &to),
-        // Its sockets are on the event loop: the caller runs it.
-        Command::Demo(_) => Ok(Outcome::None),
-        Command::Run(run) => play(setup, &run),
-        Command::Compare { base, variant, seeds } => compare(setup, &base, &variant, &seeds),
+        Command::Experiment { file, to } => experiment(options, &file, &to),
+        // The demo uses sockets on the event loop, so `main` runs it.
+        Command::Demo(_) => Ok(Outcome::Failure),
+        Command::Run(run) => play(options, &run),
+        Command::Compare { base, variant, seeds } => compare(options, &base, &variant, &seeds),
     }
 }
 
-fn experiment(setup: &Setup, file: &Path, to: &Path) -> Result<Outcome, Errors> {
+/// Plays an experiment with a progress bar, and writes and prints its results. Fails if a rule is broken.
+fn experiment(options: &CommonOptions, file: &Path, to: &Path) -> Result<Outcome, Errors> {
     let experiment = Experiment::load(file)?;
     let bar = ProgressBar::with_draw_target(None, ProgressDrawTarget::stderr());
     let results = experiment.play(to, |done, all| {
@@ -96,44 +98,46 @@
     })?;
     bar.finish_and_clear();
     let page = results.write(to)?;
-    if setup.json {
+    if options.json {
         print(format!(
             "{:#}\n",
             json!({"plays": results.plays.len(), "page": page, "table": results.table()})
         ))?;
     } else {
-        let head = ["variant", "figure", "plays", "median (least to most)", "difference to the first, 95%"];
-        print(table(&head, results.table().into_iter().map(Vec::from).collect()))?;
+        let header = ["variant", "figure", "plays", "median (least to most)", "difference to the first, 95%"];
+        print(table(&header, results.table().into_iter().map(Vec::from).collect()))?;
         print(format!("\n{}\n", page.display()))?;
     }
-    let broken: Vec<String> =
+    let breaches: Vec<String> =
         results.breaches().map(|(variant, what)| format!("{variant}: {what}")).collect();
-    if broken.is_empty() {
-        Ok(Outcome::All)
+    if breaches.is_empty() {
+        Ok(Outcome::Success)
     } else {
-        Err(Errors(broken))
+        Err(Errors(breaches))
     }
 }
 
+/// Searches random fault scripts for a broken rule and writes the smallest scenario found to `to`.
 fn search(base: &str, first: u64, count: u64, to: &Path) -> Result<Outcome, Errors> {
     let base = scenario(base)?;
     let Some(found) = gateway_simulation::search::search(&base, first, count) else {
         print(format!("no rule is broken in {count} scripts from seed {first} on\n"))?;
-        return Ok(Outcome::All);
+        return Ok(Outcome::Success);
     };
     std::fs::write(to, found.scenario.text())
         .map_err(|e| Errors::single(format!("{}: {e}", to.display())))?;
     print(format!("seed {}, written to {}\n{}", found.seed, to.display(), found.breach))?;
-    Ok(Outcome::None)
+    Ok(Outcome::Failure)
 }
 
-fn list(setup: &Setup) -> Result<Outcome, Errors> {
+/// Prints the scenarios of the catalogue with their claims.
+fn list(options: &CommonOptions) -> Result<Outcome, Errors> {
     let all: Vec<Scenario> = CATALOGUE.iter().map(|(name, _)| scenario(name)).collect::<Result<_, _>>()?;
-    if setup.json {
+    if options.json {
         let each: Vec<_> = all.iter().map(|s| json!({"name": s.name, "claim": s.claim})).collect();
         print(format!("{:#}\n", json!(each)))?;
     } else {
         print(table(&["scenario", "claim"], all.into_iter().map(|s| vec![s.name, s.claim]).collect()))?;
     }
-    Ok(Outcome::All)
+    Ok(Outcome::Success)
 }
--- a/crates/gateway-cli/src/lab/compare.rs
+++ b/crates/gateway-cli/src/lab/compare.rs
@@ -1,9 +1,9 @@
-//! Plays two scenarios with the same seeds and compares their figures.
+//! Plays two scenarios with the same seeds and compares their metrics.
 
 use super::seeds::Seeds;
+use crate::options::CommonOptions;
 use crate::outcome::Outcome;
 use crate::scenarios::scenario;
-use crate::setup::Setup;
 use crate::table::table;
 use gateway_simulation::stats::{interval, spread, FIGURES};
 use gateway_simulation::{play_all, Report};
@@ -11,14 +11,16 @@
 use program_support::program::print;
 use serde_json::json;
 
-pub fn compare(setup: &Setup, base: &str, variant: &str, seeds: &Seeds) -> Result<Outcome, Errors> {
+/// Plays both scenarios with every seed and prints, for each metric, both spreads and the 95% confidence
+/// interval of the mean difference. Fails if a play breaks a rule.
+pub fn compare(options: &CommonOptions, base: &str, variant: &str, seeds: &Seeds) -> Result<Outcome, Errors> {
     let (a, b) = (scenario(base)?, scenario(variant)?);
     let seeds = seeds.all();
     let (a, b) = (play_all(&a, &seeds), play_all(&b, &seeds));
-    let broken: Vec<String> =
+    let breaches: Vec<String> =
         a.iter().chain(&b).filter_map(|r| r.as_ref().err()).map(ToString::to_string).collect();
-    if !broken.is_empty() {
-        return Err(Errors(broken));
+    if !breaches.is_empty() {
+        return Err(Errors(breaches));
     }
     let pairs: Vec<(&Report, &Report)> =
         a.iter().zip(&b).filter_map(|(a, b)| Some((a.as_ref().ok()?, b.as_ref().ok()?))).collect();
@@ -29,7 +31,7 @@
         let variant = spread(pairs.iter().map(|(_, b)| figure(b)).collect());
         compared.push((name, base, variant, interval(&differences)));
     }
-    if setup.json {
+    if options.json {
         let each = compared.iter().map(|(name, base, variant, interval)| {
             json!({"figure": name, "base": base, "variant": variant, "difference_95": interval})
         });
@@ -42,5 +44,5 @@
         });
         print(table(&["figure", "base", "variant", "mean difference, 95%"], rows.collect()))?;
     }
-    Ok(Outcome::All)
+    Ok(Outcome::Success)
 }
--- a/crates/gateway-cli/src/lab/play.rs
+++ b/crates/gateway-cli/src/lab/play.rs
@@ -1,9 +1,9 @@
-//! Plays scenarios and shows their figures, and how the fleet fares by phase.
+//! Plays scenarios and prints their metrics, optionally also by phase.
 
 use super::seeds::Seeds;
+use crate::options::CommonOptions;
 use crate::outcome::Outcome;
 use crate::scenarios::scenario;
-use crate::setup::Setup;
 use crate::table::table;
 use clap::Args;
 use gateway_simulation::report::FleetStats;
@@ -25,7 +25,8 @@
     phases: bool,
 }
 
-const FIGURES_HEAD: [&str; 13] = [
+/// The columns of the table of metrics.
+const METRICS_HEADER: [&str; 13] = [
     "scenario",
     "worth",
     "late ends",
@@ -40,7 +41,8 @@
     "breaches",
     "million events/s",
 ];
-const PHASES_HEAD: [&str; 8] = [
+/// The columns of the table of phases.
+const PHASES_HEADER: [&str; 8] = [
     "scenario",
     "phase",
     "goodput of possible",
@@ -51,42 +53,44 @@
     "full service after s",
 ];
 
-pub fn play(setup: &Setup, run: &Run) -> Result<Outcome, Errors> {
+/// Plays each scenario with every seed and prints the results. A scenario succeeds if no play breaks a rule.
+pub fn play(options: &CommonOptions, run: &Run) -> Result<Outcome, Errors> {
     let names: Vec<String> = match run.scenarios.is_empty() {
         true => CATALOGUE.iter().map(|(name, _)| name.to_string()).collect(),
         false => run.scenarios.clone(),
     };
-    // All are read before any is played.
+    // All scenarios are read before the first is played, so that a wrong name fails at once.
     let all: Vec<Scenario> = names.iter().map(|name| scenario(name)).collect::<Result<_, _>>()?;
     let seeds = run.seeds.all();
-    let (mut rows, mut phases, mut kept) = (Vec::new(), Vec::new(), 0);
+    let (mut rows, mut phases, mut without_breach) = (Vec::new(), Vec::new(), 0);
     for s in &all {
-        let begun = Instant::now();
+        let started = Instant::now();
         let results = play_all(s, &seeds);
-        let took = begun.elapsed().as_secs_f64();
+        let elapsed_s = started.elapsed().as_secs_f64();
         let reports: Vec<&Report> = results.iter().filter_map(|r| r.as_ref().ok()).collect();
         let breaches: Vec<&Breach> = results.iter().filter_map(|r| r.as_ref().err().map(|b| &**b)).collect();
-        kept += usize::from(breaches.is_empty());
-        if setup.json {
+        without_breach += usize::from(breaches.is_empty());
+        if options.json {
             print_lines(s, &reports, &breaches)?;
             continue;
         }
         for breach in &breaches {
             print(format!("{}: {breach}", s.name))?;
         }
-        rows.push(row(&s.name, &reports, breaches.len(), took));
-        phases.extend(by_phase(s, &reports));
+        rows.push(metrics_row(&s.name, &reports, breaches.len(), elapsed_s));
+        phases.extend(phase_rows(s, &reports));
     }
-    if !setup.json {
-        print(table(&FIGURES_HEAD, rows))?;
+    if !options.json {
+        print(table(&METRICS_HEADER, rows))?;
         if run.phases {
-            print(format!("\n{}", table(&PHASES_HEAD, phases)))?;
+            print(format!("\n{}", table(&PHASES_HEADER, phases)))?;
         }
     }
-    Ok(Outcome::of(kept, all.len()))
+    Ok(Outcome::from_counts(without_breach, all.len()))
 }
 
-/// A line of JSON for each play, so that what was played before a stop is complete.
+/// Prints a line of JSON for each play of a scenario, so that the results of finished scenarios are complete
+/// if the command is stopped.
 fn print_lines(scenario: &Scenario, reports: &[&Report], breaches: &[&Breach]) -> Result<(), Errors> {
     for report in reports {
         let line = serde_json::to_string(report).map_err(Errors::single)?;
@@ -98,7 +102,8 @@
     Ok(())
 }
 
-fn row(name: &str, reports: &[&Report], breaches: usize, took: f64) -> Vec<String> {
+/// The row of metrics for all plays of a scenario, which took `elapsed_s` seconds of real time.
+fn metrics_row(name: &str, reports: &[&Report], breaches: usize, elapsed_s: f64) -> Vec<String> {
     let mut cells = vec![name.to_string()];
     cells.extend(FIGURES.iter().map(|(_, figure)| spread(reports.iter().map(|r| figure(r)).collect())));
     let fallen: u64 = reports.iter().map(|r| r.fallen).sum();
@@ -106,30 +111,31 @@
     cells.extend([
         fallen.to_string(),
         breaches.to_string(),
-        format!("{:.2}", events as f64 / took.max(1e-9) / 1e6),
+        format!("{:.2}", events as f64 / elapsed_s.max(1e-9) / 1e6),
     ]);
     cells
 }
 
-/// How the fleet fares in each phase of a scenario; at the end of the last fault, how long until all is served again.
-fn by_phase(scenario: &Scenario, reports: &[&Report]) -> Vec<Vec<String>> {
+/// The rows of metrics for each phase of a scenario. The phase that begins at the end of the last fault also
+/// shows the time until full service is restored.
+fn phase_rows(scenario: &Scenario, reports: &[&Report]) -> Vec<Vec<String>> {
     let end = scenario.last_fault_end_s();
     let phases = scenario.phases().into_iter().map(|(name, from, to)| {
         let all: Vec<FleetStats> = reports.iter().map(|r| r.fleet_stats(from, to)).collect();
-        let each = |of: fn(&FleetStats) -> f64| spread(all.iter().map(of).collect());
+        let spread_of = |of: fn(&FleetStats) -> f64| spread(all.iter().map(of).collect());
         let recovered = end.filter(|end| end.round() as usize == from).map(|end| {
-            // One that never did counts as the rest of the play.
+            // A play that never recovers counts as the rest of its duration.
             let rest = scenario.seconds - end;
             spread(reports.iter().map(|r| r.recovery_time_s(end).unwrap_or(rest)).collect())
         });
         vec![
             scenario.name.clone(),
             name,
-            each(|f| f.goodput),
-            each(|f| f.attempts),
-            each(|f| f.rejected_per_s),
-            each(|f| f.futile_per_s),
-            each(|f| f64::from(f.max_futile_per_server)),
+            spread_of(|f| f.goodput),
+            spread_of(|f| f.attempts),
+            spread_of(|f| f.rejected_per_s),
+            spread_of(|f| f.futile_per_s),
+            spread_of(|f| f64::from(f.max_futile_per_server)),
             recovered.unwrap_or_default(),
         ]
     });
--- a/crates/gateway-cli/src/lab/seeds.rs
+++ b/crates/gateway-cli/src/lab/seeds.rs
@@ -1,4 +1,4 @@
-//! The seeds that a scenario is played with.
+//! Command-line options for the random seeds of plays.
 
 use clap::Args;
 
@@ -13,6 +13,7 @@
 }
 
 impl Seeds {
+    /// The chosen seeds: consecutive numbers from the first one on.
     pub fn all(&self) -> Vec<u64> {
         (0..self.seeds).map(|n| self.first.wrapping_add(n)).collect()
     }
--- a/crates/gateway-cli/src/main.rs
+++ b/crates/gateway-cli/src/main.rs
@@ -1,21 +1,21 @@
-//! sprucehatch: the operators' command line.
+//! `sprucehatch`, the operators' command line: parses the arguments and runs the command.
 
 mod demo;
 mod gateways;
 mod lab;
+mod options;
 mod outcome;
 mod registry;
 mod scenarios;
-mod setup;
 mod table;
 mod trial;
 
 use clap::{CommandFactory, Parser, Subcommand};
 use gateways::Format;
+use options::CommonArguments;
 use outcome::Outcome;
 use program_support::config::Errors;
 use program_support::program::{finish, print};
-use setup::SetupArguments;
 use std::future::Future;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 #[command(name = "sprucehatch", version)]
 struct Arguments {
     #[command(flatten)]
-    setup: SetupArguments,
+    options: CommonArguments,
     #[command(subcommand)]
     command: Command,
 }
@@ -101,53 +101,56 @@
     if let Command::Completions { shell } = arguments.command {
         let mut text = Vec::new();
         clap_complete::generate(shell, &mut Arguments::command(), "sprucehatch", &mut text);
-        return print(text).map(|()| Outcome::All);
+        return print(text).map(|()| Outcome::Success);
     }
-    let setup = setup::read(&arguments.setup)?;
+    let options = options::read(&arguments.options)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(Default::default())
         .map_err(|e| Errors::single(format!("cannot start the event loop: {e}")))?;
     runtime.block_on(async {
         match arguments.command {
-            Command::Status => gateways::status(&setup).await,
+            Command::Status => gateways::status(&options).await,
             Command::Watch { every_ms, count } => {
-                gateways::watch(&setup, Duration::from_millis(every_ms), count).await
+                gateways::watch(&options, Duration::from_millis(every_ms), count).await
             }
-            Command::Metrics { format } => gateways::metrics(&setup, format).await,
-            Command::Drain => gateways::post(&setup, "/-/drain").await,
-            Command::Resume => gateways::post(&setup, "/-/resume").await,
+            Command::Metrics { format } => gateways::metrics(&options, format).await,
+            Command::Drain => gateways::post(&options, "/-/drain").await,
+            Command::Resume => gateways::post(&options, "/-/resume").await,
             Command::Disable { server } => {
-                gateways::post(&setup, &gateways::server_path(&server, "disable")).await
+                gateways::post(&options, &gateways::roll_server_path(&server, "disable")).await
             }
             Command::Enable { server } => {
-                gateways::post(&setup, &gateways::server_path(&server, "enable")).await
+                gateways::post(&options, &gateways::roll_server_path(&server, "enable")).await
             }
-            Command::Log { level: None, .. } => gateways::show_json(&setup, "/-/log").await,
+            Command::Log { level: None, .. } => gateways::show_json(&options, "/-/log").await,
             Command::Log { level: Some(level), module } => {
-                let module = module.map(|m| format!("&module={}", gateways::encoded(&m))).unwrap_or_default();
-                gateways::post(&setup, &format!("/-/log?level={level}{module}")).await
+                let module =
+                    module.map(|m| format!("&module={}", gateways::percent_encoded(&m))).unwrap_or_default();
+                gateways::post(&options, &format!("/-/log?level={level}{module}")).await
             }
-            Command::Registry(command) => registry::run(&setup, command).await,
-            Command::Lab(lab::Command::Demo(demo)) => until_stopped(demo::run(&setup, &demo)).await,
-            Command::Lab(command) => lab::run(&setup, command),
-            Command::Trial(command) => until_stopped(trial::run(&setup, &command)).await,
-            Command::CheckConfig => print("ok\n").map(|()| Outcome::All),
-            Command::Completions { .. } => Ok(Outcome::All),
+            Command::Registry(command) => registry::run(&options, command).await,
+            Command::Lab(lab::Command::Demo(demo)) => run_until_signal(demo::run(&options, &demo)).await,
+            Command::Lab(command) => lab::run(&options, command),
+            Command::Trial(command) => run_until_signal(trial::run(&options, &command)).await,
+            Command::CheckConfig => print("ok\n").map(|()| Outcome::Success),
+            Command::Completions { .. } => Ok(Outcome::Success),
         }
     })
 }
 
-/// Runs a command that starts other programs. A signal ends it and all that it started.
-async fn until_stopped(what: impl Future<Output = Result<Outcome, Errors>>) -> Result<Outcome, Errors> {
-    let on = |kind| signal(kind).map_err(|e| Errors::single(format!("signals: {e}")));
-    let (mut int, mut term) = (on(SignalKind::interrupt())?, on(SignalKind::terminate())?);
-    let mut hangup = on(SignalKind::hangup())?;
+/// Runs a command that starts other programs. SIGINT, SIGTERM or SIGHUP cancels the command, which ends every
+/// program that it started.
+async fn run_until_signal(command: impl Future<Output = Result<Outcome, Errors>>) -> Result<Outcome, Errors> {
+    let listen =
+        |kind| signal(kind).map_err(|e| Errors::single(format!("cannot install signal handlers: {e}")));
+    let (mut interrupt, mut terminate) = (listen(SignalKind::interrupt())?, listen(SignalKind::terminate())?);
+    let mut hangup = listen(SignalKind::hangup())?;
     tokio::select! {
         biased;
-        outcome = what => outcome,
-        _ = int.recv() => Err(Errors::single("stopped; everything is ended")),
-        _ = term.recv() => Err(Errors::single("stopped; everything is ended")),
-        _ = hangup.recv() => Err(Errors::single("stopped; everything is ended")),
+        outcome = command => outcome,
+        _ = interrupt.recv() => Err(Errors::single("stopped by a signal; all started programs have ended")),
+        _ = terminate.recv() => Err(Errors::single("stopped by a signal; all started programs have ended")),
+        _ = hangup.recv() => Err(Errors::single("stopped by a signal; all started programs have ended")),
     }
 }
--- a/crates/gateway-cli/src/setup.rs
+++ b/crates/gateway-cli/src/options.rs
@@ -1,4 +1,5 @@
-//! Who is called, and how: the options of the command line and the configuration file.
+//! Options that all commands share, from the command line and the configuration file: the addresses to call,
+//! the timeout and the output format.
 
 use clap::Args;
 use program_support::config::{self, Errors};
@@ -8,9 +9,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-// No documentation comment: it would take the place of the command's in the help.
+// No doc comment here: clap would show it in the help in place of the command's own description.
 #[derive(Args)]
-pub struct SetupArguments {
+pub struct CommonArguments {
     /// A TOML file with `gateways`, `readers`, `registrars`, `timeout_ms` as its keys [env: SPRUCEHATCH_CONFIG]
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
@@ -42,39 +43,44 @@
     timeout_ms: Option<u64>,
 }
 
-/// Who is called, and how.
-pub struct Setup {
+/// The options that all commands share, after the command line and the configuration file are merged.
+pub struct CommonOptions {
+    /// Operators' addresses of the gateways to call.
     pub gateways: Vec<SocketAddr>,
+    /// The registry's address for registrars.
     pub registrars: Option<SocketAddr>,
-    pub limit: Duration,
+    /// The timeout of one call.
+    pub timeout: Duration,
+    /// Whether to print JSON in place of text.
     pub json: bool,
 }
 
-/// The options of the command line, and those of the file where it says nothing.
-pub fn read(arguments: &SetupArguments) -> Result<Setup, Errors> {
+/// Merges the command line with the configuration file; an option of the command line overrides the file's.
+/// Returns all errors of the file at once.
+pub fn read(arguments: &CommonArguments) -> Result<CommonOptions, Errors> {
     let file = match config::configuration_path(arguments.config.clone(), "SPRUCEHATCH_CONFIG")? {
         Some(path) => config::load::<File>(&path, "")?.settings,
         None => File::default(),
     };
-    let mut wrong = Vec::new();
-    let mut address = |key: String, text: &String| {
+    let mut errors = Vec::new();
+    let mut parse_address = |key: String, text: &String| {
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            wrong.push(format!("{key} is {text:?}: an address and port are wanted"));
+            errors.push(format!("{key} is {text:?}: an address and port are wanted"));
         }
         parsed
     };
-    let listed = file.gateways.iter().enumerate();
-    let listed: Vec<SocketAddr> =
-        listed.filter_map(|(n, text)| address(format!("gateways[{n}]"), text)).collect();
-    let registrars = file.registrars.as_ref().and_then(|text| address("registrars".to_string(), text));
-    if !wrong.is_empty() {
-        return Err(Errors(wrong));
+    let file_gateways = file.gateways.iter().enumerate();
+    let file_gateways: Vec<SocketAddr> =
+        file_gateways.filter_map(|(n, text)| parse_address(format!("gateways[{n}]"), text)).collect();
+    let registrars = file.registrars.as_ref().and_then(|text| parse_address("registrars".to_string(), text));
+    if !errors.is_empty() {
+        return Err(Errors(errors));
     }
-    Ok(Setup {
-        gateways: if arguments.gateways.is_empty() { listed } else { arguments.gateways.clone() },
+    Ok(CommonOptions {
+        gateways: if arguments.gateways.is_empty() { file_gateways } else { arguments.gateways.clone() },
         registrars: arguments.registrars.or(registrars),
-        limit: Duration::from_millis(arguments.timeout_ms.or(file.timeout_ms).unwrap_or(2000)),
+        timeout: Duration::from_millis(arguments.timeout_ms.or(file.timeout_ms).unwrap_or(2000)),
         json: arguments.json,
     })
 }
--- a/crates/gateway-cli/src/outcome.rs
+++ b/crates/gateway-cli/src/outcome.rs
@@ -1,21 +1,26 @@
-//! How a command went with those that it called, and its exit code.
+//! The result of a command over everything that it called or played, and the exit code for it.
 
 use std::process::ExitCode;
 
-/// How it went with those that were called.
+/// How many of a command's calls or plays succeeded.
 #[derive(Clone, Copy)]
 pub enum Outcome {
-    All,
-    Some,
-    None,
+    /// All succeeded: exit code 0.
+    Success,
+    /// Some succeeded and some failed: exit code 3.
+    PartialSuccess,
+    /// None succeeded: exit code 1.
+    Failure,
 }
 
 impl Outcome {
-    pub fn of(yes: usize, all: usize) -> Self {
-        match yes {
-            0 => Outcome::None,
-            yes if yes == all => Outcome::All,
-            _ => Outcome::Some,
+    /// The outcome for `succeeded` successes out of `total`. No successes give `Failure`, also if
+    /// `total` is 0.
+    pub fn from_counts(succeeded: usize, total: usize) -> Self {
+        match succeeded {
+            0 => Outcome::Failure,
+            succeeded if succeeded == total => Outcome::Success,
+            _ => Outcome::PartialSuccess,
         }
     }
 }
@@ -23,9 +28,9 @@
 impl From<Outcome> for ExitCode {
     fn from(outcome: Outcome) -> Self {
         ExitCode::from(match outcome {
-            Outcome::All => 0,
-            Outcome::None => 1,
-            Outcome::Some => 3,
+            Outcome::Success => 0,
+            Outcome::Failure => 1,
+            Outcome::PartialSuccess => 3,
         })
     }
 }
--- a/crates/gateway-cli/src/registry.rs
+++ b/crates/gateway-cli/src/registry.rs
@@ -1,9 +1,10 @@
-//! Commands to a registry, as an operator: without the start of a server, what it says counts for any.
+//! Commands that call a registry as an operator. Drain and removal requests carry no start time of the
+//! server, so they apply to whichever start of the server is registered.
 
-use crate::gateways::encoded;
+use crate::gateways::percent_encoded;
+use crate::options::CommonOptions;
 use crate::outcome::Outcome;
-use crate::setup::Setup;
-use crate::table::{plain, span, table};
+use crate::table::{escaped, format_duration, table};
 use clap::{Args, Subcommand};
 use gateway_protocol::call::{self, Answer, Call};
 use gateway_protocol::registration::{Announcement, Registrations, REGISTRATIONS_PATH};
@@ -53,61 +54,64 @@
     capacity: f64,
 }
 
-pub async fn run(setup: &Setup, command: Command) -> Result<Outcome, Errors> {
-    let Some(registrars) = setup.registrars else {
+/// Runs a command against the configured registry and prints the answer.
+pub async fn run(options: &CommonOptions, command: Command) -> Result<Outcome, Errors> {
+    let Some(registrars) = options.registrars else {
         return Err(Errors::single(
-            "no registry is named: --registrars, or registrars in the configuration, is wanted",
+            "no registry is named: use --registrars, or set registrars in the configuration",
         ));
     };
-    let path = |server: &str, verb: &str| format!("{REGISTRATIONS_PATH}/{}{verb}", encoded(server));
-    let (list, call) = match command {
+    let path = |server: &str, verb: &str| format!("{REGISTRATIONS_PATH}/{}{verb}", percent_encoded(server));
+    let (is_list, call) = match command {
         Command::List => (true, Call::get(REGISTRATIONS_PATH)),
         Command::Drain { server } => (false, Call::post(&path(&server, "/drain"))),
         Command::Remove { server } => {
             (false, Call { method: Method::DELETE, ..Call::get(&path(&server, "")) })
         }
         Command::Register(r) => {
-            let now = || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+            let unix_time_ms =
+                || SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
             let announcement = Announcement {
                 endpoint: r.endpoint.to_string(),
                 az: r.zone,
                 model: r.model,
                 pod_group: r.cell,
                 capacity_hint: r.capacity,
-                boot_ms: r.boot_ms.unwrap_or_else(now),
+                boot_ms: r.boot_ms.unwrap_or_else(unix_time_ms),
                 lease_ms: r.lease_ms,
             };
             let body = serde_json::to_vec(&announcement).map_err(|e| Errors::single(e.to_string()))?;
             (false, Call { method: Method::PUT, body: body.into(), ..Call::get(&path(&r.server, "")) })
         }
     };
-    let failed = |why: &dyn Display| Errors::single(format!("registry {registrars}: {why}"));
-    let answer = call::make(registrars, call, setup.limit).await.map_err(|e| failed(&e))?;
+    let failed = |error: &dyn Display| Errors::single(format!("registry {registrars}: {error}"));
+    let answer = call::make(registrars, call, options.timeout).await.map_err(|e| failed(&e))?;
     if !answer.is_success() {
         return Err(failed(&format!("{}: {}", answer.status, answer.text())));
     }
-    if list && !setup.json {
-        print(page(&answer).map_err(|e| failed(&e))?)?;
+    if is_list && !options.json {
+        print(registrations_table(&answer).map_err(|e| failed(&e))?)?;
     } else {
         print([&answer.body[..], if answer.body.ends_with(b"\n") { b"" } else { b"\n" }].concat())?;
     }
-    Ok(Outcome::All)
+    Ok(Outcome::Success)
 }
 
-fn page(answer: &Answer) -> Result<String, serde_json::Error> {
+/// Formats a registry's answer, which lists its registrations, as a table.
+fn registrations_table(answer: &Answer) -> Result<String, serde_json::Error> {
     let all: Registrations = serde_json::from_slice(&answer.body)?;
-    let head = ["roll server", "endpoint", "zone", "state", "capacity", "lease", "lease left"];
+    let header = ["roll server", "endpoint", "zone", "state", "capacity", "lease", "lease left"];
     let rows = all.registrations.into_iter().map(|r| {
         let t = r.target;
         vec![
-            plain(&t.uid),
-            plain(&t.endpoint),
-            plain(&t.az),
+            escaped(&t.uid),
+            escaped(&t.endpoint),
+            escaped(&t.az),
             format!("{:?}", t.state),
             t.capacity_hint.to_string(),
-            span(Duration::from_millis(r.lease_ms)),
-            span(Duration::from_millis(r.lease_left_ms)),
+            format_duration(Duration::from_millis(r.lease_ms)),
+            format_duration(Duration::from_millis(r.lease_left_ms)),
         ]
     });
-    Ok(format!("version {}\n{}", all.rev, table(&head, rows.collect())))
+    Ok(format!("version {}\n{}", all.rev, table(&header, rows.collect())))
 }
--- a/crates/gateway-cli/src/table.rs
+++ b/crates/gateway-cli/src/table.rs
@@ -1,17 +1,18 @@
-//! Tables on a terminal.
+//! Formats tables and their cells for a terminal.
 
 use comfy_table::{presets, CellAlignment, Table};
 use std::time::Duration;
 
-/// Lines of columns under a head; the columns from the second on that hold figures are set to the right.
-pub fn table(head: &[&str], rows: Vec<Vec<String>>) -> String {
+/// Formats rows as columns under a header, one line each. From the second column on, a column without letters
+/// in its rows is right-aligned.
+pub fn table(header: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_header(head.iter().copied());
-    let figures =
+    table.load_preset(presets::NOTHING).set_header(header.iter().copied());
+    let is_numeric =
         |n: usize| rows.iter().all(|row| row.get(n).is_some_and(|cell| !cell.contains(char::is_alphabetic)));
-    let right: Vec<usize> = (1..head.len()).filter(|n| figures(*n)).collect();
+    let right_aligned: Vec<usize> = (1..header.len()).filter(|n| is_numeric(*n)).collect();
     table.add_rows(rows);
-    for n in right {
+    for n in right_aligned {
         if let Some(column) = table.column_mut(n) {
             column.set_cell_alignment(CellAlignment::Right);
         }
@@ -20,20 +21,20 @@
     lines.lines().map(|line| format!("{}\n", line.trim_end())).collect()
 }
 
-/// A name as it can be shown: what would move the cursor is escaped.
-pub fn plain(name: &str) -> String {
+/// Escapes control characters in a name, so that printing the name cannot move the terminal's cursor.
+pub fn escaped(name: &str) -> String {
     name.escape_debug().to_string()
 }
 
-/// A span of time in its two largest units.
-pub fn span(time: Duration) -> String {
-    let s = time.as_secs();
-    match s {
+/// Formats a duration in its two largest units.
+pub fn format_duration(time: Duration) -> String {
+    let seconds = time.as_secs();
+    match seconds {
         0 => format!("{} ms", time.as_millis()),
-        1..60 => format!("{s} s"),
-        60..3600 => format!("{} min {} s", s / 60, s % 60),
-        3600..86_400 => format!("{} h {} min", s / 3600, s / 60 % 60),
-        _ => format!("{} d {} h", s / 86_400, s / 3600 % 24),
+        1..60 => format!("{seconds} s"),
+        60..3600 => format!("{} min {} s", seconds / 60, seconds % 60),
+        3600..86_400 => format!("{} h {} min", seconds / 3600, seconds / 60 % 60),
+        _ => format!("{} d {} h", seconds / 86_400, seconds / 3600 % 24),
     }
 }
 
