--- a/crates/gateway-cli/tests/golden_texts.rs
+++ b/crates/gateway-cli/tests/golden_texts.rs
@@ -1,4 +1,4 @@
-//! Keys of scenario files, and the command line, stay as they were.
+//! Compares the schema of scenario files and the help texts of the command line with golden files.
 
 use gateway_simulation::Scenario;
 use gateway_test_support::golden::{assert_golden, schema_rules};
@@ -9,19 +9,19 @@
 }
 
 #[test]
-fn scenarios_have_the_keys_and_bounds_that_they_had() {
+fn scenario_keys_and_bounds_match_the_golden_file() {
     let schema = program_support::config::schema::<Scenario>().to_value();
     golden("scenario_schema.json", &schema_rules(&schema));
 }
 
 #[test]
-fn the_command_line_is_described_as_it_was() {
-    let lines: [&[&str]; 5] = [&[], &["registry"], &["lab"], &["lab", "run"], &["trial"]];
-    let help = |words: &&[&str]| {
+fn help_texts_match_the_golden_file() {
+    let commands: [&[&str]; 5] = [&[], &["registry"], &["lab"], &["lab", "run"], &["trial"]];
+    let help = |arguments: &&[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sprucehatch"));
-        let output = command.args(*words).arg("--help").output().expect("it runs");
-        assert!(output.status.success(), "{words:?}");
-        format!("$ sprucehatch {}\n{}", words.join(" "), String::from_utf8_lossy(&output.stdout))
+        let output = command.args(*arguments).arg("--help").output().expect("the program runs");
+        assert!(output.status.success(), "{arguments:?}");
+        format!("$ sprucehatch {}\n{}", arguments.join(" "), String::from_utf8_lossy(&output.stdout))
     };
-    golden("help.txt", &lines.iter().map(help).collect::<String>());
+    golden("help.txt", &commands.iter().map(help).collect::<String>());
 }
