--- a/crates/mutants/src/lib.rs
+++ b/crates/mutants/src/lib.rs
@@ -1,8 +1,9 @@
-//! Wrong changes to control and state put in on purpose, each with the test that catches it.
+//! Mutation tests of control and state: deliberate wrong changes, each with the test that must detect it.
 //!
-//! A test that stays green with a wrong change in place holds nothing. `cargo run -p mutants` copies the workspace into
-//! a scratch folder, puts in one change after the other, and runs the test that must fail with it. Nothing of this is in
-//! the shipped programs; the tests of this crate check that each change still fits its file.
+//! A test that still passes with a wrong change applied does not check the behaviour that the change breaks.
+//! `cargo run -p mutants` copies the workspace into a scratch folder, applies one change at a time, and runs
+//! the test that must fail with it. The shipped programs contain none of this; the tests of this crate check
+//! that each change still applies to its file.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/mutants/src/list.rs
+++ b/crates/mutants/src/list.rs
@@ -1,4 +1,4 @@
-//! The wrong changes, a module for each point of `docs/control-safety.md` that they break.
+//! The wrong changes. The changes of a module break the same point of `docs/control-safety.md`.
 
 mod answers;
 mod configuration_changes;
@@ -11,7 +11,7 @@
 
 use crate::mutant::Mutant;
 
-/// All changes, by point.
+/// All changes, in the order of the modules.
 pub fn mutants() -> Vec<Mutant> {
     [
         terms_and_leases::MUTANTS,
--- a/crates/mutants/src/list/answers.rs
+++ b/crates/mutants/src/list/answers.rs
@@ -1,8 +1,9 @@
-//! Who gets which answer, and what is sent once.
+//! Wrong changes to calls to workers: matching replies to calls, end reports, lease expiry, and repeated
+//! sends.
 
 use crate::mutant::Mutant;
 
-/// Who gets which answer, and what is sent once.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
         Mutant {
             name: "calls-of-an-earlier-leadership",
--- a/crates/mutants/src/list/configuration_changes.rs
+++ b/crates/mutants/src/list/configuration_changes.rs
@@ -1,8 +1,8 @@
-//! Identity of the operator's orders.
+//! Wrong changes to how configuration changes of the operator are identified and repeats are recognized.
 
 use crate::mutant::Mutant;
 
-/// Identity of the operator's orders.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
         Mutant {
             name: "order-known-by-its-version",
--- a/crates/mutants/src/list/foundings.rs
+++ b/crates/mutants/src/list/foundings.rs
@@ -1,8 +1,8 @@
-//! Foundings of a group, and its growth.
+//! Wrong changes to the founding of a consensus group and its growth.
 
 use crate::mutant::Mutant;
 
-/// Foundings of a group, and its growth.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
     Mutant {
         name: "founding-without-a-silent-seed",
--- a/crates/mutants/src/list/listings.rs
+++ b/crates/mutants/src/list/listings.rs
@@ -1,8 +1,8 @@
-//! The age of the platform's list.
+//! Wrong changes to the age limit of the platform's list of workers.
 
 use crate::mutant::Mutant;
 
-/// The age of the platform's list.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
     Mutant {
         name: "worker-chosen-on-a-listing-of-any-age",
--- a/crates/mutants/src/list/membership_changes.rs
+++ b/crates/mutants/src/list/membership_changes.rs
@@ -1,8 +1,8 @@
-//! Changes of members.
+//! Wrong changes to changes of a group's membership.
 
 use crate::mutant::Mutant;
 
-/// Changes of members.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
         Mutant {
             name: "learner-promoted-behind",
--- a/crates/mutants/src/list/relays.rs
+++ b/crates/mutants/src/list/relays.rs
@@ -1,8 +1,8 @@
-//! Point 7: calls to workers over relays.
+//! Wrong changes to calls to workers over relays (point 7).
 
 use crate::mutant::Mutant;
 
-/// The changes.
+/// The changes of this module.
 pub(super) const MUTANTS: &[Mutant] = &[
     Mutant {
         name: "route-changes-without-a-higher-token",
--- a/crates/mutants/src/list/snapshots.rs
+++ b/crates/mutants/src/list/snapshots.rs
@@ -1,8 +1,8 @@
-//! Snapshots, compaction, the disk.
+//! Wrong changes to snapshots, log compaction and durable storage.
 
 use crate::mutant::Mutant;
 
-/// Snapshots, compaction, the disk.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
         Mutant {
             name: "snapshot-over-newer-entries",
--- a/crates/mutants/src/list/terms_and_leases.rs
+++ b/crates/mutants/src/list/terms_and_leases.rs
@@ -1,8 +1,8 @@
-//! Terms, leases, contact with a majority.
+//! Wrong changes to terms, votes, leader leases and contact with a majority.
 
 use crate::mutant::Mutant;
 
-/// Terms, leases, contact with a majority.
+/// The changes of this module.
 pub const MUTANTS: &[Mutant] = &[
         Mutant {
             name: "vote-before-sync",
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -1,4 +1,4 @@
-//! Tries wrong changes out and prints which of them a test catches.
+//! Applies the wrong changes one at a time and prints whether the test of each detects it.
 
 use getopts::Options;
 use mutants::{mutants, Mutant, Outcome, Scratch, ScratchError};
@@ -6,7 +6,8 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-const BRIEF: &str = "Usage: mutants [options]
+/// The head of the help text.
+const USAGE: &str = "Usage: mutants [options]
 
 Copies the workspace into a scratch folder, puts in one wrong change after the other and runs the test that must fail
 with it. Exits with 1 if a change is missed.";
@@ -26,7 +27,7 @@
         }
     };
     if matches.opt_present("help") {
-        print!("{}", options.usage(BRIEF));
+        print!("{}", options.usage(USAGE));
         return ExitCode::SUCCESS;
     }
     let only = matches.opt_str("only").unwrap_or_default();
@@ -50,17 +51,18 @@
     }
 }
 
-/// Tries all out; gives how many were not caught.
+/// Tries out all chosen changes in `folder`, printing each outcome. Returns the number of changes that were
+/// not caught.
 fn try_all(chosen: &[Mutant], folder: &Path) -> Result<usize, ScratchError> {
     std::fs::create_dir_all(folder).map_err(|error| ScratchError::File(folder.to_owned(), error))?;
     let folder = folder.canonicalize().map_err(|error| ScratchError::File(folder.to_owned(), error))?;
     let scratch = Scratch::copy(Path::new("."), &folder)?;
     let mut missed = 0;
     for mutant in chosen {
-        let begun = Instant::now();
+        let started = Instant::now();
         let outcome = scratch.try_out(mutant)?;
         missed += usize::from(outcome != Outcome::Caught);
-        println!("{outcome:?}  {}  {:.1} s  {}", mutant.name, begun.elapsed().as_secs_f64(), mutant.test);
+        println!("{outcome:?}  {}  {:.1} s  {}", mutant.name, started.elapsed().as_secs_f64(), mutant.test);
     }
     println!("{} changes, {missed} not caught", chosen.len());
     Ok(missed)
--- a/crates/mutants/src/mutant.rs
+++ b/crates/mutants/src/mutant.rs
@@ -1,18 +1,18 @@
-//! One wrong change and the test that must fail with it.
+//! A wrong change to a source file, with the test that must fail with it.
 
-/// A wrong change, and the test that must fail with it.
+/// A wrong change to a source file, with the test that must fail with it.
 #[derive(Clone, Debug)]
 pub struct Mutant {
-    /// What it does.
+    /// A unique name that says what the change does.
     pub name: &'static str,
-    /// The point of `docs/control-safety.md` that it breaks, 1 to 6.
+    /// The point of `docs/control-safety.md` that the change breaks, 1 to 7.
     pub point: u8,
-    /// The file, from the root of the workspace.
+    /// The path of the file, relative to the root of the workspace.
     pub file: &'static str,
-    /// Text that stands once in the file.
+    /// The text to replace, which occurs exactly once in the file.
     pub find: &'static str,
-    /// What is put in its place.
+    /// The replacement.
     pub replace: &'static str,
-    /// Arguments of `cargo test`: `-p PACKAGE --test FILE [NAME]`.
+    /// Arguments of `cargo test` that run the test: `-p PACKAGE --test FILE [NAME]`.
     pub test: &'static str,
 }
--- a/crates/mutants/src/workspace.rs
+++ b/crates/mutants/src/workspace.rs
@@ -1,4 +1,4 @@
-//! A scratch copy of the workspace in which a change is put in and a test is run.
+//! A scratch copy of the workspace, in which wrong changes are applied and tests are run.
 
 use std::fs;
 use std::io;
@@ -7,27 +7,28 @@
 
 use crate::Mutant;
 
-/// Folders at the root that a build needs.
-const COPIED: [&str; 6] = ["crates", "deploy", "docs", "Cargo.toml", "Cargo.lock", "README.md"];
+/// Files and folders at the workspace's root that a build needs.
+const COPIED_PATHS: [&str; 6] = ["crates", "deploy", "docs", "Cargo.toml", "Cargo.lock", "README.md"];
 
-/// What became of a change.
+/// The result of trying out a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The test failed with it.
+    /// The test failed with the change.
     Caught,
-    /// The test passed with it: the test holds nothing.
+    /// The test passed with the change, so the test does not check the behaviour that the change breaks.
     Missed,
-    /// The workspace does not build with it: the change is no change of behaviour.
+    /// The test does not build with the change, so the change says nothing about the test.
     DoesNotBuild,
 }
 
-/// Why a change could not be tried.
+/// Why a change could not be tried out.
 #[derive(Debug)]
 pub enum ScratchError {
-    /// A file or folder of the copy.
+    /// A file or folder of the copy cannot be read or written.
     File(PathBuf, io::Error),
-    /// The text to replace does not stand exactly once in its file.
-    Places(&'static str, usize),
+    /// The text to replace does not occur exactly once in its file: the change's name and the number of
+    /// occurrences.
+    Occurrences(&'static str, usize),
     /// `cargo` cannot be started.
     Cargo(io::Error),
 }
@@ -36,39 +37,39 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ScratchError::File(path, error) => {
-                write!(formatter, "{}: {error}: see that the folder can be written to", path.display())
+                write!(formatter, "{}: {error}: check that the folder is writable", path.display())
             }
-            ScratchError::Places(name, count) => write!(
+            ScratchError::Occurrences(name, count) => write!(
                 formatter,
-                "{name}: its text stands {count} times in its file: bring the list of mutants up to date"
+                "{name}: the text to replace occurs {count} times in its file: update the list of mutants"
             ),
-            ScratchError::Cargo(error) => write!(formatter, "cargo does not start ({error}): see PATH"),
+            ScratchError::Cargo(error) => write!(formatter, "cannot start cargo ({error}): check PATH"),
         }
     }
 }
 
 impl std::error::Error for ScratchError {}
 
-/// A copy of the workspace.
+/// A scratch copy of the workspace, with a target folder that is kept between runs.
 pub struct Scratch {
     root: PathBuf,
     target: PathBuf,
 }
 
 impl Scratch {
-    /// Copies the workspace at `source` into `folder`, where builds of earlier runs are used again.
+    /// Copies the workspace at `source` into `folder`, whose target folder is reused from earlier runs.
     pub fn copy(source: &Path, folder: &Path) -> Result<Scratch, ScratchError> {
         let root = folder.join("workspace");
         if root.exists() {
             fs::remove_dir_all(&root).map_err(|error| ScratchError::File(root.clone(), error))?;
         }
-        for name in COPIED {
+        for name in COPIED_PATHS {
             copy(&source.join(name), &root.join(name))?;
         }
         Ok(Scratch { root, target: folder.join("target") })
     }
 
-    /// Puts a change in, runs its test, and takes the change out again.
+    /// Applies a change, runs its test, and reverts the change.
     pub fn try_out(&self, mutant: &Mutant) -> Result<Outcome, ScratchError> {
         let path = self.root.join(mutant.file);
         let original = read(&path)?;
@@ -78,6 +79,7 @@
         outcome
     }
 
+    /// Builds and runs the change's test.
     fn run_test(&self, mutant: &Mutant) -> Result<Outcome, ScratchError> {
         if !self.cargo(mutant, &["--no-run"])? {
             return Ok(Outcome::DoesNotBuild);
@@ -85,11 +87,12 @@
         Ok(if self.cargo(mutant, &[])? { Outcome::Missed } else { Outcome::Caught })
     }
 
-    fn cargo(&self, mutant: &Mutant, last: &[&str]) -> Result<bool, ScratchError> {
+    /// Runs `cargo test` with the change's arguments and `extra_arguments`. Returns whether it succeeded.
+    fn cargo(&self, mutant: &Mutant, extra_arguments: &[&str]) -> Result<bool, ScratchError> {
         let status = Command::new("cargo")
             .args(["test", "--quiet", "--offline"])
             .args(mutant.test.split(' '))
-            .args(last)
+            .args(extra_arguments)
             .current_dir(&self.root)
             .env("CARGO_TARGET_DIR", &self.target)
             .env("RUSTFLAGS", "-Awarnings")
@@ -102,11 +105,11 @@
 }
 
 impl Mutant {
-    /// The file's text with the change in it.
+    /// Returns the file's text with the change applied. Fails unless the text to replace occurs exactly once.
     pub fn apply(&self, original: &str) -> Result<String, ScratchError> {
         match original.matches(self.find).count() {
             1 => Ok(original.replacen(self.find, self.replace, 1)),
-            count => Err(ScratchError::Places(self.name, count)),
+            count => Err(ScratchError::Occurrences(self.name, count)),
         }
     }
 }
@@ -119,18 +122,19 @@
     fs::write(path, text).map_err(|error| ScratchError::File(path.to_owned(), error))
 }
 
+/// Copies a file, or a folder with all that it contains.
 fn copy(from: &Path, to: &Path) -> Result<(), ScratchError> {
-    let failed = |error| ScratchError::File(from.to_owned(), error);
+    let file_error = |error| ScratchError::File(from.to_owned(), error);
     if from.is_dir() {
-        fs::create_dir_all(to).map_err(failed)?;
-        for entry in fs::read_dir(from).map_err(failed)? {
-            let name = entry.map_err(failed)?.file_name();
+        fs::create_dir_all(to).map_err(file_error)?;
+        for entry in fs::read_dir(from).map_err(file_error)? {
+            let name = entry.map_err(file_error)?.file_name();
             copy(&from.join(&name), &to.join(&name))?;
         }
         return Ok(());
     }
     if let Some(parent) = to.parent() {
-        fs::create_dir_all(parent).map_err(failed)?;
+        fs::create_dir_all(parent).map_err(file_error)?;
     }
-    fs::copy(from, to).map(drop).map_err(failed)
+    fs::copy(from, to).map(drop).map_err(file_error)
 }
--- a/crates/mutants/tests/list.rs
+++ b/crates/mutants/tests/list.rs
@@ -1,4 +1,4 @@
-//! Each change of the list fits its file, and names a test that is there.
+//! Checks that each change of the list applies to its file and names an existing test.
 
 use mutants::mutants;
 use std::collections::BTreeSet;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn every_change_fits_its_file_once_and_changes_it() {
+fn every_change_applies_once_to_its_file_and_alters_it() {
     for mutant in mutants() {
         let original = std::fs::read_to_string(root().join(mutant.file)).expect(mutant.file);
         let changed = mutant.apply(&original).unwrap_or_else(|error| panic!("{error}"));
@@ -18,16 +18,16 @@
 }
 
 #[test]
-fn every_change_names_a_test_file_that_is_there() {
+fn every_change_names_an_existing_test() {
     for mutant in mutants() {
-        let words: Vec<&str> = mutant.test.split(' ').collect();
-        let [_, package, _, test, rest @ ..] = words.as_slice() else {
+        let arguments: Vec<&str> = mutant.test.split(' ').collect();
+        let [_, package, _, test, test_names @ ..] = arguments.as_slice() else {
             panic!("{}: {:?} is no `-p PACKAGE --test FILE [NAME]`", mutant.name, mutant.test)
         };
         let path = root().join(format!("crates/{package}/tests/{test}.rs"));
         let text =
             std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-        for name in rest {
+        for name in test_names {
             assert!(
                 text.contains(&format!("fn {name}")),
                 "{}: no test {name} in {}",
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn names_are_used_once_and_all_seven_points_have_changes() {
+fn names_are_unique_and_every_point_has_changes() {
     let names: BTreeSet<&str> = mutants().iter().map(|mutant| mutant.name).collect();
     assert_eq!(names.len(), mutants().len());
     let points: BTreeSet<u8> = mutants().iter().map(|mutant| mutant.point).collect();
