--- a/crates/gateway-cli/src/demo.rs
+++ b/crates/gateway-cli/src/demo.rs
@@ -11,7 +11,7 @@
 use crate::outcome::Outcome;
 use clap::Args;
 use clients::{generate_load, RequestTally};
-use gateway_process_trial::process::{end_all, text, Folder, Program, PATIENCE};
+use gateway_process_trial::process::{end_all, path_text, Folder, Program, PROCESS_TIMEOUT};
 use program_support::config::Errors;
 use program_support::program::print;
 use servers::RollServer;
@@ -115,10 +115,10 @@
     /// Starts the registry, the simulated servers and the gateways, and waits until the gateways are ready.
     async fn start(options: &CommonOptions, demo: &Demo) -> Result<Self, Errors> {
         let folder = Folder::new("demo")?;
-        let (list, programs) = (folder.path("list"), Program::beside()?);
+        let (list, programs) = (folder.path("list"), Program::own_folder()?);
         let arguments = [
             "--dir",
-            text(&list),
+            path_text(&list),
             "--readers",
             "127.0.0.1:0",
             "--registrars",
@@ -128,8 +128,8 @@
         ];
         let log = folder.path("registry.log");
         let mut registry = Program::start(&programs, "sprucehatch-registry", &arguments, log)?;
-        let readers_address = registry.told("Readers call at ")?;
-        let registrars_address = registry.told("Registrars call at ")?;
+        let readers_address = registry.logged_address("Readers call at ")?;
+        let registrars_address = registry.logged_address("Registrars call at ")?;
         let mut servers = Vec::new();
         for n in 1..=demo.servers {
             servers.push(Some(RollServer::start(format!("s-{n}"), registrars_address, n).await?));
@@ -138,8 +138,8 @@
             (Vec::new(), Vec::new(), Vec::new());
         for n in 0..demo.gateways {
             let mut gateway = start_gateway(&folder, &programs, readers_address, demo.gateways, n)?;
-            client_addresses.push(gateway.told("listening on ")?);
-            operator_addresses.push(gateway.told("operators call at ")?);
+            client_addresses.push(gateway.logged_address("listening on ")?);
+            operator_addresses.push(gateway.logged_address("operators call at ")?);
             gateways.push(gateway);
         }
         let options = CommonOptions {
@@ -233,12 +233,12 @@
     let configuration = format!("name = \"n{n}\"\n{configuration}");
     let file = folder.file(&format!("n{n}.toml"), &configuration)?;
     let log = folder.path(&format!("n{n}.log"));
-    Program::start(programs, "sprucehatch-gateway", &["--config", text(&file)], log)
+    Program::start(programs, "sprucehatch-gateway", &["--config", path_text(&file)], log)
 }
 
-/// Waits until each gateway reports that it is ready. Fails after `PATIENCE`.
+/// Waits until each gateway reports that it is ready. Fails after `PROCESS_TIMEOUT`.
 async fn wait_until_ready(options: &CommonOptions) -> Result<(), Errors> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PROCESS_TIMEOUT;
     loop {
         let answers = statuses(options).await?;
         if answers.iter().all(|(_, status)| status.as_ref().is_ok_and(|s| s.ready)) {
--- a/crates/gateway-cli/src/demo/clients.rs
+++ b/crates/gateway-cli/src/demo/clients.rs
@@ -1,7 +1,7 @@
 //! Simulated clients of the gateways, with counts and latencies of their requests.
 
 use super::random::exponential;
-use gateway_process_trial::client::Idle;
+use gateway_process_trial::client::IdleConnections;
 use http_body_util::Full;
 use hyper::Request;
 use rand::{Rng, SeedableRng};
@@ -28,7 +28,7 @@
 /// Sends one request on an idle or new connection and adds its result to the tally.
 async fn send_request(
     gateway: SocketAddr,
-    idle_connections: Rc<Idle>,
+    idle_connections: Rc<IdleConnections>,
     id: u64,
     customer: u64,
     gateways: u64,
@@ -62,7 +62,7 @@
 /// is dropped. Each request counts in the tally that `tally` holds when the request is sent.
 pub async fn generate_load(gateways: Vec<SocketAddr>, rate: u64, tally: Rc<RefCell<Rc<RequestTally>>>) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let idle_connections: Vec<Rc<Idle>> = gateways.iter().map(|_| Rc::default()).collect();
+    let idle_connections: Vec<Rc<IdleConnections>> = gateways.iter().map(|_| Rc::default()).collect();
     let mut id = u64::from(std::process::id()) << 32;
     let mut next_arrival = Instant::now();
     let mut requests = JoinSet::new();
--- a/crates/gateway-cli/src/trial.rs
+++ b/crates/gateway-cli/src/trial.rs
@@ -6,7 +6,7 @@
 use crate::table::table;
 use clap::{Args, Subcommand};
 use gateway_process_trial::process::Program;
-use gateway_process_trial::{quantile, Figures, Played};
+use gateway_process_trial::{quantile, Figures, TrialResult};
 use gateway_simulation::page::{Line, Page};
 use gateway_simulation::report::FLEET_STATS_COLUMNS;
 use gateway_simulation::stats::FIGURES;
@@ -65,12 +65,12 @@
     let Some(run) = run else { return print("ok\n").map(|()| Outcome::Success) };
     let programs = match &run.programs {
         Some(folder) => folder.clone(),
-        None => Program::beside()?,
+        None => Program::own_folder()?,
     };
     let (mut rules_kept, mut any_void) = (true, false);
     for scenario in &all {
         for seed in (0..run.seeds).map(|n| run.first.wrapping_add(n)) {
-            let Played { mut figures, breach } =
+            let TrialResult { mut figures, breach } =
                 gateway_process_trial::play(scenario, seed, &programs).await?;
             figures.report.seed = seed;
             rules_kept &= breach.is_none();
@@ -193,7 +193,7 @@
     let sum = |index: usize| f.list.iter().map(|second| second[index]).sum::<u32>();
     row(
         "list: calls, turned away, most calls in a second",
-        format!("{}, {}, {}", sum(0), sum(1), Figures::worst(&f.list, 0)),
+        format!("{}, {}, {}", sum(0), sum(1), Figures::max_in_one_second(&f.list, 0)),
         None,
     );
     let opened: u32 = f.opened.iter().sum();
--- a/crates/gateway-cli/tests/operator.rs
+++ b/crates/gateway-cli/tests/operator.rs
@@ -1,7 +1,8 @@
 //! Runs the operators' command line against real gateways and a real registry.
 
 use gateway_test_support::{
-    ask, file, folder, list, logged, program, reserved_address, Backend, Discovery, Gateway, Setup,
+    ask, file, folder, list, program, read_logged_address, reserved_address, Backend, Discovery, Gateway,
+    Setup,
 };
 use serde_json::Value;
 use std::fs;
@@ -41,7 +42,7 @@
         [("s-1", backend.address, "Ready"), (NAME_WITH_SPECIAL_CHARACTERS, backend.address, "Ready")];
     let discovery = Discovery::new(list(1, true, &targets));
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     (discovery, gateway)
 }
 
@@ -137,8 +138,8 @@
     let _registry = Registry(child);
     let mut line = String::new();
     std::io::BufRead::read_line(&mut log, &mut line).expect("the line with the version");
-    logged(&mut log, "Readers call at ");
-    let at = logged(&mut log, "Registrars call at ").to_string();
+    read_logged_address(&mut log, "Readers call at ");
+    let at = read_logged_address(&mut log, "Registrars call at ").to_string();
     let call = |arguments: &[&str]| run(&[&["registry"], arguments, &["--registrars", &at]].concat());
     let register = [
         "register",
--- a/crates/gateway-process-trial/src/client.rs
+++ b/crates/gateway-process-trial/src/client.rs
@@ -13,7 +13,7 @@
 
 /// Connections to one gateway that idle.
 #[derive(Default)]
-pub struct Idle(RefCell<Vec<SendRequest<Full<Bytes>>>>);
+pub struct IdleConnections(RefCell<Vec<SendRequest<Full<Bytes>>>>);
 
 /// What a gateway said.
 pub struct Reply {
@@ -31,9 +31,9 @@
     Broken,
 }
 
-impl Idle {
+impl IdleConnections {
     /// Makes a request. One that crosses the close of a kept connection is made once more on a new one, as the protocol has it.
-    pub async fn ask(&self, gateway: SocketAddr, request: Request<Full<Bytes>>) -> Result<Reply, Lost> {
+    pub async fn send(&self, gateway: SocketAddr, request: Request<Full<Bytes>>) -> Result<Reply, Lost> {
         let kept = self.0.borrow_mut().pop().filter(SendRequest::is_ready);
         if let Some(connection) = kept {
             if let Ok(reply) = self.exchange(connection, request.clone()).await {
--- a/crates/gateway-process-trial/src/figures.rs
+++ b/crates/gateway-process-trial/src/figures.rs
@@ -71,7 +71,7 @@
     }
 
     /// The most in one second.
-    pub fn worst<const N: usize>(seconds: &[[u32; N]], what: usize) -> u32 {
+    pub fn max_in_one_second<const N: usize>(seconds: &[[u32; N]], what: usize) -> u32 {
         seconds.iter().map(|second| second[what]).max().unwrap_or(0)
     }
 }
--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -24,7 +24,7 @@
 
 use crate::addresses::{Addresses, Target, MOST_SERVERS};
 use crate::net::Net;
-use crate::process::{end_all, text, Folder, Program};
+use crate::process::{end_all, path_text, Folder, Program};
 use crate::world::World;
 use gateway_decisions::Effect;
 use gateway_protocol::list::State;
@@ -59,7 +59,7 @@
 const TURN: Duration = Duration::from_millis(10);
 
 /// What a trial came to.
-pub struct Played {
+pub struct TrialResult {
     pub figures: Figures,
     pub breach: Option<Box<Breach>>,
 }
@@ -100,7 +100,7 @@
 }
 
 /// Plays a scenario once with the programs of a folder. To be used on a local runtime. Dropped, it ends all it has started.
-pub async fn play(scenario: &Scenario, seed: u64, programs: &Path) -> Result<Played, Errors> {
+pub async fn play(scenario: &Scenario, seed: u64, programs: &Path) -> Result<TrialResult, Errors> {
     check(scenario)?;
     // The soft limit is this program's own to raise.
     let most = getrlimit(Resource::Nofile).maximum;
@@ -132,7 +132,7 @@
 }
 
 impl Trial {
-    async fn play(self) -> Result<Played, Errors> {
+    async fn play(self) -> Result<TrialResult, Errors> {
         let (world, scenario) = (&self.world, &self.world.scenario);
         // Ends with the trial, whatever comes of it.
         let mut tasks = JoinSet::new();
@@ -199,14 +199,14 @@
         (figures.report.scenario, figures.report.seed) = (scenario.name.clone(), 0);
         figures.report.seconds.truncate(scenario.seconds.ceil() as usize);
         figures.close();
-        Ok(Played { figures, breach: world.ledger().check(scenario).err() })
+        Ok(TrialResult { figures, breach: world.ledger().check(scenario).err() })
     }
 
     fn not_ready(&self, begun: Instant) -> Errors {
         let late = self.world.gateways.iter().enumerate().filter(|(_, place)| !place.taken_in.get());
         let said = late.map(|(n, place)| {
             let program = place.program.borrow();
-            format!("n{n}{}", program.as_ref().map(Program::last_word).unwrap_or_default())
+            format!("n{n}{}", program.as_ref().map(Program::last_log_line).unwrap_or_default())
         });
         let said: Vec<String> = said.take(5).collect();
         Errors::single(format!("not ready after {:.0} s: {}", begun.elapsed().as_secs_f64(), said.join(", ")))
@@ -219,13 +219,15 @@
             return Ok(None);
         }
         let list = self.folder.path("list");
-        let arguments = ["--dir", text(&list), "--readers", "127.0.0.1:0", "--registrars", "127.0.0.1:0"];
+        let arguments =
+            ["--dir", path_text(&list), "--readers", "127.0.0.1:0", "--registrars", "127.0.0.1:0"];
         let calls = (self.world.scenario.list.capacity as u32).to_string();
         let bound = if calls == "0" { vec![] } else { vec!["--calls-per-s", calls.as_str()] };
         let arguments = [&arguments[..], &["--grace-ms", "0"], &bound].concat();
         let log = self.folder.path("registry.log");
         let mut program = Program::start(&self.programs, "sprucehatch-registry", &arguments, log)?;
-        let at = [program.told("Readers call at ")?, program.told("Registrars call at ")?];
+        let at =
+            [program.logged_address("Readers call at ")?, program.logged_address("Registrars call at ")?];
         let _ = self.world.registry.set(at);
         Ok(Some(program))
     }
@@ -238,7 +240,8 @@
         let configuration = configuration(world, n, known).to_string();
         let file = self.folder.file(&format!("{name}.json"), &configuration)?;
         let log = self.folder.path(&format!("{name}.log"));
-        let program = Program::start(&self.programs, "sprucehatch-gateway", &["--config", text(&file)], log)?;
+        let program =
+            Program::start(&self.programs, "sprucehatch-gateway", &["--config", path_text(&file)], log)?;
         // What the configuration names is listed there, drained ones too.
         let listed =
             (0..world.stand_ins.len()).filter(|m| known && world.stand_ins[*m].state.get() != State::Gone);
@@ -300,7 +303,7 @@
             if let Some((program, status)) =
                 program.as_mut().and_then(|p| p.ended().map(|status| (p, status)))
             {
-                lost.push(format!("gateway n{n} ended with {status}{}", program.last_word()));
+                lost.push(format!("gateway n{n} ended with {status}{}", program.last_log_line()));
             }
         }
         (!lost.is_empty()).then(|| lost.join("; "))
@@ -311,7 +314,8 @@
         for place in &self.world.gateways {
             let program = place.program.borrow();
             // One that was started anew has less to show.
-            let Some(used) = program.as_ref().filter(|_| place.life.get() == 1).and_then(Program::use_now)
+            let Some(used) =
+                program.as_ref().filter(|_| place.life.get() == 1).and_then(Program::resource_usage)
             else {
                 continue;
             };
--- a/crates/gateway-process-trial/src/process.rs
+++ b/crates/gateway-process-trial/src/process.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// What a program may take to say where it listens, or to end.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+pub const PROCESS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What the environment says is meant for other gateways.
 const VARIABLES: [&str; 7] =
@@ -44,7 +44,7 @@
     }
 
     /// The folder that this program lies in, with the others beside it.
-    pub fn beside() -> Result<PathBuf, Errors> {
+    pub fn own_folder() -> Result<PathBuf, Errors> {
         let own = std::env::current_exe().map_err(failed("this program's own file"))?;
         Ok(own.parent().map(Path::to_path_buf).unwrap_or_default())
     }
@@ -55,8 +55,8 @@
     }
 
     /// The address that its log tells after these words. Waits for it: only for what starts before all else.
-    pub fn told(&mut self, words: &str) -> Result<SocketAddr, Errors> {
-        let end = Instant::now() + PATIENCE;
+    pub fn logged_address(&mut self, words: &str) -> Result<SocketAddr, Errors> {
+        let end = Instant::now() + PROCESS_TIMEOUT;
         loop {
             let lines = self.lines();
             let found = lines.iter().find_map(|line| line.split_once(words));
@@ -68,7 +68,7 @@
                 return Err(Errors::single(format!(
                     "{} does not say {words:?}{}",
                     self.name,
-                    self.last_word()
+                    self.last_log_line()
                 )));
             }
             sleep(Duration::from_millis(5));
@@ -76,7 +76,7 @@
     }
 
     /// What it said last, to be told with its failure.
-    pub fn last_word(&self) -> String {
+    pub fn last_log_line(&self) -> String {
         match self.lines().pop() {
             Some(line) => format!("; its last word was {line:?}"),
             None => "; it said nothing".to_string(),
@@ -106,7 +106,7 @@
     }
 
     /// Processor time in milliseconds, resident memory in kB and open descriptors.
-    pub fn use_now(&self) -> Option<Use> {
+    pub fn resource_usage(&self) -> Option<ResourceUsage> {
         let of = |file: &str| fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).ok();
         let stat = of("stat")?;
         // After the name in brackets: the 12th and 13th field are the times in user and system mode, in ticks.
@@ -115,7 +115,7 @@
         let status = of("status")?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let descriptors = fs::read_dir(format!("/proc/{}/fd", self.child.id())).ok()?.count();
-        Some(Use {
+        Some(ResourceUsage {
             processor_ms: ticks * 1000 / rustix::param::clock_ticks_per_second().max(1),
             memory_kb: memory.split_whitespace().next()?.parse().ok()?,
             descriptors: descriptors as u64,
@@ -125,7 +125,7 @@
 
 /// What a process uses.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Use {
+pub struct ResourceUsage {
     pub processor_ms: u64,
     pub memory_kb: u64,
     pub descriptors: u64,
@@ -133,7 +133,7 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + PROCESS_TIMEOUT;
         // One that stands still would not hear the other.
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
@@ -181,6 +181,6 @@
 }
 
 /// A path as an argument.
-pub fn text(path: &Path) -> &str {
+pub fn path_text(path: &Path) -> &str {
     path.to_str().unwrap_or_default()
 }
--- a/crates/gateway-process-trial/src/world/clients.rs
+++ b/crates/gateway-process-trial/src/world/clients.rs
@@ -103,7 +103,7 @@
         let wait = deadline + ANSWER_SLACK_NS + SOCKETS - now;
         let limit = Duration::from_nanos(leaves.unwrap_or(wait));
         let reply = match request {
-            Ok(request) => timeout(limit, place.idle.ask(self.addresses.gateway(gateway), request)).await,
+            Ok(request) => timeout(limit, place.idle.send(self.addresses.gateway(gateway), request)).await,
             Err(e) => unreachable!("a request of digits: {e}"),
         };
         let at = self.clock.now();
--- a/crates/gateway-process-trial/src/world/gateways.rs
+++ b/crates/gateway-process-trial/src/world/gateways.rs
@@ -1,6 +1,6 @@
 //! Gateways' processes, and the front that sends clients to them.
 
-use crate::client::{Idle, Reply};
+use crate::client::{IdleConnections, Reply};
 use crate::ledger::Seen;
 use crate::process::Program;
 use crate::world::World;
@@ -33,11 +33,11 @@
     pub async fn front(self: Rc<Self>, gateway: usize) {
         let (place, begun, life) =
             (&self.gateways[gateway], Instant::now(), self.gateways[gateway].life.get());
-        let (looks, mut pause) = (Idle::default(), Duration::from_millis(20));
+        let (looks, mut pause) = (IdleConnections::default(), Duration::from_millis(20));
         while place.life.get() == life {
             let look = Request::get("/ready").header("host", "front").body(Full::default());
             let Ok(look) = look else { return };
-            let reply = timeout(Duration::from_secs(2), looks.ask(self.addresses.gateway(gateway), look));
+            let reply = timeout(Duration::from_secs(2), looks.send(self.addresses.gateway(gateway), look));
             if matches!(reply.await, Ok(Ok(Reply { status: 200, .. }))) && place.life.get() == life {
                 place.taken_in.set(true);
                 self.figures.borrow_mut().ready_s.push(begun.elapsed().as_secs_f64());
--- a/crates/gateway-process-trial/src/world/state.rs
+++ b/crates/gateway-process-trial/src/world/state.rs
@@ -1,6 +1,6 @@
 //! A gateway's process, and a client's request.
 
-use crate::client::Idle;
+use crate::client::IdleConnections;
 use crate::process::Program;
 use gateway_decisions::Time;
 use gateway_simulation::customer::ClientRequest;
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub struct GatewayProcess {
     pub program: RefCell<Option<Program>>,
-    pub idle: Idle,
+    pub idle: IdleConnections,
     /// The front sends clients there.
     pub taken_in: Cell<bool>,
     /// It stands still until then.
--- a/crates/gateway-test-support/src/lib.rs
+++ b/crates/gateway-test-support/src/lib.rs
@@ -119,7 +119,7 @@
 }
 
 /// A listener whose queue is full: no further connection to it comes up until it accepts. And what fills the queue.
-pub fn crowded() -> (TcpListener, Vec<TcpStream>) {
+pub fn listener_with_full_queue() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
     socket.listen(1).expect("listens");
@@ -159,7 +159,7 @@
         let address = listener.local_addr().expect("an address");
         let told = Arc::new((Mutex::new(Told::default()), Condvar::new()));
         let d = Discovery { address, told: told.clone() };
-        d.tell(1, first);
+        d.publish(1, first);
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (Ok(stream), told) = (stream, told.clone()) else { return };
@@ -172,7 +172,7 @@
     /// Discovery that takes calls and answers none.
     pub fn silent() -> Self {
         let d = Discovery::new(String::new());
-        d.untell();
+        d.retract_latest();
         d
     }
 
@@ -198,13 +198,13 @@
         }
     }
 
-    pub fn tell(&self, rev: u64, body: String) {
+    pub fn publish(&self, rev: u64, body: String) {
         self.told.0.lock().expect("not poisoned").lists.push((rev, body));
         self.told.1.notify_all();
     }
 
     /// Takes the latest back.
-    pub fn untell(&self) {
+    pub fn retract_latest(&self) {
         self.told.0.lock().expect("not poisoned").lists.pop();
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Waits until the gateway has called so often: it has then taken in what the calls before told.
-    pub fn called(&self, times: usize) {
+    pub fn wait_for_calls(&self, times: usize) {
         let t = self.told.0.lock().expect("not poisoned");
         let (_guard, late) =
             self.told.1.wait_timeout_while(t, LIMIT, |t| t.calls < times).expect("not poisoned");
@@ -317,7 +317,7 @@
 }
 
 /// The address that the next line of a program's log tells after these words.
-pub fn logged(log: &mut impl BufRead, words: &str) -> SocketAddr {
+pub fn read_logged_address(log: &mut impl BufRead, words: &str) -> SocketAddr {
     let mut line = String::new();
     log.read_line(&mut line).expect("a line");
     let told = line.trim().split_once(words).unwrap_or_else(|| panic!("{words:?} in {line:?}"));
@@ -369,7 +369,7 @@
     pub fn start(discovery: &Discovery) -> Self {
         let gateway = Gateway::with(discovery, Setup::default());
         // The second call is the watch: the list is in.
-        discovery.called(2);
+        discovery.wait_for_calls(2);
         gateway
     }
 
@@ -425,8 +425,8 @@
         // Before anything can fail: it ends the process.
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut gateway = Gateway { child, address: any, ops: None, log: lines, unread: None, config };
-        gateway.address = logged(&mut log, "listening on ");
-        gateway.ops = setup.ops.then(|| logged(&mut log, "operators call at "));
+        gateway.address = read_logged_address(&mut log, "listening on ");
+        gateway.ops = setup.ops.then(|| read_logged_address(&mut log, "operators call at "));
         if setup.unread {
             gateway.unread = Some(log);
         } else {
@@ -437,7 +437,7 @@
     }
 
     /// Waits for a line of the log that holds this text.
-    pub fn logs(&self, text: &str) -> String {
+    pub fn wait_for_log_line(&self, text: &str) -> String {
         loop {
             let line = self.log.recv_timeout(LIMIT).expect("a line of the log");
             if line.contains(text) {
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -12,7 +12,7 @@
 fn start(backend: &Backend) -> Gateway {
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     gateway
 }
 
@@ -209,7 +209,7 @@
     });
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client: TcpStream = gateway.client().stream;
     let head = with_body("book-slot", &format!("Content-Length: {LARGE}"));
     client.write_all(head.as_bytes()).expect("the gateway reads");
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -122,7 +122,7 @@
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup::default());
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let valid = gateway.configuration();
     let (good, bad) = (Cell::new(0), Cell::new(0));
     let mut client = gateway.client();
@@ -142,7 +142,7 @@
         let changed = valid.replace(from, to);
         assert_ne!(changed, valid, "{from}");
         gateway.reconfigure(&changed);
-        gateway.logs("the old one stands");
+        gateway.wait_for_log_line("the old one stands");
     }
     let toml = Gateway::with(&discovery, Setup { toml: Some(TOML.to_string()), ..Setup::default() });
     run(40, |text| {
@@ -150,7 +150,7 @@
         let count = if passes { &good } else { &bad };
         count.set(count.get() + 1);
         toml.reconfigure(&text.replace("DISCOVERY", &discovery.address.to_string()));
-        toml.logs(if passes { "configuration read again" } else { "the old one stands" });
+        toml.wait_for_log_line(if passes { "configuration read again" } else { "the old one stands" });
     });
     assert!(good.get() > 5 && bad.get() > 5, "{good:?} applied, {bad:?} rejected");
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -1,7 +1,9 @@
 //! What clients still get when something ends: tests on real connections that force the unfavourable order of
 //! events.
 
-use gateway_test_support::{ask, crowded, list, ok, say, Ask, Backend, Discovery, Gateway, Setup, LIMIT};
+use gateway_test_support::{
+    ask, list, listener_with_full_queue, ok, say, Ask, Backend, Discovery, Gateway, Setup, LIMIT,
+};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
@@ -69,7 +71,7 @@
     let backend = unresponsive_backend();
     let discovery = discovery_with(&backend);
     let mut gateway = Gateway::with(&discovery, with_long_deadline());
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let (mut before, mut after) = (gateway.client(), gateway.client());
     assert_eq!(after.ask(READY).status(), 200);
     before.send(&with_timeout("book-slot", "9.0").text());
@@ -79,7 +81,7 @@
     after.send(&late[..40]);
     assert_eq!(gateway.client().ask(READY).status(), 200);
     gateway.signal("-TERM");
-    gateway.logs("draining");
+    gateway.wait_for_log_line("draining");
     let signalled = Instant::now();
     after.send(&late[40..]);
     for client in [&mut before, &mut after] {
@@ -106,7 +108,7 @@
     client.send("x");
     assert_eq!(gateway.client().ask(READY).status(), 200);
     gateway.signal("-TERM");
-    gateway.logs("draining");
+    gateway.wait_for_log_line("draining");
     let mut writer = client.stream.try_clone().expect("a second handle");
     // Sends at the pace of a well-behaved client, until the client has its answer.
     let slow = std::thread::spawn(move || {
@@ -138,7 +140,7 @@
     let mut first = vec![0; HALF];
     client.stream.read_exact(&mut first).expect("the first half");
     gateway.signal("-TERM");
-    gateway.logs("draining");
+    gateway.wait_for_log_line("draining");
     std::thread::sleep(MIN_EXIT_TIME + Duration::from_millis(200));
     go.send(()).expect("the backend waits");
     let (rest, _) = read_to_end_of_connection(&mut client.stream);
@@ -157,7 +159,7 @@
     // `early` has been accepted once this later connection is answered.
     assert_eq!(gateway.client().ask(READY).status(), 200);
     gateway.signal("-TERM");
-    gateway.logs("draining");
+    gateway.wait_for_log_line("draining");
     let mut late = gateway.client();
     assert_eq!(gateway.client().ask(READY).status(), 503);
     let ended = |answer: gateway_test_support::Message| {
@@ -202,7 +204,7 @@
     client.send(&ask("quote").text());
     backend.next();
     gateway.signal("-TERM");
-    gateway.logs("draining");
+    gateway.wait_for_log_line("draining");
     // More than the gateway reads ahead of a request in progress.
     client.send(&"x".repeat(60_000));
     go.send(()).expect("the backend waits");
@@ -273,7 +275,7 @@
     drop(probe);
     let clients: Vec<_> = (most - 1..=most).map(fill).collect();
     gateway.signal("-TERM");
-    gateway.logs("draining");
+    gateway.wait_for_log_line("draining");
     std::thread::sleep(MIN_EXIT_TIME + Duration::from_millis(200));
     for (mut client, sent) in clients {
         for n in 1..=sent {
@@ -299,7 +301,7 @@
         assert_eq!(gateway.client().ask(READY).status(), 503);
         drop(leaves);
         std::thread::sleep(Duration::from_millis(250));
-        discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
+        discovery.publish(2, list(2, false, &[("s-1", backend.address, "Ready")]));
         assert_eq!(stays.answer().body, format!("for {}", expected.id).into_bytes());
         assert_eq!(backend.next().header("request-id"), Some(expected.id.as_str()));
         assert!(backend.untouched(), "forwarded after its client disconnected, unread: {:?}", &unread[..2]);
@@ -322,7 +324,7 @@
     assert_eq!(gateway.client().ask(READY).status(), 503);
     drop(leaves);
     std::thread::sleep(Duration::from_millis(250));
-    discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
+    discovery.publish(2, list(2, false, &[("s-1", backend.address, "Ready")]));
     assert_eq!(stays.answer().status(), 200);
     assert_eq!(backend.next().header("request-id"), Some(expected.id.as_str()));
     assert!(backend.untouched());
@@ -338,18 +340,18 @@
     let little = vec![(r#""memory_mb":192"#, r#""memory_mb":1"#)];
     let setup = Setup { changed: little, log: Some(r#"{"level":"debug"}"#), ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let (mut leaves, mut stays) = (gateway.client(), gateway.client());
     let head = format!("Content-Length: {LENGTH}\r\n\r\n");
     leaves.send(&ask("book-slot").text().replace("Content-Length: 5\r\n\r\nhello", &head));
     leaves.send(&"x".repeat(LENGTH));
-    gateway.logs("taken");
+    gateway.wait_for_log_line("taken");
     let expected = ask("book-slot");
     stays.send(&expected.text());
-    gateway.logs("taken");
+    gateway.wait_for_log_line("taken");
     drop(leaves);
     std::thread::sleep(Duration::from_millis(250));
-    discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
+    discovery.publish(2, list(2, false, &[("s-1", backend.address, "Ready")]));
     assert_eq!(stays.answer().body, format!("for {}", expected.id).into_bytes());
     assert_eq!(backend.next().header("request-id"), Some(expected.id.as_str()));
     // A long body takes time: many short requests finish before it would be complete.
@@ -371,7 +373,7 @@
     for (from, to) in
         [(r#""cancelling":true"#, r#""cancelling":true"#), (r#""cancelling":true"#, r#""cancelling":false"#)]
     {
-        let (listener, fill) = crowded();
+        let (listener, fill) = listener_with_full_queue();
         let address = listener.local_addr().expect("an address");
         let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
         let setup = Setup {
@@ -381,10 +383,10 @@
             ..Setup::default()
         };
         let gateway = Gateway::with(&discovery, setup);
-        discovery.called(2);
+        discovery.wait_for_calls(2);
         let mut leaves = gateway.client();
         leaves.send(&with_timeout("book-slot", "9.0").text());
-        gateway.logs("attempt");
+        gateway.wait_for_log_line("attempt");
         drop(leaves);
         std::thread::sleep(Duration::from_millis(250));
         drop(fill);
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway on loopback sockets, as its clients, backends and discovery see it.
 
 use gateway_test_support::{
-    ask, config_file, crowded, list, ok, say, Backend, Discovery, Gateway, Setup, LIMIT,
+    ask, config_file, list, listener_with_full_queue, ok, say, Backend, Discovery, Gateway, Setup, LIMIT,
 };
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -299,8 +299,8 @@
     a.timeout = "0.5";
     let answer = client.ask(&a.text());
     assert!(refused(&answer), "{answer:?}");
-    discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
-    discovery.called(3);
+    discovery.publish(2, list(2, false, &[("s-1", backend.address, "Ready")]));
+    discovery.wait_for_calls(3);
     assert_eq!(client.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     assert!(backend.untouched());
 }
@@ -344,7 +344,7 @@
     let backend = Backend::good();
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { keepalive_ms: 2_000, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes the connection"), 0);
 }
@@ -354,7 +354,7 @@
     let backend = Backend::good();
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     for _ in 0..3 {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -376,8 +376,8 @@
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
-    discovery.tell(2, list(2, false, &[("s-1", new.address, "Ready")]));
-    discovery.called(3);
+    discovery.publish(2, list(2, false, &[("s-1", new.address, "Ready")]));
+    discovery.wait_for_calls(3);
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     assert_eq!((old.requests.try_iter().count(), new.requests.try_iter().count()), (1, 1));
 }
@@ -391,8 +391,8 @@
     for state in ["Terminating", "Gone"] {
         let discovery = Discovery::new(list(1, true, &both));
         let gateway = Gateway::start(&discovery);
-        discovery.tell(2, list(2, false, &[("s-1", draining.address, state)]));
-        discovery.called(3);
+        discovery.publish(2, list(2, false, &[("s-1", draining.address, state)]));
+        discovery.wait_for_calls(3);
         let mut client = gateway.client();
         let _ = draining.requests.try_iter().count();
         for _ in 0..20 {
@@ -404,19 +404,19 @@
 
 #[test]
 fn does_not_send_connecting_attempt_after_drain() {
-    let (listener, fill) = crowded();
+    let (listener, fill) = listener_with_full_queue();
     let address = listener.local_addr().expect("an address");
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { connect_ms: 15_000, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     let mut a = ask("book-slot");
     a.timeout = "2.5";
     client.send(&a.text());
     // The attempt has started once this later request is answered.
     assert_eq!(gateway.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    discovery.tell(2, list(2, false, &[("s-1", address, "Terminating")]));
-    discovery.called(3);
+    discovery.publish(2, list(2, false, &[("s-1", address, "Terminating")]));
+    discovery.wait_for_calls(3);
     drop(fill);
     let reader = std::thread::spawn(move || {
         let mut got = Vec::new();
@@ -453,13 +453,13 @@
         ["", "{", "[]", r#"{"rev":2,"all":true}"#, r#"{"rev":2,"all":true,"targets":[{"uid":7}]}"#, twice]
     {
         let calls = discovery.calls();
-        discovery.tell(2, garbage.to_string());
-        discovery.called(calls + 1);
+        discovery.publish(2, garbage.to_string());
+        discovery.wait_for_calls(calls + 1);
         assert_eq!(client.ask(&ask("quote").text()).status(), 200, "after {garbage:?}");
-        discovery.untell();
+        discovery.retract_latest();
     }
     let other = Backend::good();
-    discovery.tell(3, list(3, true, &[("s-2", other.address, "Ready")]));
+    discovery.publish(3, list(3, true, &[("s-2", other.address, "Ready")]));
     let started = Instant::now();
     while other.untouched() {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -471,21 +471,21 @@
 fn fails_over_to_next_list_address_and_rejects_older_list() {
     let (old, now) = (Backend::good(), Backend::good());
     let first = discovery_with(&now);
-    first.untell();
-    first.tell(5, list(5, true, &[("s-2", now.address, "Ready")]));
+    first.retract_latest();
+    first.publish(5, list(5, true, &[("s-2", now.address, "Ready")]));
     // This service lags behind: its list names a server that is gone.
     let (lagging, third) = (discovery_with(&old), discovery_with(&old));
-    lagging.tell(6, list(3, true, &[("s-1", old.address, "Ready")]));
-    third.tell(6, list(6, true, &[("s-3", now.address, "Ready")]));
+    lagging.publish(6, list(3, true, &[("s-1", old.address, "Ready")]));
+    third.publish(6, list(6, true, &[("s-3", now.address, "Ready")]));
     let fallbacks = vec![lagging.address, third.address];
     let known = Some(list(4, true, &[("s-2", now.address, "Ready")]));
     let gateway = Gateway::with(&first, Setup { ops: true, fallbacks, known, ..Setup::default() });
-    first.called(2);
+    first.wait_for_calls(2);
     assert_eq!(gateway.figure("/list/version"), 5);
     // An answer that is not a list counts as a failed call.
-    first.tell(7, "{".to_string());
-    lagging.called(1);
-    third.called(2);
+    first.publish(7, "{".to_string());
+    lagging.wait_for_calls(1);
+    third.wait_for_calls(2);
     let mut client = gateway.client();
     for _ in 0..20 {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -502,7 +502,7 @@
     let known = Some(list(4, true, &[("s-2", now.address, "Ready")]));
     let fallbacks = vec![second.address];
     let gateway = Gateway::with(&lagging, Setup { ops: true, fallbacks, known, ..Setup::default() });
-    second.called(2);
+    second.wait_for_calls(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     assert!(old.untouched() && gateway.figure("/list/version") == 6);
 }
@@ -515,14 +515,14 @@
     let mut client = gateway.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     backend.next();
-    discovery.tell(2, list(2, true, &[]));
-    discovery.called(3);
+    discovery.publish(2, list(2, true, &[]));
+    discovery.wait_for_calls(3);
     let mut a = ask("quote");
     a.timeout = "0.3";
     assert!(refused(&client.ask(&a.text())));
     assert!(backend.untouched());
-    discovery.tell(3, list(3, false, &[("s-1", backend.address, "Ready")]));
-    discovery.called(4);
+    discovery.publish(3, list(3, false, &[("s-1", backend.address, "Ready")]));
+    discovery.wait_for_calls(4);
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
 }
 
@@ -531,15 +531,15 @@
     let (known, new) = (Backend::good(), Backend::good());
     // This discovery service has no full list.
     let discovery = Discovery::new(String::new());
-    discovery.untell();
-    discovery.tell(2, list(2, false, &[("s-1", known.address, "Gone"), ("s-2", new.address, "Ready")]));
+    discovery.retract_latest();
+    discovery.publish(2, list(2, false, &[("s-1", known.address, "Gone"), ("s-2", new.address, "Ready")]));
     let setup = Setup {
         known: Some(list(1, true, &[("s-1", known.address, "Ready")])),
         subscribe: true,
         ..Setup::default()
     };
     let gateway = Gateway::with(&discovery, setup);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     assert!(known.untouched() && !new.untouched());
 }
@@ -605,7 +605,7 @@
     let discovery = discovery_with(&backend);
     let pool = Some(r#"{"per_server":1,"idle_ms":100}"#);
     let gateway = Gateway::with(&discovery, Setup { ops: true, pool, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes the connection"), 0);
     assert_eq!(gateway.figure("/connections/closed/expired"), 1);
@@ -623,12 +623,12 @@
     let moved = text.replace(&first.address.to_string(), &second.address.to_string());
     for bad in ["", "{", &moved.replace("quota_rate", "rate"), &moved.replace("127.0.0.1", "nowhere")] {
         gateway.reconfigure(bad);
-        gateway.logs("the old one stands");
+        gateway.wait_for_log_line("the old one stands");
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
         old.next();
     }
     gateway.reconfigure(&moved);
-    second.called(2);
+    second.wait_for_calls(2);
     assert_eq!(client.ask(&ask("quote").text()).status(), 200, "the same connection continues to serve");
     new.next();
     assert!(old.untouched(), "the new list is in use");
@@ -689,7 +689,7 @@
     let backend = Backend::good();
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { sockets: 100, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut kept = Vec::new();
     for n in 0..150 {
         let mut client = gateway.client();
@@ -705,7 +705,7 @@
     let backend = Backend::good();
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, Setup { ulimit: Some(40), ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut clients: Vec<_> = (0..100).map(|_| gateway.client()).collect();
     // All are connected, but few are accepted; each of these gets its turn.
     for client in &mut clients[60..] {
@@ -724,7 +724,7 @@
 
 fn with_ops(discovery: &Discovery) -> Gateway {
     let gateway = Gateway::with(discovery, Setup { ops: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     gateway
 }
 
@@ -818,8 +818,8 @@
     assert_eq!((gateway.figure("/ejected"), gateway.figure("/discovered")), (1, 2));
     let lists = [vec![both[1]], both.to_vec()];
     for (rev, l) in (2..).zip(&lists) {
-        discovery.tell(rev, list(rev, true, l));
-        discovery.called(1 + rev as usize);
+        discovery.publish(rev, list(rev, true, l));
+        discovery.wait_for_calls(1 + rev as usize);
         assert_eq!(
             gateway.call("POST", "/-/roll-servers/s-1/disable").status(),
             200,
--- a/crates/gateway/tests/golden_texts.rs
+++ b/crates/gateway/tests/golden_texts.rs
@@ -41,7 +41,7 @@
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { ops: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
     // The end of a request is counted when its answer has been sent.
     while gateway.figure("/outstanding") > 0 {
--- a/crates/gateway/tests/shell.rs
+++ b/crates/gateway/tests/shell.rs
@@ -159,7 +159,7 @@
     let discovery = discovery_with(&backend);
     let setup = Setup { toml: Some(TOML.to_string()), ops: true, ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
 }
 
@@ -172,7 +172,7 @@
     let text = gateway.configuration();
     let reload = |change: &dyn Fn(&str) -> String| {
         gateway.reconfigure(&change(&text));
-        let line = gateway.logs("configuration");
+        let line = gateway.wait_for_log_line("configuration");
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
         let field = |name: &str| line[name].as_str().unwrap_or_default().to_string();
         (field("taken"), field("from_a_restart_on"), field("message"))
@@ -197,14 +197,14 @@
     let discovery = discovery_with(&backend);
     let setup = Setup { toml: Some(TOML.to_string()), ops: true, ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let text = gateway.configuration();
     for cut in (0..text.len()).step_by(97) {
         gateway.reconfigure(&text[..cut]);
-        gateway.logs("configuration");
+        gateway.wait_for_log_line("configuration");
     }
     gateway.reconfigure(&text);
-    gateway.logs("configuration read again");
+    gateway.wait_for_log_line("configuration read again");
     assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
 }
 
@@ -223,7 +223,7 @@
     let backend = Backend::good();
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, json_lines("info"));
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     let unlogged = ask("quote");
     assert_eq!(client.ask(&unlogged.text()).status(), 200);
@@ -235,7 +235,7 @@
     assert_eq!(client.ask(&logged.text()).status(), 200);
     let mut seen = BTreeMap::new();
     while !seen.contains_key("answered") {
-        let line = gateway.logs("\"request\"");
+        let line = gateway.wait_for_log_line("\"request\"");
         let line: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
         assert_eq!(line["request"], logged.id.as_str(), "the request before logged nothing: {}", unlogged.id);
         seen.insert(line["message"].as_str().expect("a message").to_string(), line);
@@ -259,7 +259,7 @@
     let discovery = discovery_with(&backend);
     let setup = Setup { unread: true, ..json_lines("debug") };
     let mut gateway = Gateway::with(&discovery, setup);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     let lost = |gateway: &Gateway| {
         let log: serde_json::Value =
@@ -298,7 +298,7 @@
     let mut command = Command::new("/bin/sh");
     command.args(["-c", "exec \"$0\" --config \"$1\" 2>&-"]).arg(program("sprucehatch-gateway")).arg(&path);
     let mut child = command.env_remove("LB_CONFIG").stdin(Stdio::null()).spawn().expect("the program starts");
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let answer = gateway_test_support::Client::to(port).ask(&ask("quote").text());
     assert_eq!(answer.status(), 200);
     assert!(child.try_wait().expect("a child").is_none());
@@ -313,7 +313,7 @@
     let backend = Backend::good();
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, json_lines("info"));
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     for _ in 0..3 {
         assert_eq!(client.ask(&ask("quote").text()).status(), 200);
@@ -342,7 +342,7 @@
     });
     let discovery = discovery_with(&backend);
     let gateway = Gateway::with(&discovery, json_lines("info"));
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let done = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..32)
         .map(|_| {
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -26,13 +26,13 @@
     let discovery = Discovery::new(list(1, true, &both));
     let (held, folder) = (socket(), folder());
     let mut old = start(&discovery, &held, &folder);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     assert_eq!(old.call("POST", "/-/roll-servers/s-1/disable").status(), 200);
     let mut client = old.client();
     assert_eq!(client.ask(&ask("quote").text()).header("connection"), None);
 
     let new = start(&discovery, &held, &folder);
-    old.logs("a successor serves");
+    old.wait_for_log_line("a successor serves");
     assert_eq!((new.call("GET", "/-/ready").status(), new.figure("/ejected")), (200, 1));
     // The open connection is served until it closes; new connections go to the successor.
     let answer = client.ask(&ask("quote").text());
@@ -45,10 +45,10 @@
 
     // Operators' calls to either process apply to both.
     assert_eq!(old.call("POST", "/-/drain").status(), 200);
-    new.logs("client drain started");
+    new.wait_for_log_line("client drain started");
     assert_eq!(new.client().ask(READY).status(), 503);
     assert_eq!(new.call("POST", "/-/resume").status(), 200);
-    old.logs("client drain ended");
+    old.wait_for_log_line("client drain ended");
     assert_eq!(old.call("POST", "/-/roll-servers/s-2/disable").status(), 200);
     let started = Instant::now();
     while new.figure("/ejected") != 2 {
@@ -67,7 +67,7 @@
 
     // A third process takes over from the successor.
     let next = start(&discovery, &held, &folder);
-    new.logs("a successor serves");
+    new.wait_for_log_line("a successor serves");
     assert_eq!(next.figure("/ejected"), 1);
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -78,9 +78,9 @@
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let (held, folder) = (socket(), folder());
     let old = start(&discovery, &held, &folder);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let new = start(&discovery, &held, &folder);
-    old.logs("a successor serves");
+    old.wait_for_log_line("a successor serves");
     drop(new);
     assert_eq!(old.client().ask(&ask("quote").text()).status(), 200);
     let _ = std::fs::remove_dir_all(folder);
@@ -96,14 +96,14 @@
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let (held, folder) = (socket(), folder());
     let mut old = start(&discovery, &held, &folder);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut busy = old.client();
     busy.send(&ask("book-slot").text());
     backend.next();
     let _new = start(&discovery, &held, &folder);
-    old.logs("a successor serves");
+    old.wait_for_log_line("a successor serves");
     old.signal("-TERM");
-    old.logs("handing clients over");
+    old.wait_for_log_line("handing clients over");
     go.send(()).expect("the backend waits");
     assert_eq!(busy.answer().status(), 200);
     assert!(old.child.wait().expect("the process ends").success());
@@ -135,9 +135,9 @@
     let long = top.join("x".repeat(150));
     std::fs::create_dir(&long).expect("a folder");
     let old = start(&discovery, &held, &long);
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let _new = start(&discovery, &held, &long);
-    old.logs("a successor serves");
+    old.wait_for_log_line("a successor serves");
     let _ = std::fs::remove_dir_all(top);
 }
 
@@ -178,22 +178,22 @@
     );
     let (held, folder) = (socket(), folder());
     let mut old = start(&a, &held, &folder);
-    a.called(2);
+    a.wait_for_calls(2);
     let mut client = old.client();
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     let new = start(&a, &held, &folder);
-    old.logs("a successor serves");
+    old.wait_for_log_line("a successor serves");
     for process in [&old, &new] {
         process.reconfigure("{");
-        process.logs("the old one stands");
+        process.wait_for_log_line("the old one stands");
     }
     let good = gateway_test_support::configuration(b.address, &Setup { ops: true, ..Setup::default() });
     for process in [&old, &new] {
         process.reconfigure(&good);
-        process.logs("configuration read again");
+        process.wait_for_log_line("configuration read again");
     }
     // Both call the new discovery address: for the full list, and then for changes.
-    b.called(4);
+    b.wait_for_calls(4);
     assert_eq!(client.ask(&ask("quote").text()).status(), 200);
     assert_eq!(new.client().ask(&ask("quote").text()).status(), 200);
     second.next();
--- a/crates/registry/tests/golden_folder.rs
+++ b/crates/registry/tests/golden_folder.rs
@@ -7,7 +7,7 @@
 //! golden_folder` rewrites all but the first, which is only valid after an intended change of the format.
 
 use gateway_test_support::golden::assert_golden;
-use gateway_test_support::{folder, logged, Client};
+use gateway_test_support::{folder, read_logged_address, Client};
 use std::fs;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -72,8 +72,8 @@
         let mut first = String::new();
         log.read_line(&mut first).expect("a line");
         assert!(first.contains("version "), "{first}");
-        let readers = logged(&mut log, "Readers call at ");
-        let registrars = Client::to(logged(&mut log, "Registrars call at "));
+        let readers = read_logged_address(&mut log, "Readers call at ");
+        let registrars = Client::to(read_logged_address(&mut log, "Registrars call at "));
         thread::spawn(move || log.lines().for_each(drop));
         Registry { child, readers, registrars }
     }
