--- a/crates/gateway-process-trial/src/client.rs
+++ b/crates/gateway-process-trial/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's side: one request at a time on a connection, which is kept.
+//! The client side of HTTP/1.1: connections that carry one request at a time and are kept for reuse.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -11,53 +11,60 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// Connections to one gateway that idle.
+/// The idle connections to one gateway.
 #[derive(Default)]
 pub struct IdleConnections(RefCell<Vec<SendRequest<Full<Bytes>>>>);
 
-/// What a gateway said.
+/// A gateway's response.
 pub struct Reply {
     pub status: u16,
-    /// After how long it advises to return.
-    pub advice: Duration,
+    /// The time to wait before a retry, from the `retry-after` header; zero without the header.
+    pub retry_after: Duration,
 }
 
-/// Why there is none.
+/// Why a request got no response.
 #[derive(Debug, PartialEq)]
-pub enum Lost {
-    /// There was no connection, so that nothing was said.
-    Unreached,
-    /// The connection ended under the request.
-    Broken,
+pub enum RequestFailure {
+    /// No connection was established, so no request was sent.
+    NotConnected,
+    /// The connection closed before the response was complete.
+    ConnectionLost,
 }
 
 impl IdleConnections {
-    /// Makes a request. One that crosses the close of a kept connection is made once more on a new one, as the protocol has it.
-    pub async fn send(&self, gateway: SocketAddr, request: Request<Full<Bytes>>) -> Result<Reply, Lost> {
-        let kept = self.0.borrow_mut().pop().filter(SendRequest::is_ready);
-        if let Some(connection) = kept {
+    /// Sends a request. If a reused connection closes before it answers, the request is sent once more on a
+    /// new connection, as the protocol prescribes.
+    pub async fn send(
+        &self,
+        gateway: SocketAddr,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Reply, RequestFailure> {
+        let idle = self.0.borrow_mut().pop().filter(SendRequest::is_ready);
+        if let Some(connection) = idle {
             if let Ok(reply) = self.exchange(connection, request.clone()).await {
                 return Ok(reply);
             }
         }
-        let connection = connect(gateway).await.ok_or(Lost::Unreached)?;
+        let connection = connect(gateway).await.ok_or(RequestFailure::NotConnected)?;
         self.exchange(connection, request).await
     }
 
+    /// Sends a request on a connection and reads the response; the connection is then kept for reuse.
     async fn exchange(
         &self,
         mut connection: SendRequest<Full<Bytes>>,
         request: Request<Full<Bytes>>,
-    ) -> Result<Reply, Lost> {
-        let answer = connection.send_request(request).await.map_err(|_| Lost::Broken)?;
+    ) -> Result<Reply, RequestFailure> {
+        let answer = connection.send_request(request).await.map_err(|_| RequestFailure::ConnectionLost)?;
         let status = answer.status().as_u16();
-        let advice = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
-        let advice = advice.and_then(|text| text.trim().parse().ok()).unwrap_or(0.0_f64);
-        answer.into_body().collect().await.map_err(|_| Lost::Broken)?;
+        let retry_after = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
+        let retry_after = retry_after.and_then(|text| text.trim().parse().ok()).unwrap_or(0.0_f64);
+        answer.into_body().collect().await.map_err(|_| RequestFailure::ConnectionLost)?;
         self.0.borrow_mut().push(connection);
-        Ok(Reply { status, advice: Duration::from_secs_f64(advice.clamp(0.0, 3600.0)) })
+        Ok(Reply { status, retry_after: Duration::from_secs_f64(retry_after.clamp(0.0, 3600.0)) })
     }
 
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
@@ -67,7 +74,7 @@
     let stream = TcpStream::connect(gateway).await.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, io) = handshake(TokioIo::new(stream)).await.ok()?;
-    // Ends when the sending half is dropped.
+    // The task ends when the sender is dropped.
     spawn_local(io);
     Some(sender)
 }
--- a/crates/gateway-process-trial/src/clock.rs
+++ b/crates/gateway-process-trial/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of a trial: what stand-ins, relays and clients see is told in its time.
+//! The clock of a trial. Stand-ins, relays and clients take all timestamps from it.
 
 use gateway_decisions::Time;
 use gateway_simulation::units::START_NS;
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Goes from [`START_NS`] on, the begin of the play; before it is less than that.
+/// Shows [`START_NS`] when the measured run starts, and less before that.
 #[derive(Clone)]
 pub struct Clock(Rc<Cell<Instant>>);
 
@@ -18,36 +18,38 @@
 }
 
 impl Clock {
-    /// The play begins now: by so much less is what was told before.
-    pub fn begin(&self) -> Time {
+    /// Sets the start of the run to the present moment. Returns the nanoseconds by which earlier timestamps
+    /// have to be reduced.
+    pub fn set_start(&self) -> Time {
         let now = Instant::now();
         now.duration_since(self.0.replace(now)).as_nanos() as Time
     }
 
     pub fn now(&self) -> Time {
-        self.of(Instant::now())
+        self.time_of(Instant::now())
     }
 
-    pub fn of(&self, at: Instant) -> Time {
-        let begin = self.0.get();
-        match at.checked_duration_since(begin) {
-            Some(since) => START_NS + since.as_nanos() as Time,
-            None => START_NS - begin.duration_since(at).as_nanos() as Time,
+    /// What the clock shows at a moment.
+    pub fn time_of(&self, at: Instant) -> Time {
+        let start = self.0.get();
+        match at.checked_duration_since(start) {
+            Some(elapsed) => START_NS + elapsed.as_nanos() as Time,
+            None => START_NS - start.duration_since(at).as_nanos() as Time,
         }
     }
 
-    /// When the clock shows this.
-    pub fn at(&self, time: Time) -> Instant {
+    /// The moment at which the clock shows `time`.
+    pub fn instant_at(&self, time: Time) -> Instant {
         self.0.get() + Duration::from_nanos(time.saturating_sub(START_NS))
     }
 
-    /// The second of the play, if it has begun.
+    /// The current second of the run; `None` before it starts.
     pub fn second(&self) -> Option<usize> {
-        self.now().checked_sub(START_NS).map(|since| (since / 1_000_000_000) as usize)
+        self.now().checked_sub(START_NS).map(|elapsed| (elapsed / 1_000_000_000) as usize)
     }
 }
 
-/// As machines tell each other when something began.
+/// The current Unix time in milliseconds, as in `boot_ms` of servers.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/crates/gateway-process-trial/src/figures.rs
+++ b/crates/gateway-process-trial/src/figures.rs
@@ -1,78 +1,88 @@
-//! What a trial shows: the lab's report, and what only processes have.
+//! The results of a trial: the simulator's report, and measurements that only real processes have.
 
 use gateway_simulation::report::{count, flow, Report};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// How late this program's own event loop may be before its figures say nothing: for one turn in a hundred, and at most.
-const LATE: Duration = Duration::from_millis(25);
-const LATEST: Duration = Duration::from_millis(400);
+/// The limits of this program's own event loop lag, above which the results are void: for the 99th percentile
+/// and the maximum.
+const MAX_P99_LAG: Duration = Duration::from_millis(25);
+const MAX_LAG: Duration = Duration::from_millis(400);
 
+/// The measured results of one trial.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Figures {
     #[serde(flatten)]
     pub report: Report,
-    /// By second: calls for the list, and those of them that were turned away.
+    /// By second: list calls, and how many of them were rejected.
     pub list: Vec<[u32; 2]>,
     /// By second: new connections to servers.
     pub opened: Vec<u32>,
-    /// How long after its start each gateway was ready, in order, in seconds; those that never were are missing.
+    /// The time from each gateway's start until it was ready, in seconds, sorted. Gateways that never became
+    /// ready are left out.
     pub ready_s: Vec<f64>,
+    /// The number of gateways.
     pub gateways: u32,
-    /// Of each gateway that ran to the end, in order: processor time a second, resident memory, open descriptors.
+    /// For the gateways that ran to the end, each list sorted: processor time in ms per second, resident
+    /// memory in kB, open descriptors.
     pub processor_ms: Vec<u64>,
     pub memory_kb: Vec<u64>,
     pub descriptors: Vec<u64>,
-    /// How late this program's event loop was: the 99th of a hundred turns, and at most.
+    /// The event loop lag of this program in ms: 99th percentile and maximum.
     pub late_ms: [f64; 2],
-    /// Why the figures say nothing.
+    /// Why the results are void, if they are.
     pub void: Option<String>,
+    /// The latencies of all served requests that count.
     #[serde(skip)]
-    pub times: Vec<f64>,
+    pub latencies_ms: Vec<f64>,
+    /// The value of the requests that were served in time within the quota, and of all requests within the
+    /// quota.
     #[serde(skip)]
     pub worth: [f64; 2],
+    /// Samples of the event loop lag of this program.
     #[serde(skip)]
-    pub lateness: Vec<Duration>,
+    pub event_loop_lags: Vec<Duration>,
 }
 
-/// Of values in order.
-pub fn quantile<T: Copy + Default>(sorted: &[T], part: f64) -> T {
-    let at = (sorted.len() as f64 * part) as usize;
+/// The quantile of sorted values; the default value if there are none.
+pub fn quantile<T: Copy + Default>(sorted: &[T], fraction: f64) -> T {
+    let at = (sorted.len() as f64 * fraction) as usize;
     sorted.get(at.min(sorted.len().saturating_sub(1))).copied().unwrap_or_default()
 }
 
 impl Figures {
-    pub fn away(&mut self, second: Option<usize>) {
+    /// Counts an attempt that a server rejected.
+    pub fn count_turned_away(&mut self, second: Option<usize>) {
         self.report.turned_away += 1;
         count(&mut self.report.flow, second, flow::REJECTED);
     }
 
-    /// Sums up.
-    pub fn close(&mut self) {
-        self.times.sort_by(f64::total_cmp);
+    /// Sorts the samples and computes the derived results.
+    pub fn finalize(&mut self) {
+        self.latencies_ms.sort_by(f64::total_cmp);
         self.ready_s.sort_by(f64::total_cmp);
-        self.lateness.sort();
-        let [served, asked] = self.worth;
-        self.report.worth = if asked > 0.0 { served / asked } else { 0.0 };
-        self.report.p50_ms = quantile(&self.times, 0.5);
-        self.report.p99_ms = quantile(&self.times, 0.99);
-        for all in [&mut self.processor_ms, &mut self.memory_kb, &mut self.descriptors] {
-            all.sort_unstable();
+        self.event_loop_lags.sort();
+        let [earned, demanded] = self.worth;
+        self.report.worth = if demanded > 0.0 { earned / demanded } else { 0.0 };
+        self.report.p50_ms = quantile(&self.latencies_ms, 0.5);
+        self.report.p99_ms = quantile(&self.latencies_ms, 0.99);
+        for values in [&mut self.processor_ms, &mut self.memory_kb, &mut self.descriptors] {
+            values.sort_unstable();
         }
-        let (usual, worst) = (quantile(&self.lateness, 0.99), quantile(&self.lateness, 1.0));
-        self.late_ms = [usual, worst].map(|late| late.as_secs_f64() * 1000.0);
-        if usual > LATE || worst > LATEST {
-            let [usual, worst] = self.late_ms;
+        let (p99, worst) = (quantile(&self.event_loop_lags, 0.99), quantile(&self.event_loop_lags, 1.0));
+        self.late_ms = [p99, worst].map(|late| late.as_secs_f64() * 1000.0);
+        if p99 > MAX_P99_LAG || worst > MAX_LAG {
+            let [p99, worst] = self.late_ms;
             self.void = Some(format!(
-                "this program was late itself: by {usual:.0} ms in one turn of a hundred, {worst:.0} ms at most"
+                "this program was late itself: by {p99:.0} ms in one turn of a hundred, {worst:.0} ms at most"
             ));
         }
     }
 
-    /// The most in one second.
-    pub fn max_in_one_second<const N: usize>(seconds: &[[u32; N]], what: usize) -> u32 {
-        seconds.iter().map(|second| second[what]).max().unwrap_or(0)
+    /// The maximum of a column over all seconds.
+    pub fn max_in_one_second<const N: usize>(seconds: &[[u32; N]], column: usize) -> u32 {
+        seconds.iter().map(|second| second[column]).max().unwrap_or(0)
     }
 }
 
--- a/crates/gateway-process-trial/src/figures/tests.rs
+++ b/crates/gateway-process-trial/src/figures/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of `figures`.
+//! Tests of the results of a trial.
 
 use super::*;
 
 #[test]
-fn a_late_event_loop_voids_the_figures() {
-    let mut figures = Figures { lateness: vec![Duration::from_millis(1); 100], ..Figures::default() };
-    figures.close();
+fn high_event_loop_lag_voids_the_results() {
+    let mut figures = Figures { event_loop_lags: vec![Duration::from_millis(1); 100], ..Figures::default() };
+    figures.finalize();
     assert_eq!(figures.void, None);
-    figures.lateness = vec![Duration::from_millis(30); 100];
-    figures.close();
+    figures.event_loop_lags = vec![Duration::from_millis(30); 100];
+    figures.finalize();
     assert!(figures.void.is_some());
 }
--- a/crates/gateway-process-trial/src/ledger.rs
+++ b/crates/gateway-process-trial/src/ledger.rs
@@ -1,6 +1,6 @@
-//! What was seen from outside, in the order in which it happened, for the oracle. Relays and stand-ins see an event a little
-//! after it, so all is kept with its time and told to the oracle at the end, each with the time that the protocol page allows
-//! beside the rules.
+//! The log of events that are visible from outside the gateways, for the oracle. Relays and stand-ins observe
+//! an event a little after it happens. Events are therefore kept with their timestamps and are passed to the
+//! oracle at the end, each with the time allowance that the protocol grants in addition to the rules.
 
 use gateway_decisions::{Ending, Time};
 use gateway_simulation::oracle::{Allowed, Oracle};
@@ -8,110 +8,124 @@
 use gateway_simulation::Breach;
 use std::collections::HashMap;
 
-/// Every time limit is so much longer where there are sockets.
-pub const SOCKETS: Time = 50_000_000;
-/// What a customer's ceiling may fall below 0: two units, and what the rate gives in the time that the rules allow.
-const CEILING: (f64, f64) = (2.0, 0.15);
+/// The allowance that is added to every time limit, since events are observed through sockets.
+pub const SOCKET_ALLOWANCE_NS: Time = 50_000_000;
+/// How far a customer's ceiling may fall below 0: two units, plus the units that the rate grants in 0.15 s,
+/// the time that the rules allow.
+const CEILING_SLACK: (f64, f64) = (2.0, 0.15);
 
+/// An event that the oracle judges.
 #[derive(Clone, Debug)]
-pub enum Seen {
-    /// A gateway's process begins, and what the list that it is given names.
-    Born { gateway: usize, listed: Vec<usize> },
-    /// A client's request came to a gateway whole.
-    Asked { id: u64, class: usize, gateway: usize },
-    /// An attempt came whole to a server.
-    Sent { id: u64, server: usize, gateway: usize },
-    /// The attempt that came at that time is over.
-    Over { id: u64, sent: Time, ending: Ending },
-    /// A client has its answer.
-    Answered { id: u64, refused: bool },
-    /// No answer is owed in time: the client left, or the gateway was killed or stood still while the request was open.
-    Excused { id: u64 },
-    /// The time of a request is over.
-    Due { id: u64 },
-    /// A gateway was told of a server: whether it wants something new.
-    Told { gateway: usize, server: usize, wanted: bool },
-    /// A cold server was pushed over; the part of its work from gateways that were told of its start.
-    Fell { server: usize, told: f64 },
-    /// The units of a request are taken.
-    Drawn { plan: usize, customer: u32 },
-    /// Something that no client asked for came to a server.
-    Invented { id: u64, server: usize },
+pub enum Event {
+    /// A gateway process started; its initial list names these servers.
+    GatewayStarted { gateway: usize, listed: Vec<usize> },
+    /// A client sent a request to a gateway.
+    RequestSent { id: u64, class: usize, gateway: usize },
+    /// A complete attempt arrived at a server.
+    AttemptReceived { id: u64, server: usize, gateway: usize },
+    /// The attempt that arrived at `received_at` ended.
+    AttemptEnded { id: u64, received_at: Time, ending: Ending },
+    /// A client received the answer.
+    RequestAnswered { id: u64, refused: bool },
+    /// The request no longer needs an answer in time: the client left, or the gateway was killed or paused
+    /// while the request was open.
+    RequestExcused { id: u64 },
+    /// The deadline of a request passed.
+    DeadlinePassed { id: u64 },
+    /// A gateway received a list entry of a server; `accepts_requests` is whether the server accepts new
+    /// requests.
+    ServerListed { gateway: usize, server: usize, accepts_requests: bool },
+    /// A cold server collapsed under load. `informed_share` is the part of its work that came from gateways
+    /// which had been told of its start.
+    ServerCollapsed { server: usize, informed_share: f64 },
+    /// A request took its unit of the customer's quota.
+    QuotaUnitTaken { plan: usize, customer: u32 },
+    /// A server received an attempt that belongs to no client request.
+    UnknownAttempt { id: u64, server: usize },
 }
 
+/// All events of a trial with their timestamps.
 #[derive(Default)]
 pub struct Ledger {
-    seen: Vec<(Time, Seen)>,
+    events: Vec<(Time, Event)>,
 }
 
 impl Ledger {
-    pub fn note(&mut self, at: Time, seen: Seen) {
-        self.seen.push((at, seen));
+    pub fn record(&mut self, at: Time, event: Event) {
+        self.events.push((at, event));
     }
 
-    /// The play begins so much later than what was noted took it to.
-    pub fn begin(&mut self, later: Time) {
-        self.seen.iter_mut().for_each(|(at, _)| *at -= later);
+    /// Reduces all recorded timestamps by the time by which the start of the run moved.
+    pub fn shift_earlier(&mut self, by: Time) {
+        self.events.iter_mut().for_each(|(at, _)| *at -= by);
     }
 
-    /// Tells the oracle all of it: the first rule that was broken.
+    /// Passes all events to the oracle.
+    ///
+    /// # Errors
+    ///
+    /// The first rule that was broken.
     pub fn check(mut self, scenario: &Scenario) -> Result<(), Box<Breach>> {
-        for (at, seen) in &mut self.seen {
-            match seen {
-                // Its gateway knew of it sooner than it was seen.
-                Seen::Over { sent, .. } => *at = at.saturating_sub(SOCKETS).max(*sent),
-                Seen::Due { .. } => *at += SOCKETS,
-                Seen::Told { wanted: false, .. } => *at += SOCKETS,
+        for (at, event) in &mut self.events {
+            match event {
+                // The gateway knew of the end earlier than it was observed.
+                Event::AttemptEnded { received_at, .. } => {
+                    *at = at.saturating_sub(SOCKET_ALLOWANCE_NS).max(*received_at);
+                }
+                Event::DeadlinePassed { .. } => *at += SOCKET_ALLOWANCE_NS,
+                Event::ServerListed { accepts_requests: false, .. } => *at += SOCKET_ALLOWANCE_NS,
                 _ => {}
             }
         }
-        // What is of one time stays in the order in which it was seen.
-        self.seen.sort_by_key(|(at, _)| *at);
+        // The sort is stable: events with the same timestamp stay in the order in which they were observed.
+        self.events.sort_by_key(|(at, _)| *at);
         let settings = scenario.settings(0, 0);
         let classes = settings.classes.iter().map(|c| Allowed {
             effect: c.effect,
             group: c.group,
-            key_ttl: c.key_ttl + SOCKETS,
+            key_ttl: c.key_ttl + SOCKET_ALLOWANCE_NS,
         });
         let mut oracle = Oracle::new(classes.collect(), scenario.gateways.tries);
-        let mut told: HashMap<(usize, usize), Option<Time>> = HashMap::new();
-        for (now, seen) in self.seen {
-            match seen {
-                Seen::Born { gateway, listed } => {
-                    told.retain(|(of, _), _| *of != gateway);
-                    told.extend(listed.into_iter().map(|server| ((gateway, server), None)));
+        let mut known_servers: HashMap<(usize, usize), Option<Time>> = HashMap::new();
+        for (now, event) in self.events {
+            match event {
+                Event::GatewayStarted { gateway, listed } => {
+                    known_servers.retain(|(of, _), _| *of != gateway);
+                    known_servers.extend(listed.into_iter().map(|server| ((gateway, server), None)));
                 }
-                Seen::Asked { id, class, gateway } => {
-                    let deadline = now + SOCKETS + settings.classes[class].deadline;
+                Event::RequestSent { id, class, gateway } => {
+                    let deadline = now + SOCKET_ALLOWANCE_NS + settings.classes[class].deadline;
                     oracle.request_received(id, class, deadline, gateway, now);
                 }
-                Seen::Sent { id, server, gateway } => {
-                    let place = (scenario.zone_of_server(server) as u32, scenario.cell_of_server(server));
-                    let told = told.get(&(gateway, server)).copied();
-                    oracle.attempt_sent(id, &format!("s-{server}"), place, told, now)?;
+                Event::AttemptReceived { id, server, gateway } => {
+                    let location = (scenario.zone_of_server(server) as u32, scenario.cell_of_server(server));
+                    let known = known_servers.get(&(gateway, server)).copied();
+                    oracle.attempt_sent(id, &format!("s-{server}"), location, known, now)?;
+                }
+                Event::AttemptEnded { id, ending, .. } => oracle.attempt_ended(id, ending, now),
+                Event::RequestAnswered { id, refused } => oracle.final_answer_sent(id, refused, now)?,
+                Event::RequestExcused { id } => oracle.waive_deadline(id),
+                Event::DeadlinePassed { id } => oracle.deadline_reached(id, now)?,
+                Event::ServerListed { gateway, server, accepts_requests: true } => {
+                    known_servers.insert((gateway, server), None);
                 }
-                Seen::Over { id, ending, .. } => oracle.attempt_ended(id, ending, now),
-                Seen::Answered { id, refused } => oracle.final_answer_sent(id, refused, now)?,
-                Seen::Excused { id } => oracle.waive_deadline(id),
-                Seen::Due { id } => oracle.deadline_reached(id, now)?,
-                Seen::Told { gateway, server, wanted: true } => {
-                    told.insert((gateway, server), None);
+                Event::ServerListed { gateway, server, accepts_requests: false } => {
+                    // A repeated notice does not extend the time: the first one counts.
+                    known_servers.entry((gateway, server)).or_insert(None).get_or_insert(now);
                 }
-                Seen::Told { gateway, server, wanted: false } => {
-                    // Told so twice, it was told so the first time.
-                    told.entry((gateway, server)).or_insert(None).get_or_insert(now);
+                Event::ServerCollapsed { server, informed_share } => {
+                    Oracle::server_collapsed(&format!("s-{server}"), informed_share, now)?;
                 }
-                Seen::Fell { server, told } => Oracle::server_collapsed(&format!("s-{server}"), told, now)?,
-                Seen::Drawn { plan, customer } => {
+                Event::QuotaUnitTaken { plan, customer } => {
                     let p = &scenario.plans[plan];
                     if p.ceiling_rate > 0.0 {
-                        let slack = CEILING.0 + p.ceiling_rate * CEILING.1;
+                        let slack = CEILING_SLACK.0 + p.ceiling_rate * CEILING_SLACK.1;
                         let number = (plan as u32) << 24 | customer;
                         let ceiling = (p.ceiling_rate, p.ceiling_burst, slack);
                         oracle.ceiling_units_taken(number, 1.0, ceiling, now)?;
                     }
                 }
-                Seen::Invented { id, server } => {
+                Event::UnknownAttempt { id, server } => {
                     oracle.attempt_sent(id, &format!("s-{server}"), (0, 0), Some(None), now)?;
                 }
             }
--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -1,28 +1,29 @@
-//! Trials: the real gateways, and the real registry where one is wished, as processes of their own on loopback, among
-//! stand-ins for roll servers, list, meter and clients. Every connection between two of them goes through a relay, where
-//! faults strike it. A trial plays the lab's scenarios, with the same words for the same faults.
+//! Trials run the real gateways, and the real registry if the scenario asks for it, as separate processes on
+//! loopback. Backend servers, meter and clients are stand-ins, as is the list service without a registry.
+//! Every connection between a gateway and a server or the list passes through a TCP relay that injects
+//! faults. Trials run the simulator's scenarios, with the same names for the same faults.
 #![forbid(unsafe_code)]
 
 mod addresses;
 pub mod client;
 mod clock;
-mod ends;
+mod connection;
 mod figures;
 mod ledger;
+mod link_handler;
 mod list;
+mod list_responses;
 mod net;
 pub mod process;
 mod registration;
 mod serving;
 mod stand_in;
-mod tap;
-mod wire;
 mod world;
 
 pub use figures::{quantile, Figures};
 pub use registration::renew;
 
-use crate::addresses::{Addresses, Target, MOST_SERVERS};
+use crate::addresses::{Addresses, Target, MAX_SERVERS};
 use crate::net::Net;
 use crate::process::{end_all, path_text, Folder, Program};
 use crate::world::World;
@@ -43,33 +44,35 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// A killed gateway starts again after this.
-const GATEWAY_DOWN: Duration = Duration::from_millis(500);
-/// How long the front sends clients to a gateway that is gone, or is to end.
-const FRONT: Duration = Duration::from_secs(1);
-const FRONT_TERM: Duration = Duration::from_millis(300);
-/// How long a drained server goes on before it stops, and how long it is away in a release.
-const DRAIN: Duration = Duration::from_secs(2);
-const AWAY: Duration = Duration::from_secs(1);
-/// How long all gateways may take to be ready where the play waits for them.
-const READY: Duration = Duration::from_secs(60);
-/// Descriptors of this program for each gateway beside its addresses, and for itself.
-const EACH: u64 = 24;
-const OWN: u64 = 200;
-const TURN: Duration = Duration::from_millis(10);
+/// The time from the kill of a gateway to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
+/// How long clients are still sent to a gateway after it was killed, and after it was told to terminate.
+const ROTATION_LAG_AFTER_KILL: Duration = Duration::from_secs(1);
+const ROTATION_LAG_AFTER_TERM: Duration = Duration::from_millis(300);
+/// In a release: how long a draining server keeps running, and how long it is down.
+const DRAIN_TIME: Duration = Duration::from_secs(2);
+const RELEASE_DOWNTIME: Duration = Duration::from_secs(1);
+/// How long all gateways may take to become ready, where the run waits for that.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// File descriptors of this program: for each gateway in addition to its addresses, and for the program
+/// itself.
+const DESCRIPTORS_PER_GATEWAY: u64 = 24;
+const OWN_DESCRIPTORS: u64 = 200;
+/// The interval between two samples of the event loop lag.
+const LAG_SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a trial came to.
+/// The result of a trial: its measurements, and the first broken rule.
 pub struct TrialResult {
     pub figures: Figures,
     pub breach: Option<Box<Breach>>,
 }
 
-/// Checks what a trial asks beside what the scenario's own check does.
+/// Checks the requirements of a trial that the scenario's own validation does not cover.
 pub fn check(scenario: &Scenario) -> Result<(), Errors> {
-    let mut wrong = Vec::new();
-    if scenario.servers.count > MOST_SERVERS {
+    let mut errors = Vec::new();
+    if scenario.servers.count > MAX_SERVERS {
         let count = scenario.servers.count;
-        wrong.push(format!("servers.count is {count}: {MOST_SERVERS} at most have an address in a trial"));
+        errors.push(format!("servers.count is {count}: a trial has addresses for at most {MAX_SERVERS}"));
     }
     let overlaps = |a: &Fault, b: &Fault| a.at_s < b.at_s + b.for_s && b.at_s < a.at_s + a.for_s;
     let restarts = |f: &Fault| matches!(f.kind, Trouble::Restart | Trouble::Rolling);
@@ -77,53 +80,56 @@
     for (n, fault) in faults.iter().enumerate().filter(|(_, f)| restarts(f)) {
         let other = faults.iter().enumerate().take(n).find(|(_, f)| restarts(f) && overlaps(f, fault));
         if let Some((other, _)) = other {
-            wrong.push(format!(
-                "faults[{n}] restarts gateways while faults[{other}] does: one after the other"
+            errors.push(format!(
+                "faults[{n}] restarts gateways while faults[{other}] does: they must not overlap"
             ));
         }
     }
     let (gateways, targets) = (u64::from(scenario.gateways.count), u64::from(scenario.servers.count) + 1);
-    let needed = gateways * (targets + EACH) + OWN;
+    let needed = gateways * (targets + DESCRIPTORS_PER_GATEWAY) + OWN_DESCRIPTORS;
     let limit = getrlimit(Resource::Nofile);
     match limit.maximum {
-        Some(most) if most < needed => wrong.push(format!(
-            "{needed} descriptors are needed, and {most} are the most: raise the hard limit (ulimit -Hn), or name \
-             fewer gateways or servers"
+        Some(most) if most < needed => errors.push(format!(
+            "{needed} file descriptors are needed, but the hard limit is {most}: raise it (ulimit -Hn), or \
+             use fewer gateways or servers"
         )),
         _ => {}
     }
-    if wrong.is_empty() {
+    if errors.is_empty() {
         Ok(())
     } else {
-        Err(Errors(wrong))
+        Err(Errors(errors))
     }
 }
 
-/// Plays a scenario once with the programs of a folder. To be used on a local runtime. Dropped, it ends all it has started.
+/// Runs a scenario once with the programs in a folder. Needs a local runtime. When the future is dropped, all
+/// started processes are stopped.
 pub async fn play(scenario: &Scenario, seed: u64, programs: &Path) -> Result<TrialResult, Errors> {
     check(scenario)?;
-    // The soft limit is this program's own to raise.
-    let most = getrlimit(Resource::Nofile).maximum;
-    setrlimit(Resource::Nofile, Rlimit { current: most, maximum: most })
-        .map_err(|e| Errors::single(format!("descriptors: {e}")))?;
+    // A process may raise its own soft limit up to the hard limit.
+    let hard_limit = getrlimit(Resource::Nofile).maximum;
+    setrlimit(Resource::Nofile, Rlimit { current: hard_limit, maximum: hard_limit })
+        .map_err(|e| Errors::single(format!("raising the limit of file descriptors: {e}")))?;
     let folder = Folder::new("trial")?;
     let world = World::new(scenario, seed, Addresses::new()?);
-    let _gateways = Gateways(world.clone());
+    let _gateways = StopGatewaysOnDrop(world.clone());
     let trial = Trial { world, programs: programs.to_path_buf(), folder: Rc::new(folder) };
     trial.play().await
 }
 
-/// Has all gateways end with it: the world itself may outlast the trial, in tasks and links that know it.
-struct Gateways(Rc<World>);
+/// Stops all gateways when dropped. The world itself may outlive the trial, since tasks and relays hold
+/// references to it.
+struct StopGatewaysOnDrop(Rc<World>);
 
-impl Drop for Gateways {
+impl Drop for StopGatewaysOnDrop {
     fn drop(&mut self) {
-        let programs = self.0.gateways.iter().filter_map(|place| place.program.borrow_mut().take());
+        let programs = self.0.gateways.iter().filter_map(|process| process.program.borrow_mut().take());
         let mut programs: Vec<Program> = programs.collect();
         end_all(&mut programs);
     }
 }
 
+/// A trial in progress.
 #[derive(Clone)]
 struct Trial {
     world: Rc<World>,
@@ -132,88 +138,95 @@
 }
 
 impl Trial {
+    /// Runs the scenario and collects its results.
     async fn play(self) -> Result<TrialResult, Errors> {
         let (world, scenario) = (&self.world, &self.world.scenario);
-        // Ends with the trial, whatever comes of it.
+        // Dropping the set aborts the tasks, also if the trial fails.
         let mut tasks = JoinSet::new();
-        tasks.spawn_local(lateness(world.clone()));
-        let count = (scenario.gateways.count as usize, scenario.servers.count as usize);
-        let net = Net::open(&world.addresses, count.0, count.1, world.clock.clone(), world.clone())?;
+        tasks.spawn_local(measure_event_loop_lag(world.clone()));
+        let counts = (scenario.gateways.count as usize, scenario.servers.count as usize);
+        let net = Net::open(&world.addresses, counts.0, counts.1, world.clock.clone(), world.clone())?;
         let _ = world.net.set(net);
         let mut registry = self.registry()?;
-        for n in 0..count.1 {
+        for n in 0..counts.1 {
             world.announce(n, State::Ready);
         }
         if registry.is_some() {
-            // All announcements are made before a gateway reads the list.
+            // Gives the announcements time to arrive before a gateway reads the list.
             sleep(Duration::from_millis(300)).await;
         }
-        let begun = Instant::now();
-        world.begin();
-        for n in 0..count.0 {
+        let started = Instant::now();
+        world.set_start();
+        for n in 0..counts.0 {
             self.start(n)?;
             tokio::task::yield_now().await;
         }
         if !scenario.list.together {
             let ready = async {
-                while !world.gateways.iter().all(|place| place.taken_in.get()) {
+                while !world.gateways.iter().all(|process| process.in_rotation.get()) {
                     sleep(Duration::from_millis(20)).await;
-                    // One that has ended will not be ready.
-                    if let Some(what) = self.lost() {
-                        return Err(Errors::single(what));
+                    // A gateway that has exited never becomes ready.
+                    if let Some(error) = self.unexpected_exits() {
+                        return Err(Errors::single(error));
                     }
                 }
                 Ok(())
             };
-            timeout(READY, ready).await.unwrap_or_else(|_| Err(self.not_ready(begun)))?;
-            world.begin();
+            timeout(READY_TIMEOUT, ready).await.unwrap_or_else(|_| Err(self.not_ready(started)))?;
+            world.set_start();
             world.figures.borrow_mut().list.clear();
         }
-        tasks.spawn_local(world.clone().meter());
+        tasks.spawn_local(world.clone().run_meter());
         for plan in 0..scenario.plans.len() {
-            tasks.spawn_local(world.clone().arrivals(plan));
+            tasks.spawn_local(world.clone().generate_requests(plan));
         }
         for n in 0..scenario.faults.len() {
-            tasks.spawn_local(self.clone().strike(n));
+            tasks.spawn_local(self.clone().inject_fault(n));
         }
-        let end = world.clock.at(START_NS + ns(scenario.seconds, SECOND));
+        let end = world.clock.instant_at(START_NS + ns(scenario.seconds, SECOND));
         while Instant::now() < end {
             sleep((end - Instant::now()).min(Duration::from_millis(100))).await;
-            if let Some(what) = world.broken.borrow_mut().take() {
-                return Err(Errors::single(what));
+            if let Some(error) = world.failure.borrow_mut().take() {
+                return Err(Errors::single(error));
             }
         }
-        // Nothing new is asked; what was asked gets its answer.
+        // No new requests are sent; open requests still get their answers.
         tasks.abort_all();
         let longest = scenario.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         sleep(Duration::from_secs_f64(longest / 1000.0) + Duration::from_millis(100)).await;
-        self.measure(begun.elapsed());
-        let lost = self.lost();
-        drop(Gateways(world.clone()));
+        self.record_resource_usage(started.elapsed());
+        let exits = self.unexpected_exits();
+        drop(StopGatewaysOnDrop(world.clone()));
         registry.iter_mut().for_each(|program| program.signal(Signal::TERM));
         drop(registry);
-        if let Some(what) = lost {
-            return Err(Errors::single(what));
+        if let Some(error) = exits {
+            return Err(Errors::single(error));
         }
         let mut figures = world.figures.take();
         (figures.report.scenario, figures.report.seed) = (scenario.name.clone(), 0);
         figures.report.seconds.truncate(scenario.seconds.ceil() as usize);
-        figures.close();
-        Ok(TrialResult { figures, breach: world.ledger().check(scenario).err() })
+        figures.finalize();
+        Ok(TrialResult { figures, breach: world.take_events().check(scenario).err() })
     }
 
-    fn not_ready(&self, begun: Instant) -> Errors {
-        let late = self.world.gateways.iter().enumerate().filter(|(_, place)| !place.taken_in.get());
-        let said = late.map(|(n, place)| {
-            let program = place.program.borrow();
+    /// The error for gateways that did not become ready in time, with the last log lines of up to five.
+    fn not_ready(&self, started: Instant) -> Errors {
+        let late = self.world.gateways.iter().enumerate().filter(|(_, process)| !process.in_rotation.get());
+        let waiting = late.map(|(n, process)| {
+            let program = process.program.borrow();
             format!("n{n}{}", program.as_ref().map(Program::last_log_line).unwrap_or_default())
         });
-        let said: Vec<String> = said.take(5).collect();
-        Errors::single(format!("not ready after {:.0} s: {}", begun.elapsed().as_secs_f64(), said.join(", ")))
+        let waiting: Vec<String> = waiting.take(5).collect();
+        Errors::single(format!(
+            "gateways not ready after {:.0} s: {}",
+            started.elapsed().as_secs_f64(),
+            waiting.join(", ")
+        ))
     }
 
-    // ---- Programs ----
+    // Programs
 
+    /// Starts the real registry, if the scenario asks for it, and waits for its addresses.
     fn registry(&self) -> Result<Option<Program>, Errors> {
         if !self.world.scenario.list.registry {
             return Ok(None);
@@ -222,8 +235,8 @@
         let arguments =
             ["--dir", path_text(&list), "--readers", "127.0.0.1:0", "--registrars", "127.0.0.1:0"];
         let calls = (self.world.scenario.list.capacity as u32).to_string();
-        let bound = if calls == "0" { vec![] } else { vec!["--calls-per-s", calls.as_str()] };
-        let arguments = [&arguments[..], &["--grace-ms", "0"], &bound].concat();
+        let rate_limit = if calls == "0" { vec![] } else { vec!["--calls-per-s", calls.as_str()] };
+        let arguments = [&arguments[..], &["--grace-ms", "0"], &rate_limit].concat();
         let log = self.folder.path("registry.log");
         let mut program = Program::start(&self.programs, "sprucehatch-registry", &arguments, log)?;
         let at =
@@ -232,7 +245,7 @@
         Ok(Some(program))
     }
 
-    /// Starts a gateway, from nothing.
+    /// Starts a new process for a gateway.
     fn start(&self, n: usize) -> Result<(), Errors> {
         let world = &self.world;
         let known = world.scenario.list.known;
@@ -242,80 +255,82 @@
         let log = self.folder.path(&format!("{name}.log"));
         let program =
             Program::start(&self.programs, "sprucehatch-gateway", &["--config", path_text(&file)], log)?;
-        // What the configuration names is listed there, drained ones too.
+        // The configuration lists all servers that are not gone, draining ones included.
         let listed =
             (0..world.stand_ins.len()).filter(|m| known && world.stand_ins[*m].state.get() != State::Gone);
-        world.born(n, program, listed.collect());
-        spawn_local(world.clone().front(n));
+        world.gateway_started(n, program, listed.collect());
+        spawn_local(world.clone().wait_until_ready(n));
         Ok(())
     }
 
-    /// Kills a gateway without a word.
+    /// Kills a gateway without notice (SIGKILL).
     fn kill(&self, n: usize) {
         let world = self.world.clone();
-        world.excuse(n);
-        let place = &world.gateways[n];
-        let life = place.life.get();
-        if let Some(program) = place.program.borrow_mut().as_mut() {
+        world.excuse_open_requests(n);
+        let process = &world.gateways[n];
+        let incarnation = process.incarnation.get();
+        if let Some(program) = process.program.borrow_mut().as_mut() {
             program.kill();
         }
         spawn_local(async move {
-            sleep(FRONT).await;
-            // Unless another process is ready by then.
-            if world.gateways[n].life.get() == life {
-                world.leave_out(n);
+            sleep(ROTATION_LAG_AFTER_KILL).await;
+            // A newer process may have taken the gateway's place by then.
+            if world.gateways[n].incarnation.get() == incarnation {
+                world.remove_from_rotation(n);
             }
         });
     }
 
+    /// Takes a gateway out of rotation and starts a new process for it.
     async fn restart(&self, n: usize) {
-        self.world.leave_out(n);
-        if let Err(Errors(what)) = self.start(n) {
-            self.world.refused(what.join("; "));
+        self.world.remove_from_rotation(n);
+        if let Err(Errors(error)) = self.start(n) {
+            self.world.fail(error.join("; "));
         }
     }
 
-    /// Has a gateway end as at a planned restart, and starts it again.
-    async fn replace(self, n: usize) {
-        let place = &self.world.gateways[n];
+    /// Terminates a gateway as in a planned restart, and starts it again.
+    async fn restart_gracefully(self, n: usize) {
+        let process = &self.world.gateways[n];
         let signal = |signal| {
-            if let Some(program) = place.program.borrow_mut().as_mut() {
+            if let Some(program) = process.program.borrow_mut().as_mut() {
                 program.signal(signal);
             }
         };
         signal(Signal::TERM);
-        sleep(FRONT_TERM).await;
-        self.world.leave_out(n);
+        sleep(ROTATION_LAG_AFTER_TERM).await;
+        self.world.remove_from_rotation(n);
         let longest = self.world.scenario.classes.iter().map(|c| c.deadline_ms).fold(3000.0, f64::max);
         let end = Instant::now() + Duration::from_secs_f64(longest / 1000.0 + 0.7);
-        while self.world.alive(n) && Instant::now() < end {
+        while self.world.is_running(n) && Instant::now() < end {
             sleep(Duration::from_millis(20)).await;
         }
         self.kill(n);
         self.restart(n).await;
     }
 
-    /// Who has ended though nobody had it end.
-    fn lost(&self) -> Option<String> {
-        let mut lost = Vec::new();
-        for (n, place) in self.world.gateways.iter().enumerate() {
-            let mut program = place.program.borrow_mut();
+    /// Describes the gateways that exited although nothing stopped them.
+    fn unexpected_exits(&self) -> Option<String> {
+        let mut exits = Vec::new();
+        for (n, process) in self.world.gateways.iter().enumerate() {
+            let mut program = process.program.borrow_mut();
             if let Some((program, status)) =
                 program.as_mut().and_then(|p| p.ended().map(|status| (p, status)))
             {
-                lost.push(format!("gateway n{n} ended with {status}{}", program.last_log_line()));
+                exits.push(format!("gateway n{n} ended with {status}{}", program.last_log_line()));
             }
         }
-        (!lost.is_empty()).then(|| lost.join("; "))
+        (!exits.is_empty()).then(|| exits.join("; "))
     }
 
-    fn measure(&self, span: Duration) {
+    /// Records the resource usage of the gateways that ran from the start, `span` ago.
+    fn record_resource_usage(&self, span: Duration) {
         let mut figures = self.world.figures.borrow_mut();
-        for place in &self.world.gateways {
-            let program = place.program.borrow();
-            // One that was started anew has less to show.
+        for process in &self.world.gateways {
+            let program = process.program.borrow();
+            // A restarted gateway has not been running for the whole trial.
             let Some(used) =
-                program.as_ref().filter(|_| place.life.get() == 1).and_then(Program::resource_usage)
+                program.as_ref().filter(|_| process.incarnation.get() == 1).and_then(Program::resource_usage)
             else {
                 continue;
             };
@@ -325,76 +340,79 @@
         }
     }
 
-    // ---- Faults ----
+    // Faults
 
-    async fn strike(self, number: usize) {
+    /// Waits for the time of a fault of the scenario, applies the fault, and ends it after its duration.
+    async fn inject_fault(self, number: usize) {
         let world = &self.world;
         let fault = &world.scenario.faults[number];
         let (begin, end) = (ns(fault.at_s, SECOND), ns(fault.at_s + fault.for_s, SECOND));
-        sleep_until(world.clock.at(START_NS + begin)).await;
-        let struck = world.scenario.fault_targets(fault, &mut *world.rng.borrow_mut());
+        sleep_until(world.clock.instant_at(START_NS + begin)).await;
+        let affected = world.scenario.fault_targets(fault, &mut *world.rng.borrow_mut());
         let Some(net) = world.net.get() else { return };
         let span = Duration::from_secs_f64(fault.for_s);
-        let each = span / struck.len().max(1) as u32;
+        let interval = span / affected.len().max(1) as u32;
         match fault.kind {
-            Trouble::Kill => struck.iter().for_each(|n| self.server_down(*n)),
-            Trouble::Silent => struck.iter().for_each(|n| net.server(*n, |s| s.silent = true)),
+            Trouble::Kill => affected.iter().for_each(|n| self.stop_server(*n)),
+            Trouble::Silent => affected.iter().for_each(|n| net.update_server(*n, |s| s.silent = true)),
             Trouble::Slow => {
-                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = fault.factor);
+                affected.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = fault.factor);
+            }
+            Trouble::Fail => {
+                affected.iter().for_each(|n| world.stand_ins[*n].failure_probability.set(fault.factor));
             }
-            Trouble::Fail => struck.iter().for_each(|n| world.stand_ins[*n].fails.set(fault.factor)),
             Trouble::Refuse => {
-                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().refusing = true);
+                affected.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().refusing = true);
             }
             Trouble::Release => {
-                for n in struck {
-                    spawn_local(self.clone().replace_server(n));
-                    sleep(each).await;
+                for n in affected {
+                    spawn_local(self.clone().release_server(n));
+                    sleep(interval).await;
                 }
                 return;
             }
             Trouble::Cut | Trouble::Reset | Trouble::Delay => {
                 if let Some(Ok(link)) = Link::of(fault, &world.scenario) {
-                    let struck = link.resolve(&world.scenario, &mut *world.rng.borrow_mut());
-                    net.begin(number, fault.kind, struck, fault.factor);
+                    let affected = link.resolve(&world.scenario, &mut *world.rng.borrow_mut());
+                    net.begin_fault(number, fault.kind, affected, fault.factor);
                 }
             }
             Trouble::Restart => {
-                struck.iter().for_each(|n| self.kill(*n));
-                sleep(GATEWAY_DOWN).await;
-                for n in &struck {
+                affected.iter().for_each(|n| self.kill(*n));
+                sleep(RESTART_DELAY).await;
+                for n in &affected {
                     self.restart(*n).await;
                     tokio::task::yield_now().await;
                 }
                 return;
             }
             Trouble::Rolling => {
-                for n in struck {
-                    spawn_local(self.clone().replace(n));
-                    sleep(each).await;
+                for n in affected {
+                    spawn_local(self.clone().restart_gracefully(n));
+                    sleep(interval).await;
                 }
                 return;
             }
-            Trouble::Pause => self.signal_all(&struck, Signal::STOP, Some(span)),
-            Trouble::Hangup => return self.signal_all(&struck, Signal::HUP, None),
-            Trouble::ListDown => net.list_silent(true),
+            Trouble::Pause => self.signal_all(&affected, Signal::STOP, Some(span)),
+            Trouble::Hangup => return self.signal_all(&affected, Signal::HUP, None),
+            Trouble::ListDown => net.set_list_silent(true),
             Trouble::Flood => world.flood.set(world.flood.get() * fault.factor),
             Trouble::MeterDown => world.meter_down.set(world.meter_down.get() + 1),
         }
-        sleep_until(world.clock.at(START_NS + end)).await;
+        sleep_until(world.clock.instant_at(START_NS + end)).await;
         match fault.kind {
-            Trouble::Kill => struck.iter().for_each(|n| self.server_up(*n)),
-            Trouble::Silent => struck.iter().for_each(|n| net.server(*n, |s| s.silent = false)),
+            Trouble::Kill => affected.iter().for_each(|n| self.start_server(*n)),
+            Trouble::Silent => affected.iter().for_each(|n| net.update_server(*n, |s| s.silent = false)),
             Trouble::Slow => {
-                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0);
+                affected.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0)
             }
-            Trouble::Fail => struck.iter().for_each(|n| world.stand_ins[*n].fails.set(0.0)),
+            Trouble::Fail => affected.iter().for_each(|n| world.stand_ins[*n].failure_probability.set(0.0)),
             Trouble::Refuse => {
-                struck.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().refusing = false);
+                affected.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().refusing = false);
             }
-            Trouble::Cut | Trouble::Reset | Trouble::Delay => net.finish(number),
-            Trouble::Pause => self.signal_all(&struck, Signal::CONT, None),
-            Trouble::ListDown => net.list_silent(false),
+            Trouble::Cut | Trouble::Reset | Trouble::Delay => net.end_fault(number),
+            Trouble::Pause => self.signal_all(&affected, Signal::CONT, None),
+            Trouble::ListDown => net.set_list_silent(false),
             Trouble::Flood if fault.factor > 0.0 => world.flood.set(world.flood.get() / fault.factor),
             Trouble::Flood => world.flood.set(1.0),
             Trouble::MeterDown => world.meter_down.set(world.meter_down.get() - 1),
@@ -402,72 +420,78 @@
         }
     }
 
-    /// `still` is how long they stand still.
-    fn signal_all(&self, gateways: &[usize], signal: Signal, still: Option<Duration>) {
-        for n in gateways.iter().filter(|n| self.world.alive(**n)) {
-            let place = &self.world.gateways[*n];
-            if let Some(still) = still {
-                place.paused_until.set(self.world.clock.now() + still.as_nanos() as u64);
-                self.world.excuse(*n);
+    /// Sends a signal to running gateways. `pause` is how long the gateways stay paused, if the signal pauses
+    /// them.
+    fn signal_all(&self, gateways: &[usize], signal: Signal, pause: Option<Duration>) {
+        for n in gateways.iter().filter(|n| self.world.is_running(**n)) {
+            let process = &self.world.gateways[*n];
+            if let Some(pause) = pause {
+                process.paused_until.set(self.world.clock.now() + pause.as_nanos() as u64);
+                self.world.excuse_open_requests(*n);
             }
-            if let Some(program) = place.program.borrow_mut().as_mut() {
+            if let Some(program) = process.program.borrow_mut().as_mut() {
                 program.signal(signal);
             }
         }
     }
 
-    fn server_down(&self, n: usize) {
+    /// Crashes a server, unless it is down already.
+    fn stop_server(&self, n: usize) {
         let stand_in = &self.world.stand_ins[n];
         if stand_in.up.get() {
-            stand_in.die();
-            self.present(n);
+            stand_in.crash();
+            self.update_links(n);
             self.world.announce(n, State::Gone);
         }
     }
 
-    fn server_up(&self, n: usize) {
+    /// Starts a server again, unless it is up already.
+    fn start_server(&self, n: usize) {
         let stand_in = &self.world.stand_ins[n];
         if !stand_in.up.get() {
             stand_in.start(self.world.clock.now());
-            self.present(n);
+            self.update_links(n);
             self.world.announce(n, State::Ready);
         }
     }
 
-    fn present(&self, n: usize) {
+    /// Tells the relays whether a server is up, and its incarnation.
+    fn update_links(&self, n: usize) {
         let stand_in = &self.world.stand_ins[n];
         if let Some(net) = self.world.net.get() {
-            net.server(n, |s| (s.down, s.life) = (!stand_in.up.get(), stand_in.life.get()));
+            net.update_server(n, |s| {
+                (s.down, s.incarnation) = (!stand_in.up.get(), stand_in.incarnation.get());
+            });
         }
     }
 
-    /// A server is drained, stops, and starts again.
-    async fn replace_server(self, n: usize) {
+    /// Drains a server, stops it and starts it again.
+    async fn release_server(self, n: usize) {
         let stand_in = &self.world.stand_ins[n];
         if !stand_in.up.get() || stand_in.state.get() != State::Ready {
             return;
         }
         stand_in.model.borrow_mut().draining = true;
         self.world.announce(n, State::Terminating);
-        sleep(DRAIN).await;
-        self.server_down(n);
-        sleep(AWAY).await;
-        self.server_up(n);
+        sleep(DRAIN_TIME).await;
+        self.stop_server(n);
+        sleep(RELEASE_DOWNTIME).await;
+        self.start_server(n);
     }
 }
 
-/// Measures how late the event loop turns.
-async fn lateness(world: Rc<World>) {
+/// Samples the lag of this program's event loop.
+async fn measure_event_loop_lag(world: Rc<World>) {
     loop {
-        let due = Instant::now() + TURN;
+        let due = Instant::now() + LAG_SAMPLE_INTERVAL;
         sleep_until(due).await;
-        // The timer itself goes by milliseconds.
+        // The timer has a resolution of one millisecond.
         let late = Instant::now().saturating_duration_since(due + Duration::from_millis(1));
-        world.figures.borrow_mut().lateness.push(late);
+        world.figures.borrow_mut().event_loop_lags.push(late);
     }
 }
 
-/// What a gateway is told at its start, as the platform words it.
+/// A gateway's configuration file, in the platform's format.
 fn configuration(world: &World, n: usize, known: bool) -> Value {
     let scenario = &world.scenario;
     let s = scenario.settings(n as u32, scenario.zone_of_gateway(n) as u32);
@@ -489,7 +513,7 @@
         "name": format!("n{n}"),
         "listen": address(world.addresses.gateway(n)),
         "ops": address(world.addresses.operators(n)),
-        "discovery": address(world.addresses.of(n, Target::List)),
+        "discovery": address(world.addresses.relay(n, Target::List)),
         "seed": format!("{:016x}", world.rng.borrow_mut().random::<u64>()),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": {
@@ -510,8 +534,8 @@
         },
     });
     if known {
-        // A list that is worded is read again.
-        whole["known"] = serde_json::from_str(&world.service.whole(n)).unwrap_or_default();
+        // The list is rendered as text for the gateway and parsed again.
+        whole["known"] = serde_json::from_str(&world.list_service.full_list_text(n)).unwrap_or_default();
     }
     whole
 }
--- a/crates/gateway-process-trial/src/ends.rs
+++ b/crates/gateway-process-trial/src/link_handler.rs
@@ -1,10 +1,10 @@
-//! Who is behind the links: stand-ins for servers, and the list.
+//! The services behind the relays: stand-in servers, and the list service or the registry.
 
 use crate::addresses::Target;
-use crate::ledger::Seen;
+use crate::connection::{Connection, FarEnd, LinkHandler};
+use crate::ledger::Event;
+use crate::list_responses::ListResponse;
 use crate::serving;
-use crate::tap::Said;
-use crate::wire::{Ends, Far, Wire};
 use crate::world::World;
 use gateway_protocol::list::State;
 use gateway_simulation::report::count;
@@ -17,8 +17,8 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-impl Ends for World {
-    async fn connected(self: Rc<Self>, target: Target, wire: Rc<Wire>) -> Option<Far> {
+impl LinkHandler for World {
+    async fn connect(self: Rc<Self>, target: Target, connection: Rc<Connection>) -> Option<FarEnd> {
         match target {
             Target::Server(n) => {
                 let mut figures = self.figures.borrow_mut();
@@ -28,17 +28,17 @@
                     }
                     figures.opened[at] += 1;
                 }
-                figures.report.connections += u64::from(self.counts(self.clock.now()));
+                figures.report.connections += u64::from(self.is_counted(self.clock.now()));
                 drop(figures);
-                serving::connect(&self, n, wire)
+                serving::connect(&self, n, connection)
             }
             Target::List => match self.registry.get() {
-                Some([readers, _]) => TcpStream::connect(readers).await.ok().map(Far::There),
+                Some([readers, _]) => TcpStream::connect(readers).await.ok().map(FarEnd::Tcp),
                 None => {
                     let (near, far) = duplex(64 << 10);
                     spawn_local(async move {
                         let service = service_fn(|request| async {
-                            let answer = self.service.answer(request, &wire).await;
+                            let answer = self.list_service.answer(request, &connection).await;
                             let mut figures = self.figures.borrow_mut();
                             let second = self.clock.second();
                             count(&mut figures.list, second, 0);
@@ -49,53 +49,56 @@
                         });
                         let _ = http1::Builder::new().serve_connection(TokioIo::new(far), service).await;
                     });
-                    Some(Far::Here(near))
+                    Some(FarEnd::InProcess(near))
                 }
             },
         }
     }
 
-    fn closed(&self, wire: &Wire, reset: bool) {
-        if let Some((id, sent)) = wire.out.take() {
+    fn gateway_closed(&self, connection: &Connection, reset: bool) {
+        if let Some((id, received_at)) = connection.in_flight.take() {
             let ending =
                 if reset { gateway_decisions::Ending::Cut } else { gateway_decisions::Ending::Undone };
-            self.note(self.clock.now(), Seen::Over { id, sent, ending });
+            self.record(self.clock.now(), Event::AttemptEnded { id, received_at, ending });
         }
     }
 
-    fn told(&self, wire: &Wire, bytes: &[u8]) {
-        let place = &self.gateways[wire.gateway];
-        let (now, gateway) = (self.clock.now().max(place.paused_until.get()), wire.gateway);
-        for said in wire.tap.borrow_mut().feed(bytes) {
+    fn list_bytes_sent(&self, connection: &Connection, bytes: &[u8]) {
+        let process = &self.gateways[connection.gateway];
+        let (now, gateway) = (self.clock.now().max(process.paused_until.get()), connection.gateway);
+        for response in connection.list_responses.borrow_mut().feed(bytes) {
             if self.registry.get().is_some() {
                 let mut figures = self.figures.borrow_mut();
                 let second = self.clock.second();
                 count(&mut figures.list, second, 0);
-                if matches!(said, Said::Else) {
+                if matches!(response, ListResponse::Other) {
                     count(&mut figures.list, second, 1);
                 }
             }
-            let Said::List(list) = said else { continue };
-            let mut told = place.told.borrow_mut();
-            let number = |uid: &str| uid.strip_prefix("s-")?.parse::<usize>().ok();
-            let named: Vec<(usize, bool, u64)> = list
+            let ListResponse::List(list) = response else { continue };
+            let mut known_starts = process.known_starts.borrow_mut();
+            let server_number = |uid: &str| uid.strip_prefix("s-")?.parse::<usize>().ok();
+            let listed: Vec<(usize, bool, u64)> = list
                 .targets
                 .iter()
-                .filter_map(|t| Some((number(&t.uid)?, t.state == State::Ready, t.boot_ms)))
+                .filter_map(|t| Some((server_number(&t.uid)?, t.state == State::Ready, t.boot_ms)))
                 .collect();
             if list.all {
-                for server in told.keys().filter(|n| named.iter().all(|(named, ..)| named != *n)) {
-                    self.note(now, Seen::Told { gateway, server: *server, wanted: false });
+                for server in known_starts.keys().filter(|n| listed.iter().all(|(listed, ..)| listed != *n)) {
+                    self.record(
+                        now,
+                        Event::ServerListed { gateway, server: *server, accepts_requests: false },
+                    );
                 }
             }
-            for (server, wanted, boot_ms) in named {
-                told.insert(server, boot_ms);
-                self.note(now, Seen::Told { gateway, server, wanted });
+            for (server, accepts_requests, boot_ms) in listed {
+                known_starts.insert(server, boot_ms);
+                self.record(now, Event::ServerListed { gateway, server, accepts_requests });
             }
         }
     }
 
-    fn broken(&self, what: String) {
-        self.refused(what);
+    fn relay_failed(&self, error: String) {
+        self.fail(error);
     }
 }
--- a/crates/gateway-process-trial/src/tap/tests.rs
+++ b/crates/gateway-process-trial/src/list_responses/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `tap`.
+//! Tests of parsing list responses.
 
 use super::*;
 use crate::list::entry;
 use gateway_protocol::list::State;
 
 #[test]
-fn answers_are_read_as_they_go_out_in_any_pieces() {
+fn parses_responses_split_into_chunks() {
     let list = List { rev: 4, all: true, targets: vec![entry(0, String::new(), "a", 0, State::Ready, 0)] };
     let body = serde_json::to_string(&list).unwrap();
     let text = format!(
@@ -13,7 +13,10 @@
          HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut tap = Tap::default();
-    let said: Vec<Said> = text.as_bytes().chunks(7).flat_map(|piece| tap.feed(piece)).collect();
-    assert!(matches!(&said[..], [Said::Else, Said::List(told)] if *told == list));
+    let mut list_responses = ListResponses::default();
+    let responses: Vec<ListResponse> =
+        text.as_bytes().chunks(7).flat_map(|chunk| list_responses.feed(chunk)).collect();
+    assert!(
+        matches!(&responses[..], [ListResponse::Other, ListResponse::List(received)] if *received == list)
+    );
 }
--- a/crates/gateway-process-trial/src/net.rs
+++ b/crates/gateway-process-trial/src/net.rs
@@ -1,10 +1,12 @@
-//! The links: each gateway reaches each server, and the list, at an address of its own, where a relay stands. So the ends of
-//! every connection are known, and what passes between them can be cut, reset and delayed, each way by itself.
+//! The network between gateways and their targets. Each gateway reaches each server, and the list service, at
+//! an address of its own, where a TCP relay listens. The ends of every connection are therefore known, and
+//! each direction can be cut, reset or delayed separately.
 //!
-//! A relay must not hide a fault. While a way is cut, what was said stays in the relay, as it would stay unconfirmed in the
-//! sender's socket, and goes on when the way is open; the other end hears of no close either. New connections do not come up:
-//! the relay's queue of new connections is kept full, so that the kernel passes over who asks for one, who asks again after
-//! a second, as over a link that loses it. A server that is down refuses: nothing listens.
+//! A relay must not hide a fault. While a direction is cut, bytes stay in the relay, as they would stay
+//! unacknowledged in the sender's socket, and are delivered when the cut heals. The other end does not learn
+//! of a close either. New connections are not established: the relay's accept queue is kept full, so the
+//! kernel drops connection attempts, and the client's kernel repeats them after a second, as over a link that
+//! loses packets. A server that is down refuses connections, as nothing listens at its addresses.
 
 mod relay;
 mod rewriter;
@@ -13,8 +15,8 @@
 
 use crate::addresses::{Addresses, Target};
 use crate::clock::Clock;
-use crate::net::relay::{listen, Gate, Relay, Ways};
-use crate::wire::Ends;
+use crate::connection::LinkHandler;
+use crate::net::relay::{listen, LinkState, Relay, RelayedLink};
 use gateway_simulation::link::AffectedLinks;
 use gateway_simulation::scenario::Trouble;
 use program_support::config::Errors;
@@ -24,114 +26,125 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Whether a server is there, and what a fault does to it.
+/// Whether a server is up, and whether a fault silences it.
 #[derive(Clone, Copy, Default)]
-pub struct Presence {
+pub struct ServerAvailability {
     pub down: bool,
+    /// The server neither receives nor sends bytes, without closing connections.
     pub silent: bool,
-    pub life: u32,
+    /// Changes with every start and crash of the server.
+    pub incarnation: u32,
 }
 
-/// All links.
+/// All links of a trial, with the faults on them.
 pub struct Net<E> {
-    gates: Vec<Rc<Gate>>,
-    /// Faults on links by number, with their milliseconds.
+    links: Vec<Rc<RelayedLink>>,
+    /// The faults in effect on links: number, kind, affected links and factor (for delays, milliseconds).
     faults: RefCell<Vec<(usize, Trouble, AffectedLinks, f64)>>,
-    servers: RefCell<Vec<Presence>>,
-    list_silent: Cell<u32>,
-    ends: Rc<E>,
+    servers: RefCell<Vec<ServerAvailability>>,
+    list_silent_count: Cell<u32>,
+    handler: Rc<E>,
 }
 
-impl<E: Ends + 'static> Net<E> {
-    /// Opens all addresses.
+impl<E: LinkHandler + 'static> Net<E> {
+    /// Listens at all relay addresses.
     pub fn open(
         addresses: &Addresses,
         gateways: usize,
         servers: usize,
         clock: Clock,
-        ends: Rc<E>,
+        handler: Rc<E>,
     ) -> Result<Rc<Self>, Errors> {
         let targets = || (0..servers).map(Target::Server).chain([Target::List]);
-        let gates = (0..gateways).flat_map(|gateway| targets().map(move |target| (gateway, target)));
-        let gates = gates.map(|(gateway, target)| {
-            let (address, ways) = (addresses.of(gateway, target), Cell::default());
-            Rc::new(Gate { gateway, target, address, ways, changed: Notify::new() })
+        let links = (0..gateways).flat_map(|gateway| targets().map(move |target| (gateway, target)));
+        let links = links.map(|(gateway, target)| {
+            let (address, state) = (addresses.relay(gateway, target), Cell::default());
+            Rc::new(RelayedLink { gateway, target, address, state, changed: Notify::new() })
         });
         let net = Rc::new(Net {
-            gates: gates.collect(),
+            links: links.collect(),
             faults: RefCell::default(),
-            servers: RefCell::new(vec![Presence::default(); servers]),
-            list_silent: Cell::new(0),
-            ends,
+            servers: RefCell::new(vec![ServerAvailability::default(); servers]),
+            list_silent_count: Cell::new(0),
+            handler,
         });
-        for gate in &net.gates {
+        for link in &net.links {
             let listener =
-                listen(gate.address).map_err(|e| Errors::single(format!("{}: {e}", gate.address)))?;
-            let relay = Relay { gate: gate.clone(), clock: clock.clone(), ends: net.ends.clone() };
-            spawn_local(Rc::new(relay).stand(listener));
+                listen(link.address).map_err(|e| Errors::single(format!("{}: {e}", link.address)))?;
+            let relay = Relay { link: link.clone(), clock: clock.clone(), handler: net.handler.clone() };
+            spawn_local(Rc::new(relay).accept_connections(listener));
         }
         Ok(net)
     }
 
-    pub fn begin(&self, number: usize, kind: Trouble, struck: AffectedLinks, factor: f64) {
-        self.faults.borrow_mut().push((number, kind, struck, factor));
+    /// Puts a fault into effect; `factor` is the delay in milliseconds, for delays.
+    pub fn begin_fault(&self, number: usize, kind: Trouble, affected: AffectedLinks, factor: f64) {
+        self.faults.borrow_mut().push((number, kind, affected, factor));
         self.refresh();
     }
 
-    pub fn finish(&self, number: usize) {
+    /// Ends the fault of this number.
+    pub fn end_fault(&self, number: usize) {
         self.faults.borrow_mut().retain(|(n, ..)| *n != number);
         self.refresh();
     }
 
-    /// The list says nothing, until as many ends of it have been told.
-    pub fn list_silent(&self, on: bool) {
-        let count = self.list_silent.get();
-        self.list_silent.set(if on { count + 1 } else { count.saturating_sub(1) });
+    /// Silences the list service (`true`) or ends one such fault (`false`). It stays silent until every fault
+    /// has ended.
+    pub fn set_list_silent(&self, on: bool) {
+        let count = self.list_silent_count.get();
+        self.list_silent_count.set(if on { count + 1 } else { count.saturating_sub(1) });
         self.refresh();
     }
 
-    /// Whether a fault has a server say nothing.
+    /// Whether a fault silences a server.
     pub fn is_silent(&self, n: usize) -> bool {
         self.servers.borrow()[n].silent
     }
 
-    pub fn server(&self, n: usize, change: impl FnOnce(&mut Presence)) {
+    /// Changes the availability of a server and updates its links.
+    pub fn update_server(&self, n: usize, change: impl FnOnce(&mut ServerAvailability)) {
         change(&mut self.servers.borrow_mut()[n]);
         self.refresh();
     }
 
+    /// Recomputes the state of all links and notifies the relays whose state changed.
     fn refresh(&self) {
-        for gate in &self.gates {
-            let ways = self.ways(gate);
-            if gate.ways.replace(ways) != ways {
-                gate.changed.notify_waiters();
+        for link in &self.links {
+            let state = self.link_state(link);
+            if link.state.replace(state) != state {
+                link.changed.notify_waiters();
             }
         }
     }
 
-    fn ways(&self, gate: &Gate) -> Ways {
-        let mut ways = Ways::default();
-        match gate.target {
+    /// The state of a link under all faults in effect.
+    fn link_state(&self, link: &RelayedLink) -> LinkState {
+        let mut state = LinkState::default();
+        match link.target {
             Target::Server(n) => {
                 let server = self.servers.borrow()[n];
-                (ways.cut, ways.refused, ways.life) = ([server.silent; 2], server.down, server.life);
+                (state.cut, state.refused, state.incarnation) =
+                    ([server.silent; 2], server.down, server.incarnation);
             }
-            Target::List => ways.cut = [self.list_silent.get() > 0; 2],
+            Target::List => state.cut = [self.list_silent_count.get() > 0; 2],
         }
-        for (_, kind, struck, factor) in self.faults.borrow().iter() {
-            for (way, out) in [(0, true), (1, false)] {
-                let hit = match gate.target {
-                    Target::Server(n) => struck.affects_server(gate.gateway, n, out),
-                    Target::List => struck.affects_list(gate.gateway, out),
+        for (_, kind, affected, factor) in self.faults.borrow().iter() {
+            for (direction, out) in [(0, true), (1, false)] {
+                let hit = match link.target {
+                    Target::Server(n) => affected.affects_server(link.gateway, n, out),
+                    Target::List => affected.affects_list(link.gateway, out),
                 };
                 match kind {
-                    Trouble::Cut if hit => ways.cut[way] = true,
-                    Trouble::Reset if hit => ways.refused = true,
-                    Trouble::Delay if hit => ways.delay[way] += Duration::from_secs_f64(factor / 1000.0),
+                    Trouble::Cut if hit => state.cut[direction] = true,
+                    Trouble::Reset if hit => state.refused = true,
+                    Trouble::Delay if hit => {
+                        state.delay[direction] += Duration::from_secs_f64(factor / 1000.0);
+                    }
                     _ => {}
                 }
             }
         }
-        ways
+        state
     }
 }
--- a/crates/gateway-process-trial/src/registration.rs
+++ b/crates/gateway-process-trial/src/registration.rs
@@ -1,4 +1,4 @@
-//! A server's registration at the real registry.
+//! Registration of a stand-in server at the real registry.
 
 use bytes::Bytes;
 use gateway_protocol::call::{self, Call};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::interval;
 
-/// Registers, and renews the lease for as long as it is polled.
+/// Registers a server and renews its lease until the future is dropped.
 pub async fn renew(name: String, announcement: Announcement, registrars: SocketAddr) {
     let path = format!("{REGISTRATIONS_PATH}/{name}");
     let lease = Duration::from_millis(announcement.lease_ms);
@@ -22,7 +22,7 @@
             true => Call { method: Method::POST, path: format!("{path}/renew"), body: renewal.clone() },
             false => Call { method: Method::PUT, path: path.clone(), body: announcement.clone() },
         };
-        // One that the registry does not know, or that it did not answer, is announced anew.
+        // If the registry does not know the registration, or did not answer, the server registers again.
         listed = call::make(registrars, call, lease / 4).await.is_ok_and(|answer| answer.is_success());
     }
 }
--- a/crates/gateway-process-trial/src/serving.rs
+++ b/crates/gateway-process-trial/src/serving.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for roll servers behind HTTP/1.1, in real time.
+//! HTTP/1.1 front ends of the stand-in servers, in real time.
 
-use crate::ledger::Seen;
-use crate::wire::{Far, Wire};
+use crate::connection::{Connection, FarEnd};
+use crate::ledger::Event;
 use crate::world::World;
 use bytes::Bytes;
 use gateway_decisions::{Ending, Time};
@@ -24,10 +24,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// What lies between a relay and a server, in bytes.
-const PIPE: usize = 64 << 10;
+/// The buffer between a relay and a stand-in server, in bytes.
+const PIPE_BYTES: usize = 64 << 10;
 
-/// A place among a server's connections.
+/// Counts a connection of a server until it is dropped.
 struct ConnectionGuard(Rc<World>, usize);
 
 impl Drop for ConnectionGuard {
@@ -37,122 +37,125 @@
     }
 }
 
-/// Takes a connection at a server; none if it is not there.
-pub fn connect(world: &Rc<World>, n: usize, wire: Rc<Wire>) -> Option<Far> {
+/// Opens a connection to a stand-in server; `None` if the server is down.
+pub fn connect(world: &Rc<World>, n: usize, connection: Rc<Connection>) -> Option<FarEnd> {
     let stand_in = &world.stand_ins[n];
     if !stand_in.up.get() {
         world.in_vain(n);
         return None;
     }
-    let (near, far) = duplex(PIPE);
+    let (near, far) = duplex(PIPE_BYTES);
     stand_in.connections.set(stand_in.connections.get() + 1);
-    let held = ConnectionGuard(world.clone(), n);
+    let guard = ConnectionGuard(world.clone(), n);
     let idle = Duration::from_secs_f64(world.scenario.servers.idle_s);
     spawn_local(async move {
-        let world = &held.0;
+        let world = &guard.0;
         let service =
-            service_fn(|request| async { Ok::<_, Infallible>(serve(world, n, &wire, request).await) });
+            service_fn(|request| async { Ok::<_, Infallible>(serve(world, n, &connection, request).await) });
         let mut builder = http1::Builder::new();
         if !idle.is_zero() {
             builder.timer(TokioTimer::new()).header_read_timeout(idle);
         }
-        // An error is the gateway's, or a fault's.
+        // An error is caused by the gateway or by an injected fault.
         let _ = builder.serve_connection(TokioIo::new(far), service).await;
     });
-    Some(Far::Here(near))
+    Some(FarEnd::InProcess(near))
 }
 
-fn say(status: StatusCode) -> Response<Full<Bytes>> {
+fn response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::new(Bytes::from_static(b"the roll\n")));
     *answer.status_mut() = status;
     answer
 }
 
+/// Handles one attempt as the model prescribes, and records what becomes of it.
 async fn serve(
     world: &Rc<World>,
     n: usize,
-    wire: &Wire,
+    connection: &Connection,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let header = |name: &str| request.headers().get(name)?.to_str().ok().map(str::to_string);
-    let Some(id) = header("request-id") else { return say(StatusCode::NOT_FOUND) };
+    let Some(id) = header("request-id") else { return response(StatusCode::NOT_FOUND) };
     let id = u64::from_str_radix(&id, 16).unwrap_or(0);
     let idle = Duration::from_secs(5);
     let _ = tokio::time::timeout(idle, request.into_body().collect()).await;
-    let (stand_in, sent) = (&world.stand_ins[n], wire.read.get());
-    let Some((work, customer)) = world.arrived(id, n, wire.gateway, sent) else {
-        return say(StatusCode::BAD_REQUEST);
+    let (stand_in, received_at) = (&world.stand_ins[n], connection.last_read_ns.get());
+    let Some((work, customer)) = world.attempt_arrived(id, n, connection.gateway, received_at) else {
+        return response(StatusCode::BAD_REQUEST);
     };
-    match wire.closed.get() {
-        // It was given up on the way.
-        Some(at) => world.note(at, Seen::Over { id, sent, ending: Ending::Undone }),
-        None => wire.out.set(Some((id, sent))),
+    match connection.closed_at_ns.get() {
+        // The gateway gave the attempt up before it was complete.
+        Some(at) => world.record(at, Event::AttemptEnded { id, received_at, ending: Ending::Undone }),
+        None => connection.in_flight.set(Some((id, received_at))),
     }
-    let over = |ending| {
-        if wire.out.take().is_some() {
-            world.note(world.clock.now(), Seen::Over { id, sent, ending });
+    let record_end = |ending| {
+        if connection.in_flight.take().is_some() {
+            world.record(world.clock.now(), Event::AttemptEnded { id, received_at, ending });
         }
     };
-    let away = || {
-        over(Ending::Full);
-        world.figures.borrow_mut().away(world.clock.second());
+    let turn_away = || {
+        record_end(Ending::Full);
+        world.figures.borrow_mut().count_turned_away(world.clock.second());
         if world.stand_ins[n].model.borrow().refusing {
             world.in_vain(n);
         }
-        let mut answer = say(StatusCode::SERVICE_UNAVAILABLE);
+        let mut answer = response(StatusCode::SERVICE_UNAVAILABLE);
         answer.headers_mut().insert("not-started", HeaderValue::from_static("1"));
         answer
     };
-    let fresh = wire.fresh.replace(false);
-    let most = world.scenario.servers.connections;
-    if fresh && most > 0 && stand_in.connections.get() > most {
-        let mut answer = away();
+    let first_request = connection.unused.replace(false);
+    let max_connections = world.scenario.servers.connections;
+    if first_request && max_connections > 0 && stand_in.connections.get() > max_connections {
+        let mut answer = turn_away();
         answer.headers_mut().insert("connection", HeaderValue::from_static("close"));
         return answer;
     }
-    let handshake = if fresh { ns(world.scenario.servers.handshake_ms, MS) } else { 0 };
-    let [all, told] = stand_in.work.get();
-    let knows = world.knows(wire.gateway, n, stand_in.boot_ms.get());
-    stand_in.work.set([all + work as f64, told + if knows { work as f64 } else { 0.0 }]);
-    let (now, key) = (world.clock.now(), world.number());
+    let handshake = if first_request { ns(world.scenario.servers.handshake_ms, MS) } else { 0 };
+    let [total, informed] = stand_in.work.get();
+    let informed_of_start = world.knows_server_start(connection.gateway, n, stand_in.boot_ms.get());
+    stand_in.work.set([total + work as f64, informed + if informed_of_start { work as f64 } else { 0.0 }]);
+    let (now, key) = (world.clock.now(), world.next_id());
     let taken = stand_in.model.borrow_mut().admit(key, work + handshake, now);
-    if stand_in.model.borrow().collapsed && !stand_in.fell.replace(true) {
-        let [all, told] = stand_in.work.get();
+    if stand_in.model.borrow().collapsed && !stand_in.collapse_recorded.replace(true) {
+        let [total, informed] = stand_in.work.get();
         world.figures.borrow_mut().report.fallen += 1;
-        world.note(now, Seen::Fell { server: n, told: told / all.max(1.0) });
+        world.record(now, Event::ServerCollapsed { server: n, informed_share: informed / total.max(1.0) });
     }
     let (sender, done) = oneshot::channel();
     match taken {
-        Admission::Rejected => return away(),
-        Admission::Started(at) => drop(spawn_local(work_on(world.clone(), n, key, at))),
+        Admission::Rejected => return turn_away(),
+        Admission::Started(at) => drop(spawn_local(finish_work(world.clone(), n, key, at))),
         Admission::Queued => {}
     }
     stand_in.waiting.borrow_mut().insert(key, sender);
     if done.await.is_err() {
-        // It died: nobody hears of this any more.
+        // The server crashed: the response is never sent.
         pending::<()>().await;
     }
-    let failed = stand_in.fails.get() > 0.0 && world.rng.borrow_mut().random::<f64>() < stand_in.fails.get();
-    over(if failed { Ending::Fault } else { Ending::Pass });
-    let mut answer = say(if failed { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK });
-    let metered = world.metered(customer).and_then(|share| format!("{:.1}", share * 100.0).parse().ok());
+    let failed = stand_in.failure_probability.get() > 0.0
+        && world.rng.borrow_mut().random::<f64>() < stand_in.failure_probability.get();
+    record_end(if failed { Ending::Fault } else { Ending::Pass });
+    let mut answer = response(if failed { StatusCode::INTERNAL_SERVER_ERROR } else { StatusCode::OK });
+    let metered =
+        world.metered_usage(customer).and_then(|share| format!("{:.1}", share * 100.0).parse().ok());
     metered.map(|percent| answer.headers_mut().insert("usage-percent", percent));
     answer
 }
 
-/// Ends an attempt's work in its time, and begins with what waited longest.
-async fn work_on(world: Rc<World>, n: usize, mut key: u64, mut at: Time) {
+/// Completes attempts at the times the model sets, then goes on with the attempt that has waited longest.
+async fn finish_work(world: Rc<World>, n: usize, mut key: u64, mut at: Time) {
     let stand_in = &world.stand_ins[n];
-    let life = stand_in.life.get();
+    let incarnation = stand_in.incarnation.get();
     loop {
-        sleep_until(world.clock.at(at)).await;
-        if stand_in.life.get() != life {
+        sleep_until(world.clock.instant_at(at)).await;
+        if stand_in.incarnation.get() != incarnation {
             return;
         }
         let next = stand_in.model.borrow_mut().complete(world.clock.now());
-        // Who has left does not wait any more.
-        let waits = stand_in.waiting.borrow_mut().remove(&key);
-        waits.map(|sender| sender.send(()));
+        // The receiver may be gone if the gateway gave the attempt up.
+        let waiter = stand_in.waiting.borrow_mut().remove(&key);
+        waiter.map(|sender| sender.send(()));
         match next {
             Some(begun) => (key, at) = begun,
             None => return,
--- a/crates/gateway-process-trial/src/stand_in.rs
+++ b/crates/gateway-process-trial/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a roll server: the lab's model, and whether it is up.
+//! The state of a stand-in server: the simulator's model, and whether the server is up.
 
 use crate::clock::unix_ms;
 use gateway_decisions::Time;
@@ -8,21 +8,27 @@
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// One server.
+/// One stand-in server.
 pub struct StandIn {
     pub model: RefCell<Server>,
-    /// Who waits for its work to be done, by attempt.
+    /// The requests that wait for their work to be completed, by attempt.
     pub waiting: RefCell<HashMap<u64, oneshot::Sender<()>>>,
-    pub life: Cell<u32>,
+    /// Changes with every start and crash.
+    pub incarnation: Cell<u32>,
+    /// Whether the server is running.
     pub up: Cell<bool>,
+    /// The Unix time of the last start in milliseconds; 0 for servers that never restarted.
     pub boot_ms: Cell<u64>,
+    /// The state as listed.
     pub state: Cell<State>,
-    /// The chance that a request fails.
-    pub fails: Cell<f64>,
+    /// The probability that a request fails.
+    pub failure_probability: Cell<f64>,
+    /// The number of open connections.
     pub connections: Cell<u32>,
-    /// Work since its start, and the part of it from gateways that were told of the start.
+    /// The work since the last start, and the part of it from gateways that had been told of that start.
     pub work: Cell<[f64; 2]>,
-    pub fell: Cell<bool>,
+    /// Whether the collapse of the server since its last start has been recorded.
+    pub collapse_recorded: Cell<bool>,
 }
 
 impl StandIn {
@@ -30,32 +36,32 @@
         StandIn {
             model: RefCell::new(model),
             waiting: RefCell::default(),
-            life: Cell::new(0),
+            incarnation: Cell::new(0),
             up: Cell::new(true),
             boot_ms: Cell::new(0),
             state: Cell::new(State::Ready),
-            fails: Cell::new(0.0),
+            failure_probability: Cell::new(0.0),
             connections: Cell::new(0),
             work: Cell::new([0.0; 2]),
-            fell: Cell::new(false),
+            collapse_recorded: Cell::new(false),
         }
     }
 
-    /// It dies with all that it has in hand.
-    pub fn die(&self) {
+    /// Crashes the server; all requests in progress are lost.
+    pub fn crash(&self) {
         self.up.set(false);
-        self.life.set(self.life.get() + 1);
+        self.incarnation.set(self.incarnation.get() + 1);
         self.waiting.borrow_mut().clear();
     }
 
-    /// It starts anew, cold.
+    /// Starts the server again, in a cold state.
     pub fn start(&self, now: Time) {
         self.model.borrow_mut().restart(now);
         self.up.set(true);
-        self.life.set(self.life.get() + 1);
+        self.incarnation.set(self.incarnation.get() + 1);
         self.boot_ms.set(unix_ms());
         self.state.set(State::Ready);
         self.work.set([0.0; 2]);
-        self.fell.set(false);
+        self.collapse_recorded.set(false);
     }
 }
--- a/crates/gateway-process-trial/src/world.rs
+++ b/crates/gateway-process-trial/src/world.rs
@@ -1,4 +1,4 @@
-//! All that takes part in one trial, and what clients do.
+//! The shared state of one trial, and the behaviour of its participants.
 
 mod clients;
 mod gateways;
@@ -8,8 +8,8 @@
 use crate::addresses::Addresses;
 use crate::clock::{unix_ms, Clock};
 use crate::figures::Figures;
-use crate::ledger::{Ledger, Seen};
-use crate::list::Service;
+use crate::ledger::{Event, Ledger};
+use crate::list::ListService;
 use crate::net::Net;
 use crate::stand_in::StandIn;
 use crate::world::state::{GatewayProcess, OpenRequest};
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use tokio::task::JoinHandle;
 
-/// The systems of one trial.
+/// The participants of one trial and their shared state.
 pub struct World {
     pub scenario: Scenario,
     pub clock: Clock,
@@ -35,20 +35,27 @@
     pub rng: RefCell<ChaCha8Rng>,
     pub net: OnceCell<Rc<Net<World>>>,
     pub stand_ins: Vec<StandIn>,
-    pub service: Service,
-    /// Where the real registry's readers and registrars call.
+    pub list_service: ListService,
+    /// The addresses of the real registry for readers and for registrars.
     pub registry: OnceCell<[SocketAddr; 2]>,
-    announcers: RefCell<HashMap<usize, JoinHandle<()>>>,
+    /// The tasks that renew registrations at the real registry, by server.
+    renewals: RefCell<HashMap<usize, JoinHandle<()>>>,
     pub gateways: Vec<GatewayProcess>,
     pub figures: RefCell<Figures>,
+    /// Counts attempts at servers that serve nothing.
     vain: RefCell<FutileAttempts>,
+    /// The factor on the request rate.
     pub flood: Cell<f64>,
+    /// How many faults currently stop the meter.
     pub meter_down: Cell<u32>,
-    pub broken: RefCell<Option<String>>,
-    ledger: RefCell<Ledger>,
-    open: RefCell<HashMap<u64, OpenRequest>>,
+    /// The first error that makes the trial itself fail.
+    pub failure: RefCell<Option<String>>,
+    events: RefCell<Ledger>,
+    /// Requests by id; completed ones stay.
+    open_requests: RefCell<HashMap<u64, OpenRequest>>,
+    /// The customers by plan and number.
     customers: RefCell<Vec<Vec<Customer>>>,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
 }
 
 impl World {
@@ -63,48 +70,50 @@
             stand_ins: (0..scenario.servers.count)
                 .map(|_| StandIn::new(Server::new(scenario.server_parameters())))
                 .collect(),
-            service: Service::new(scenario.list.clone(), unix_ms()),
+            list_service: ListService::new(scenario.list.clone(), unix_ms()),
             registry: OnceCell::new(),
-            announcers: RefCell::default(),
+            renewals: RefCell::default(),
             gateways: (0..scenario.gateways.count).map(|_| GatewayProcess::default()).collect(),
             figures: RefCell::new(Figures { gateways: scenario.gateways.count, ..Figures::default() }),
             vain: RefCell::default(),
             flood: Cell::new(1.0),
             meter_down: Cell::new(0),
-            broken: RefCell::new(None),
-            ledger: RefCell::default(),
-            open: RefCell::default(),
+            failure: RefCell::new(None),
+            events: RefCell::default(),
+            open_requests: RefCell::default(),
             customers: RefCell::new(customers.collect()),
-            next: Cell::new(1),
+            next_id: Cell::new(1),
             scenario: scenario.clone(),
         })
     }
 
-    pub fn number(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+    /// Returns a new number for a request or an attempt.
+    pub fn next_id(&self) -> u64 {
+        self.next_id.replace(self.next_id.get() + 1)
     }
 
-    pub fn note(&self, at: Time, seen: Seen) {
-        self.ledger.borrow_mut().note(at, seen);
+    pub fn record(&self, at: Time, event: Event) {
+        self.events.borrow_mut().record(at, event);
     }
 
-    /// The play begins.
-    pub fn begin(&self) {
-        let later = self.clock.begin();
-        self.ledger.borrow_mut().begin(later);
+    /// Starts the measured run now, and shifts the recorded events accordingly.
+    pub fn set_start(&self) {
+        let shift = self.clock.set_start();
+        self.events.borrow_mut().shift_earlier(shift);
     }
 
-    pub fn ledger(&self) -> Ledger {
-        self.ledger.take()
+    pub fn take_events(&self) -> Ledger {
+        self.events.take()
     }
 
-    /// Whether what happens at this time counts.
-    pub fn counts(&self, at: Time) -> bool {
+    /// Whether events at this time count in the results.
+    pub fn is_counted(&self, at: Time) -> bool {
         at >= START_NS + ns(self.scenario.uncounted_s, SECOND)
             && at < START_NS + ns(self.scenario.seconds, SECOND)
     }
 
-    pub fn refused(&self, what: String) {
-        self.broken.borrow_mut().get_or_insert(what);
+    /// Makes the trial fail, unless it has failed already.
+    pub fn fail(&self, error: String) {
+        self.failure.borrow_mut().get_or_insert(error);
     }
 }
--- a/crates/gateway-process-trial/src/world/servers.rs
+++ b/crates/gateway-process-trial/src/world/servers.rs
@@ -1,6 +1,6 @@
-//! Servers as all see them: attempts that come to one, what the meter tells, and what the list does.
+//! Servers as the other participants see them: incoming attempts, metered usage and list entries.
 
-use crate::ledger::Seen;
+use crate::ledger::Event;
 use crate::list::entry;
 use crate::registration::renew;
 use crate::world::World;
@@ -17,38 +17,45 @@
 use tokio::task::spawn_local;
 use tokio::time::interval;
 
-/// How long a server is listed at the registry after its last renewal.
-const LEASE: Duration = Duration::from_secs(2);
+/// How long a server stays registered after its last renewal.
+const REGISTRATION_LEASE: Duration = Duration::from_secs(2);
 
 impl World {
-    /// An attempt came to a server: its work, and its customer. None if no client sent it.
-    pub fn arrived(&self, id: u64, server: usize, gateway: usize, at: Time) -> Option<(Time, (usize, u32))> {
-        let mut open = self.open.borrow_mut();
+    /// Records an attempt at a server. Returns its work, and its plan and customer; `None` if no client sent
+    /// the request.
+    pub fn attempt_arrived(
+        &self,
+        id: u64,
+        server: usize,
+        gateway: usize,
+        at: Time,
+    ) -> Option<(Time, (usize, u32))> {
+        let mut open = self.open_requests.borrow_mut();
         let Some(request) = open.get_mut(&id) else {
-            self.note(at, Seen::Invented { id, server });
+            self.record(at, Event::UnknownAttempt { id, server });
             return None;
         };
-        self.note(at, Seen::Sent { id, server, gateway });
+        self.record(at, Event::AttemptReceived { id, server, gateway });
         let asked = request.asked;
         let mut figures = self.figures.borrow_mut();
         let second = self.clock.second();
         count(&mut figures.report.flow, second, flow::ATTEMPTS);
-        if request.first {
+        if request.unattempted {
             let plan = &self.scenario.plans[asked.plan];
             let customer = &mut self.customers.borrow_mut()[asked.plan][asked.customer as usize];
-            request.within = customer.charge(plan, self.clock.now());
-            self.note(at, Seen::Drawn { plan: asked.plan, customer: asked.customer });
+            request.within_quota = customer.charge(plan, self.clock.now());
+            self.record(at, Event::QuotaUnitTaken { plan: asked.plan, customer: asked.customer });
             count(&mut figures.report.flow, second, flow::FIRST);
             count(&mut figures.report.quota, second, 0);
-            if !request.within {
+            if !request.within_quota {
                 count(&mut figures.report.quota, second, 1);
             }
             if request.counted {
                 figures.report.passed += 1;
-                figures.report.beyond += u64::from(!request.within);
+                figures.report.beyond += u64::from(!request.within_quota);
             }
         }
-        request.first = false;
+        request.unattempted = false;
         if request.counted {
             let zones = [self.scenario.zone_of_gateway(gateway), self.scenario.zone_of_server(server)];
             figures.report.attempts += 1;
@@ -57,23 +64,24 @@
         Some((request.work, (asked.plan, asked.customer)))
     }
 
-    /// What the meter says of a customer.
-    pub fn metered(&self, (plan, customer): (usize, u32)) -> Option<f64> {
+    /// The share of the quota that a customer has used, as last metered.
+    pub fn metered_usage(&self, (plan, customer): (usize, u32)) -> Option<f64> {
         self.customers.borrow()[plan][customer as usize].metered
     }
 
-    /// Whether a gateway was told of this start of a server.
-    pub fn knows(&self, gateway: usize, server: usize, boot_ms: u64) -> bool {
-        self.gateways[gateway].told.borrow().get(&server) == Some(&boot_ms)
+    /// Whether a gateway was told of the start of a server at `boot_ms`.
+    pub fn knows_server_start(&self, gateway: usize, server: usize, boot_ms: u64) -> bool {
+        self.gateways[gateway].known_starts.borrow().get(&server) == Some(&boot_ms)
     }
 
-    pub async fn meter(self: Rc<Self>) {
+    /// Meters the customers' usage at regular intervals, until the future is dropped.
+    pub async fn run_meter(self: Rc<Self>) {
         let mut every = interval(Duration::from_nanos(METER_PERIOD_NS));
-        // The first comes at once, and nothing was used before.
+        // The first tick fires at once, when there is no usage to meter.
         every.tick().await;
         loop {
             every.tick().await;
-            self.sample();
+            self.sample_capacity();
             let on = self.meter_down.get() == 0;
             for (plan, customers) in self.scenario.plans.iter().zip(self.customers.borrow_mut().iter_mut()) {
                 customers.iter_mut().for_each(|customer| customer.end_meter_period(plan, on));
@@ -81,11 +89,11 @@
         }
     }
 
-    /// Notes in the middle of a second what all servers can do that want something new.
-    fn sample(&self) {
+    /// Samples, in the middle of a second, the capacity of all servers that accept new requests.
+    fn sample_capacity(&self) {
         let now = self.clock.now();
         let cores = &mut self.figures.borrow_mut().report.cores;
-        // A tick may be late, but not by half a second.
+        // Sampling may run late, but not by half a second.
         if now < START_NS + cores.len() as Time * 2 * METER_PERIOD_NS + METER_PERIOD_NS {
             return;
         }
@@ -101,24 +109,24 @@
         cores.push(sum);
     }
 
-    /// An attempt comes to a server that serves nothing.
+    /// Counts an attempt at a server that serves nothing.
     pub fn in_vain(&self, server: usize) {
         let second = self.clock.second();
         self.vain.borrow_mut().count(&mut self.figures.borrow_mut().report.flow, second, server);
     }
 
-    /// The list is to tell of a server as it is now.
+    /// Publishes a server's new state to the list service or the registry.
     pub fn announce(self: &Rc<Self>, n: usize, state: State) {
         let stand_in = &self.stand_ins[n];
         stand_in.state.set(state);
-        let endpoint = self.addresses.anybody(n).to_string();
+        let endpoint = self.addresses.placeholder(n).to_string();
         let zone = &self.scenario.zones[self.scenario.zone_of_server(n)];
         let cell = self.scenario.cell_of_server(n);
         let boot_ms = stand_in.boot_ms.get();
         let Some([_, registrars]) = self.registry.get().copied() else {
-            return self.service.change(entry(n, endpoint, zone, cell, state, boot_ms));
+            return self.list_service.update(entry(n, endpoint, zone, cell, state, boot_ms));
         };
-        let past = match state {
+        let old_renewal = match state {
             State::Ready => {
                 let announcement = Announcement {
                     endpoint,
@@ -127,20 +135,24 @@
                     pod_group: cell,
                     capacity_hint: 1.0,
                     boot_ms,
-                    lease_ms: LEASE.as_millis() as u64,
+                    lease_ms: REGISTRATION_LEASE.as_millis() as u64,
                 };
                 let task = spawn_local(renew(format!("s-{n}"), announcement, registrars));
-                self.announcers.borrow_mut().insert(n, task)
+                self.renewals.borrow_mut().insert(n, task)
             }
             State::Terminating => {
                 let path = format!("{REGISTRATIONS_PATH}/s-{n}/drain");
                 let body = Bytes::from(format!(r#"{{"boot_ms":{boot_ms}}}"#));
-                spawn_local(call::make(registrars, Call { method: Method::POST, path, body }, LEASE));
+                spawn_local(call::make(
+                    registrars,
+                    Call { method: Method::POST, path, body },
+                    REGISTRATION_LEASE,
+                ));
                 None
             }
-            State::Gone => self.announcers.borrow_mut().remove(&n),
+            State::Gone => self.renewals.borrow_mut().remove(&n),
         };
-        if let Some(task) = past {
+        if let Some(task) = old_renewal {
             task.abort();
         }
     }
