--- a/crates/gateway-test-support/src/golden.rs
+++ b/crates/gateway-test-support/src/golden.rs
@@ -1,17 +1,18 @@
-//! Golden files: texts that stay as they were, since other programs, files or people rely on them.
+//! Golden files: expected texts that must not change by accident, since other programs, files or people rely
+//! on them.
 //!
-//! A crate's golden files lie in its `tests/golden/`. With `GOLDEN=write` in the environment a test writes its files
-//! anew: only for a change that is meant for those who rely on them.
+//! A crate's golden files are in its `tests/golden/`. With `GOLDEN=write` in the environment, tests rewrite
+//! their golden files. This is only for intended changes of the texts.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Checks that `text` is what the golden file `name` of the crate in `manifest_dir` holds.
+/// Asserts that `text` equals the golden file `name` of the crate in `manifest_dir`.
 ///
 /// # Panics
 ///
-/// If it is not, or there is no such file.
+/// If the texts differ, or the file does not exist.
 pub fn assert_golden(manifest_dir: &str, name: &str, text: &str) {
     let path = Path::new(manifest_dir).join("tests/golden").join(name);
     if std::env::var("GOLDEN").is_ok_and(|what| what == "write") {
@@ -24,13 +25,15 @@
     assert_eq!(text, golden, "{name}");
 }
 
-/// The paths of all keys in a document, sorted, one a line with the type of its value. Entries of a list are `[]`.
+/// The paths of all keys in a document, sorted, one per line, each with the type of its value. List entries
+/// appear as `[]`.
 pub fn keys(document: &Value) -> String {
     let mut lines = BTreeSet::new();
     collect_keys(document, "", &mut lines);
     lines.into_iter().map(|line| line + "\n").collect()
 }
 
+/// Adds the lines for `value`, which is at `path` in the document.
 fn collect_keys(value: &Value, path: &str, lines: &mut BTreeSet<String>) {
     let kind = match value {
         Value::Object(object) => {
@@ -53,14 +56,15 @@
     lines.insert(format!("{path}: {kind}"));
 }
 
-/// A JSON schema without what is for people alone (titles and descriptions), its keys sorted.
+/// A JSON schema with sorted keys and without titles and descriptions, which only serve human readers.
 pub fn schema_rules(schema: &Value) -> String {
     let mut rules = schema.clone();
     strip(&mut rules, false);
     format!("{rules:#}\n")
 }
 
-/// `properties`: whether the keys of `value` are names of settings, and not words of the schema.
+/// Removes titles and descriptions. `properties` is whether the keys of `value` are names of settings rather
+/// than keywords of the schema.
 fn strip(value: &mut Value, properties: bool) {
     match value {
         Value::Object(object) => {
--- a/crates/gateway-test-support/src/lib.rs
+++ b/crates/gateway-test-support/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real program among scripted neighbours on loopback: discovery, backends, clients. Everything listens
-//! on port 0 and every wait is for an event, with a limit that only a failure reaches.
+//! Runs the real gateway with scripted discovery, backends and clients on loopback. Everything listens on
+//! port 0, and every wait is for an event, with a time limit that is reached only on failure.
 
 pub mod golden;
 mod ports;
@@ -18,26 +18,33 @@
 use std::thread;
 use std::time::Duration;
 
-/// A program of this workspace, as the build of the running tests made it.
+/// The path of a program of this workspace, from the build that the running test belongs to.
+///
+/// # Panics
+///
+/// If the program has not been built.
 pub fn program(name: &str) -> PathBuf {
     let test = std::env::current_exe().expect("a running test has a file");
-    // Tests lie in `deps`, beside which the programs are.
+    // Test executables are in `deps`, a folder next to the programs.
     let dir = test.parent().and_then(|deps| deps.parent()).expect("a folder of the build");
     let program = dir.join(name);
-    assert!(program.exists(), "{} is not there: `cargo test` from the root builds it", program.display());
+    assert!(program.exists(), "{} does not exist: `cargo test` from the root builds it", program.display());
     program
 }
 
+/// How long a test waits for an event before it fails.
 pub const LIMIT: Duration = Duration::from_secs(20);
-static NUMBER: AtomicU64 = AtomicU64::new(1);
+/// The next number for a request id or a file name.
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A message as it came over the wire: request or answer.
+/// A request or a response as received.
 #[derive(Debug, Clone)]
 pub struct Message {
+    /// The request line or the status line.
     pub start: String,
     headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// Which connection of the backend it came on, from 0.
+    /// The number of the backend's connection on which the message arrived, from 0.
     pub connection: usize,
 }
 
@@ -51,7 +58,7 @@
     }
 }
 
-/// Reads one message; None at a clean end of the connection.
+/// Reads one message; `None` if the connection ends.
 fn read(from: &mut impl BufRead, connection: usize) -> Option<Message> {
     let mut start = String::new();
     if from.read_line(&mut start).ok()? == 0 {
@@ -70,15 +77,18 @@
     Some(Message { start: start.trim_end().to_string(), headers, body, connection })
 }
 
+/// A scripted backend that records its requests.
 pub struct Backend {
     pub address: SocketAddr,
+    /// The requests in the order of arrival.
     pub requests: Receiver<Message>,
-    /// The numbers of connections that the gateway ended.
+    /// The numbers of the connections that the gateway closed.
     pub ended: Receiver<usize>,
 }
 
 impl Backend {
-    /// `script` answers a request on its connection; false closes the connection.
+    /// Starts a backend. `script` answers each request on its connection; the connection closes when it
+    /// returns false.
     pub fn new(script: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -104,21 +114,24 @@
         Backend { address, requests, ended }
     }
 
-    /// Answers every request with a body that names it.
+    /// A backend that answers every request with status 200 and a body that holds the request id.
     pub fn good() -> Self {
         Backend::new(|m, s| ok(s, &format!("for {}", m.header("request-id").unwrap_or("nobody"))))
     }
 
+    /// Waits for the next request.
     pub fn next(&self) -> Message {
         self.requests.recv_timeout(LIMIT).expect("a request reaches the backend")
     }
 
+    /// Whether no request is waiting to be taken by [`Backend::next`].
     pub fn untouched(&self) -> bool {
         self.requests.try_recv().is_err()
     }
 }
 
-/// A listener whose queue is full: no further connection to it comes up until it accepts. And what fills the queue.
+/// A listener with a full accept queue, and the connections that fill it. No further connection is
+/// established until the listener accepts one.
 pub fn listener_with_full_queue() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -132,57 +145,62 @@
     (listener, fill)
 }
 
+/// Sends a response with status 200; returns whether that succeeded.
 pub fn ok(to: &mut TcpStream, body: &str) -> bool {
     say(to, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
+/// Sends raw text; returns whether that succeeded.
 pub fn say(to: &mut TcpStream, text: &str) -> bool {
     to.write_all(text.as_bytes()).is_ok()
 }
 
+/// What a discovery has published so far, and how often it has been called.
 #[derive(Default)]
-struct Told {
-    /// Bodies, in order; a call for the whole list gets the latest that is one.
+struct Published {
+    /// List versions and response bodies in order. A call without `since` gets the latest full list.
     lists: Vec<(u64, String)>,
     calls: usize,
 }
 
-/// Discovery that tells what the test says next.
+/// A scripted discovery service that serves the lists which the test publishes.
 pub struct Discovery {
     pub address: SocketAddr,
-    told: Arc<(Mutex<Told>, Condvar)>,
+    published: Arc<(Mutex<Published>, Condvar)>,
 }
 
 impl Discovery {
+    /// Starts a discovery service that serves the list `first` as version 1.
     pub fn new(first: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let told = Arc::new((Mutex::new(Told::default()), Condvar::new()));
-        let d = Discovery { address, told: told.clone() };
+        let published = Arc::new((Mutex::new(Published::default()), Condvar::new()));
+        let d = Discovery { address, published: published.clone() };
         d.publish(1, first);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(stream), told) = (stream, told.clone()) else { return };
-                thread::spawn(move || Discovery::serve(stream, &told));
+                let (Ok(stream), published) = (stream, published.clone()) else { return };
+                thread::spawn(move || Discovery::serve(stream, &published));
             }
         });
         d
     }
 
-    /// Discovery that takes calls and answers none.
+    /// A discovery service that accepts calls and answers none of them.
     pub fn silent() -> Self {
         let d = Discovery::new(String::new());
         d.retract_latest();
         d
     }
 
-    fn serve(mut stream: TcpStream, told: &(Mutex<Told>, Condvar)) {
+    /// Answers the calls on one connection; each waits until there is a list for it.
+    fn serve(mut stream: TcpStream, published: &(Mutex<Published>, Condvar)) {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(call) = read(&mut reader, 0) {
             let since = call.start.split("since=").nth(1).and_then(|s| s.split('&').next()?.parse().ok());
-            let mut t = told.0.lock().expect("not poisoned");
+            let mut t = published.0.lock().expect("not poisoned");
             t.calls += 1;
-            told.1.notify_all();
+            published.1.notify_all();
             let body = loop {
                 let newer = match since {
                     None => t.lists.iter().rev().find(|l| l.1.contains(r#""all":true"#)),
@@ -191,36 +209,40 @@
                 if let Some((_, body)) = newer {
                     break body.clone();
                 }
-                t = told.1.wait(t).expect("not poisoned");
+                t = published.1.wait(t).expect("not poisoned");
             };
             drop(t);
             ok(&mut stream, &body);
         }
     }
 
+    /// Publishes a list version and wakes up waiting calls.
     pub fn publish(&self, rev: u64, body: String) {
-        self.told.0.lock().expect("not poisoned").lists.push((rev, body));
-        self.told.1.notify_all();
+        self.published.0.lock().expect("not poisoned").lists.push((rev, body));
+        self.published.1.notify_all();
     }
 
-    /// Takes the latest back.
+    /// Removes the latest list version.
     pub fn retract_latest(&self) {
-        self.told.0.lock().expect("not poisoned").lists.pop();
+        self.published.0.lock().expect("not poisoned").lists.pop();
     }
 
+    /// The number of calls so far.
     pub fn calls(&self) -> usize {
-        self.told.0.lock().expect("not poisoned").calls
+        self.published.0.lock().expect("not poisoned").calls
     }
 
-    /// Waits until the gateway has called so often: it has then taken in what the calls before told.
+    /// Waits until the gateway has called this many times. The gateway has then applied the responses to the
+    /// earlier calls.
     pub fn wait_for_calls(&self, times: usize) {
-        let t = self.told.0.lock().expect("not poisoned");
+        let t = self.published.0.lock().expect("not poisoned");
         let (_guard, late) =
-            self.told.1.wait_timeout_while(t, LIMIT, |t| t.calls < times).expect("not poisoned");
+            self.published.1.wait_timeout_while(t, LIMIT, |t| t.calls < times).expect("not poisoned");
         assert!(!late.timed_out(), "discovery is called {times} times");
     }
 }
 
+/// A list in discovery's format. Targets are given by uid, address and state.
 pub fn list(rev: u64, all: bool, targets: &[(&str, SocketAddr, &str)]) -> String {
     let targets: Vec<String> = targets
         .iter()
@@ -233,6 +255,7 @@
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
 }
 
+/// A template of the gateway's configuration; [`configuration`] replaces the words in capital letters.
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":SOCKETS},
 "known":KNOWN,"discovery_fallbacks":[MORE],"pool":POOL,"log":LOG,"settings":{"az":0,"dcs":["hall"],"me":0,"siblings":1,"discovery":"MODE","tick":2000000,
@@ -248,36 +271,37 @@
  {"name":"confirm","on_time":750000000,"deadline":2000000000,"effect":"keyed","group":"all","key_ttl":2000000000,"points":5.0},
  {"name":"book-slot","on_time":750000000,"deadline":2500000000,"effect":"unsafe","group":"all","points":3.0}]}}"#;
 
-/// What a test may set.
+/// The settings with which a test starts a gateway.
 pub struct Setup {
     pub sockets: usize,
     pub connect_ms: u64,
     pub keepalive_ms: u64,
-    /// Descriptors that the system gives the process.
+    /// The limit of file descriptors of the process.
     pub ulimit: Option<usize>,
-    /// The list of backends that the configuration gives.
+    /// The initial list of backends in the configuration.
     pub known: Option<String>,
-    /// Whether discovery must be asked for its news.
+    /// Whether the gateway must subscribe to discovery, in place of the automatic mode.
     pub subscribe: bool,
-    /// In place of any free port.
+    /// The address to listen at, in place of any free port.
     pub listen: Option<SocketAddr>,
-    /// Whether operators get an address.
+    /// Whether the gateway opens an operators' address.
     pub ops: bool,
-    /// More addresses of discovery.
+    /// Fallback addresses of discovery.
     pub fallbacks: Vec<SocketAddr>,
-    /// The options of the pool.
+    /// The options of the connection pool, as JSON.
     pub pool: Option<&'static str>,
-    /// The clients' listening socket, held by the platform.
+    /// A listening socket for clients that the gateway inherits from its parent process.
     pub inherited: Option<TcpListener>,
-    /// Where a gateway's processes meet.
+    /// The folder in which a gateway's processes find each other (`TMPDIR`).
     pub folder: Option<PathBuf>,
-    /// A TOML configuration in place of the platform's file; its address of discovery is the setup's.
+    /// A TOML configuration in place of the platform's JSON file. `DISCOVERY` in it is replaced by the
+    /// address of discovery.
     pub toml: Option<String>,
-    /// The options of the log.
+    /// The options of the log, as JSON.
     pub log: Option<&'static str>,
-    /// Whether nobody reads the log after its first lines.
+    /// Whether nothing reads the log after its first lines.
     pub unread: bool,
-    /// Other values in the platform's file: a text of it, and what stands in its place.
+    /// Replacements in the platform's JSON file: a text that it contains, and its replacement.
     pub changed: Vec<(&'static str, &'static str)>,
 }
 
@@ -304,53 +328,55 @@
     }
 }
 
+/// A running gateway process, killed when dropped.
 pub struct Gateway {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The operators' address.
     ops: Option<SocketAddr>,
-    /// Lines of its log after the first.
+    /// The lines of the log after those that hold the addresses.
     log: Receiver<String>,
-    /// The log, where nobody reads it.
+    /// The log, if nothing reads it.
     unread: Option<BufReader<ChildStderr>>,
     config: PathBuf,
 }
 
-/// The address that the next line of a program's log tells after these words.
+/// The address that follows `words` in the next line of a program's log.
 pub fn read_logged_address(log: &mut impl BufRead, words: &str) -> SocketAddr {
     let mut line = String::new();
     log.read_line(&mut line).expect("a line");
-    let told = line.trim().split_once(words).unwrap_or_else(|| panic!("{words:?} in {line:?}"));
-    // A line of JSON goes on.
-    told.1.split('"').next().and_then(|address| address.parse().ok()).expect("an address")
+    let parts = line.trim().split_once(words).unwrap_or_else(|| panic!("{words:?} in {line:?}"));
+    // In a JSON line, a quote ends the address.
+    parts.1.split('"').next().and_then(|address| address.parse().ok()).expect("an address")
 }
 
-/// An empty folder.
+/// Creates an empty folder.
 pub fn folder() -> PathBuf {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("sprucehatch-gateway-{}-{number}", std::process::id()));
     std::fs::create_dir(&path).expect("a new folder");
     path
 }
 
+/// Creates a JSON file with this text.
 pub fn config_file(text: &str) -> PathBuf {
     file("json", text)
 }
 
-/// A new file whose name ends so.
+/// Creates a file with this extension and text.
 pub fn file(end: &str, text: &str) -> PathBuf {
-    let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let name = format!("sprucehatch-gateway-{}-{number}.{end}", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).expect("a file for the configuration");
     path
 }
 
-/// The platform's file for a gateway.
+/// The platform's JSON configuration file for a gateway.
 pub fn configuration(discovery: SocketAddr, setup: &Setup) -> String {
     let more: Vec<String> = setup.fallbacks.iter().map(|a| format!("\"{a}\"")).collect();
     let changed = setup.changed.iter().fold(CONFIG.to_string(), |text, (from, to)| {
-        assert!(text.contains(from), "{from:?} stands in the file");
+        assert!(text.contains(from), "the configuration contains {from:?}");
         text.replace(from, to)
     });
     changed
@@ -366,17 +392,20 @@
 }
 
 impl Gateway {
+    /// Starts a gateway with default settings, and waits until it has applied the first list.
     pub fn start(discovery: &Discovery) -> Self {
         let gateway = Gateway::with(discovery, Setup::default());
-        // The second call is the watch: the list is in.
+        // The second call waits for changes, so the response to the first one has been applied.
         discovery.wait_for_calls(2);
         gateway
     }
 
+    /// Starts a gateway with a scripted discovery.
     pub fn with(discovery: &Discovery, setup: Setup) -> Self {
         Gateway::at(discovery.address, setup)
     }
 
+    /// Starts a gateway with discovery at an address, and waits until it logs its own addresses.
     pub fn at(discovery: SocketAddr, setup: Setup) -> Self {
         let text = configuration(discovery, &setup);
         let config = match &setup.toml {
@@ -422,7 +451,7 @@
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the gateway starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let (line, lines) = channel();
-        // Before anything can fail: it ends the process.
+        // Created before anything can panic, so that the process is killed on drop.
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut gateway = Gateway { child, address: any, ops: None, log: lines, unread: None, config };
         gateway.address = read_logged_address(&mut log, "listening on ");
@@ -430,13 +459,13 @@
         if setup.unread {
             gateway.unread = Some(log);
         } else {
-            // Read to the end also when no test listens, or lines would be lost.
+            // The log is read to its end even if the test does not use it, so that no line is lost.
             thread::spawn(move || log.lines().map_while(Result::ok).for_each(|l| drop(line.send(l))));
         }
         gateway
     }
 
-    /// Waits for a line of the log that holds this text.
+    /// Waits for a line of the log that contains this text.
     pub fn wait_for_log_line(&self, text: &str) -> String {
         loop {
             let line = self.log.recv_timeout(LIMIT).expect("a line of the log");
@@ -446,41 +475,43 @@
         }
     }
 
-    /// Whoever was to read the log leaves.
+    /// Closes the reading end of the log.
     pub fn close_log(&mut self) {
         self.unread = None;
     }
 
+    /// The text of the configuration file.
     pub fn configuration(&self) -> String {
         std::fs::read_to_string(&self.config).expect("the file is there")
     }
 
-    /// Replaces the configuration file, and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, text: &str) {
         std::fs::write(&self.config, text).expect("a file for the configuration");
         self.signal("-HUP");
     }
 
+    /// Opens a new client connection.
     pub fn client(&self) -> Client {
         Client::to(self.address)
     }
 
-    /// The operators' address.
+    /// The operators' address; the setup must have asked for one.
     pub fn operators(&self) -> SocketAddr {
         self.ops.expect("the setup asks for it")
     }
 
-    /// A new connection to the operators' address.
+    /// Opens a new connection to the operators' address.
     pub fn operator(&self) -> Client {
         Client::to(self.operators())
     }
 
-    /// One call of an operator's.
+    /// Makes one call at the operators' address.
     pub fn call(&self, method: &str, path: &str) -> Message {
         self.operator().ask(&format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n"))
     }
 
-    /// A field of the figures.
+    /// The number at a JSON pointer in the metrics.
     pub fn figure(&self, path: &str) -> u64 {
         let answer = self.call("GET", "/-/metrics");
         assert_eq!(answer.status(), 200);
@@ -488,6 +519,7 @@
         json.pointer(path).and_then(serde_json::Value::as_u64).unwrap_or_else(|| panic!("{path} in {json}"))
     }
 
+    /// Sends a signal to the process; `name` is an option of `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
@@ -502,12 +534,14 @@
     }
 }
 
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects to an address; reads time out after [`LIMIT`].
     pub fn to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the gateway accepts");
         stream.set_read_timeout(Some(LIMIT)).expect("a limit");
@@ -515,26 +549,29 @@
         Client { stream, reader }
     }
 
+    /// Sends raw text.
     pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("the gateway reads");
     }
 
+    /// Reads the next response.
     pub fn answer(&mut self) -> Message {
         read(&mut self.reader, 0).expect("a whole answer")
     }
 
+    /// Sends raw text and reads the response.
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer()
     }
 
-    /// Whether the gateway has closed the connection, with no further byte.
+    /// Whether the gateway closes the connection without sending another byte.
     pub fn closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0]), Ok(0))
     }
 }
 
-/// A request of each class, new with every call.
+/// A request of one of the configured classes.
 pub struct Ask {
     pub class: &'static str,
     pub id: String,
@@ -542,17 +579,19 @@
     pub timeout: &'static str,
 }
 
+/// A request of a class, under a new id.
 pub fn ask(class: &'static str) -> Ask {
-    let id = format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed));
+    let id = format!("{:016x}", NEXT_NUMBER.fetch_add(1, Ordering::Relaxed));
     Ask { class, id, plan: "basic", timeout: "2.0" }
 }
 
 impl Ask {
-    /// The same once more, under a new id.
+    /// The same request under a new id.
     pub fn again(&self) -> Ask {
         Ask { id: ask(self.class).id, ..*self }
     }
 
+    /// The request as HTTP/1.1 text.
     pub fn text(&self) -> String {
         let Ask { class, id, plan, timeout } = self;
         let (method, rest) = match *class {
--- a/crates/gateway-test-support/tests/ports_beside_processes.rs
+++ b/crates/gateway-test-support/tests/ports_beside_processes.rs
@@ -1,5 +1,5 @@
-//! A reserved address is free also while other threads start processes, which hold copies of all open sockets until the
-//! system has begun to run their programs.
+//! Reserved addresses must stay free while other threads start processes. A process that is being started
+//! holds copies of all open sockets until its program runs.
 
 use gateway_test_support::{reserved_address, start_process};
 use std::net::TcpListener;
@@ -10,14 +10,14 @@
 const STARTERS: usize = 8;
 
 #[test]
-fn a_reserved_address_is_free_while_processes_are_started() {
+fn reserved_addresses_are_free_while_processes_start() {
     let is_over = AtomicBool::new(false);
     let taken = std::thread::scope(|scope| {
         for _ in 0..STARTERS {
             scope.spawn(|| {
                 while !is_over.load(Ordering::Relaxed) {
                     let mut child = start_process(&mut Command::new("true")).expect("true runs");
-                    child.wait().expect("it ends");
+                    child.wait().expect("true ends");
                 }
             });
         }
