--- a/crates/gateway-cli/src/demo/clients.rs
+++ b/crates/gateway-cli/src/demo/clients.rs
@@ -45,7 +45,7 @@
         .header("quota-info", format!("units=1,spread={gateways},first=0"))
         .body(Full::default());
     let Ok(request) = request else { return };
-    let reply = timeout(CLIENT_TIMEOUT, idle_connections.ask(gateway, request)).await;
+    let reply = timeout(CLIENT_TIMEOUT, idle_connections.send(gateway, request)).await;
     let status = reply.ok().and_then(Result::ok).map(|reply| reply.status);
     let count = match status {
         Some(200) => &tally.served,
--- a/crates/gateway-process-trial/src/lib.rs
+++ b/crates/gateway-process-trial/src/lib.rs
@@ -404,7 +404,7 @@
             Trouble::Kill => affected.iter().for_each(|n| self.start_server(*n)),
             Trouble::Silent => affected.iter().for_each(|n| net.update_server(*n, |s| s.silent = false)),
             Trouble::Slow => {
-                affected.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0)
+                affected.iter().for_each(|n| world.stand_ins[*n].model.borrow_mut().slowdown = 1.0);
             }
             Trouble::Fail => affected.iter().for_each(|n| world.stand_ins[*n].failure_probability.set(0.0)),
             Trouble::Refuse => {
